--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,15 +1,14 @@
-// Package admission decides which waiting request of one pool runs next and
-// which requests are refused. A pool is one model on one entry instance, or one
-// plain service.
+// Package admission decides, for one pool, which waiting request is dispatched next and
+// which requests are refused. A pool is one model on one entry instance, or one plain
+// service.
 //
-// Queue orders ranks strictly by urgency, except that every rank with work
-// keeps its configured minimum share of the dispatched cost. Inside a rank it
-// runs start-time fair queueing (Goyal, Vin and Cheng, 1996) over workspaces,
-// with cost in tokens. FIFO is the baseline without ranks and fairness.
+// Queue orders ranks strictly by urgency, except that every rank with waiting work
+// keeps its configured minimum share of the dispatched cost. Within a rank it applies
+// start-time fair queueing (Goyal, Vin and Cheng, 1996) over workspaces, with cost
+// measured in tokens. FIFO is the baseline without ranks and fairness.
 //
-// The types of this package do no I/O and read no clock: the caller passes the
-// time and carries out the returned effects. They are not safe for concurrent
-// use.
+// The types of this package do no I/O and read no clock: the caller passes the current
+// time and carries out the returned effects. They are not safe for concurrent use.
 package admission
 
 import (
@@ -19,26 +18,27 @@
 	"masticbank.example/core/config"
 )
 
-// Request is one request that arrives at a pool.
+// Request is a request that arrives at a pool.
 type Request struct {
 	// ID is unique among the requests that the pool holds.
 	ID        string
 	Workspace string
-	// Rank beyond the configured ranks counts as the least urgent one.
+	// Rank is the priority class, 0 the most urgent. A rank beyond the configured ones
+	// is treated as the least urgent.
 	Rank config.Rank
 	// Cost is the estimated cost in tokens: prompt plus expected output.
 	Cost float64
-	// Deadline is when the answer must be complete. Zero means none.
+	// Deadline is when the response must be complete. Zero means no deadline.
 	Deadline time.Time
 }
 
-// Kind tells what an Effect asks the caller to do.
+// Kind is the action that an Effect requests.
 type Kind int
 
 const (
-	// Dispatch asks the caller to run the request now.
+	// Dispatch runs the request now.
 	Dispatch Kind = iota
-	// Refuse asks the caller to answer that the request was not run.
+	// Refuse responds to the client that the request was not run.
 	Refuse
 )
 
@@ -53,23 +53,23 @@
 	return fmt.Sprintf("kind %d", int(k))
 }
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason int
 
 const (
-	// ReasonNone belongs to effects that refuse nothing.
+	// ReasonNone is the reason of effects other than Refuse.
 	ReasonNone Reason = iota
-	// ReasonHopeless means that the request could not have met its deadline at
-	// the current service rate when it arrived.
+	// ReasonHopeless means that, on arrival, the request could not have met its
+	// deadline at the current service rate.
 	ReasonHopeless
-	// ReasonDeadline means that the request could no longer meet its deadline
-	// while it waited.
+	// ReasonDeadline means that the request could no longer meet its deadline while it
+	// waited.
 	ReasonDeadline
-	// ReasonWorkspaceFull means that the workspace has too many waiting
-	// requests and that this was its least urgent, newest one.
+	// ReasonWorkspaceFull means that the workspace exceeded its limit of waiting
+	// requests and that this was the newest request in its least urgent rank.
 	ReasonWorkspaceFull
-	// ReasonPoolFull means that the pool has too many waiting requests and that
-	// this was the one that would have been served last.
+	// ReasonPoolFull means that the pool exceeded its limit of waiting requests and
+	// that this request would have been served last.
 	ReasonPoolFull
 )
 
@@ -90,45 +90,47 @@
 	return fmt.Sprintf("reason %d", int(r))
 }
 
-// Effect is one action that the caller must carry out.
+// Effect is an action that the caller must carry out.
 type Effect struct {
 	Kind Kind
 	ID   string
-	// Reason and RetryAfter belong to Refuse. RetryAfter is the time after
-	// which the work that would be ahead of the request now will have been
-	// served, as far as it must be for the deadline.
+	// Reason and RetryAfter are set for Refuse. RetryAfter estimates when enough of the
+	// work now ahead of the request will have been served for the request to meet its
+	// deadline.
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Admitter is the admission decision of one pool. The slice returned by a
-// method is valid until the next call. Calls with an ID that is not held are
-// ignored, because events cross each other.
+// Admitter makes the admission decisions of one pool. A returned slice is valid until
+// the next call. Calls with an unknown ID are ignored, because events of one request
+// may cross each other.
 type Admitter interface {
 	// Arrive offers a new request. It panics if the ID is already held.
 	Arrive(now time.Time, r Request) []Effect
-	// Capacity sets how many requests may run at once. It may be lower than the
-	// number of requests that run.
+	// Capacity sets the number of slots: how many requests may run at once. It may be
+	// lower than the number of running requests.
 	Capacity(now time.Time, slots int) []Effect
-	// Done reports that a dispatched request was served to its end and what it
-	// cost in tokens. Its time counts towards the service rate.
+	// Done reports that a dispatched request ran to completion, and its actual cost in
+	// tokens. Its duration counts towards the service rate.
 	Done(now time.Time, id string, cost float64) []Effect
-	// Cancel reports that a waiting or running request ended early, because its
-	// caller left or it failed. Its time does not count towards the service
-	// rate, so that quick failures do not make the pool look fast.
+	// Cancel reports that a waiting or running request ended early because its client
+	// disconnected or it failed. Its duration does not count towards the service rate;
+	// otherwise quick failures would make the pool look fast.
 	Cancel(now time.Time, id string) []Effect
-	// Requeue returns a dispatched request that found no replica to its place.
-	// It dispatches nothing itself: the next event does.
+	// Requeue returns a dispatched request that found no replica to its former place in
+	// the queue. It never dispatches; the next event does.
 	Requeue(now time.Time, id string) []Effect
-	// Configure puts a new configuration in force.
+	// Configure applies a new configuration.
 	Configure(now time.Time, c Config) []Effect
-	// Tick advances time. Call it about ten times a second.
+	// Tick advances time. Call it about ten times per second.
 	Tick(now time.Time) []Effect
-	// Stats summarises the pool with at most top workspaces.
+	// Stats summarizes the pool, with at most top workspaces.
 	Stats(top int) Stats
-	// Loads returns the work of each workspace and rank that has some.
+	// Loads returns the waiting and running work by workspace and rank, without empty
+	// entries.
 	Loads() []Load
-	// Position tells where a waiting request stands.
+	// Position returns the position of a waiting request in its queue. It returns false
+	// if the request does not wait.
 	Position(now time.Time, id string) (Position, bool)
 }
 
--- a/core/admission/bench_test.go
+++ b/core/admission/bench_test.go
@@ -11,26 +11,26 @@
 
 const (
 	simulatedSlots = 32
-	slotPace       = 100.0 // tokens a second of one slot
-	capacity       = simulatedSlots * slotPace
+	slotRate       = 100.0 // tokens per second of one slot
+	capacity       = simulatedSlots * slotRate
 )
 
-// simulatedDeadlines are the callers' deadlines by rank.
+// simulatedDeadlines are the clients' deadlines by rank.
 var simulatedDeadlines = []time.Duration{10 * time.Second, 30 * time.Second, 2 * time.Minute}
 
-// source sends requests of one workspace and rank as a Poisson process. Their
-// costs are exponential; the estimate is the mean.
+// source sends the requests of one workspace and rank as a Poisson process. Their costs
+// are exponentially distributed; the estimate is the mean.
 type source struct {
 	workspace string
 	rank      int
-	load      float64 // offered tokens a second over capacity
+	load      float64 // offered tokens per second divided by the capacity
 	cost      float64 // mean tokens
 }
 
 var benchRanks = []RankPolicy{{MinShare: 0.5}, {MinShare: 0.2}, {MinShare: 0.1}}
 
-// BenchmarkQueue measures one arrival, one completion and the dispatch that
-// follows, with four waiting requests for each workspace.
+// BenchmarkQueue measures one arrival, one completion and the dispatch that follows,
+// with four waiting requests per workspace.
 func BenchmarkQueue(b *testing.B) {
 	for _, workspaces := range []int{10, 200, 2000} {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// policies are the ways compared by the simulations.
+// policies are the admission policies that the simulations compare.
 var policies = []struct {
 	name  string
 	setup func() (q Admitter, slots int, afterEvent func())
@@ -91,12 +91,12 @@
 	{"reserve-10%", withReserve(0.1)},
 	{"reserve-20%", withReserve(0.2)},
 	{"constant-10%", withConstantReserve(simulatedSlots)},
-	// Rank 0 may use 10 % more slots than the engines have; their priorities
-	// slow the other requests down.
+	// Rank 0 may use 10 % more slots than the engines have; the engines run it with
+	// priority and slow the other requests down.
 	{"engine-priority", withConstantReserve(simulatedSlots + 3)},
 }
 
-// benchReserve is the reserve of the policy in the simulations.
+// benchReserve is the urgent reserve that BenchmarkTick configures.
 const benchReserve = 0.2
 
 func benchConfig(reserve float64) Config {
@@ -110,13 +110,13 @@
 func withConstantReserve(slots int) func() (Admitter, int, func()) {
 	return func() (Admitter, int, func()) {
 		q := New(benchConfig(0.1))
-		return q, slots, func() { q.load.sum, q.load.weight = 1e9, 1 }
+		return q, slots, func() { q.urgentLoad.sum, q.urgentLoad.weight = 1e9, 1 }
 	}
 }
 
 const simulatedTime = 30 * time.Minute
 
-// mixed offers load times the capacity in three ranks from ten workspaces.
+// mixed offers load times the capacity, from ten workspaces in three ranks.
 func mixed(load float64) []source {
 	var sources []source
 	for i := range 10 {
@@ -131,7 +131,7 @@
 	return sources
 }
 
-// percentile returns the p-th percentile of the waits in seconds.
+// percentile returns the p-th percentile of waits.
 func percentile(waits []float64, p float64) float64 {
 	if len(waits) == 0 {
 		return 0
@@ -140,7 +140,7 @@
 	return waits[int(p/100*float64(len(waits)-1))]
 }
 
-// byRank joins the outcomes of the sources of each rank.
+// byRank merges the outcomes of the sources of each rank.
 func byRank(sources []source, outcomes []outcome) [3]outcome {
 	var ranks [3]outcome
 	for i, o := range outcomes {
@@ -149,7 +149,7 @@
 		r.totals = append(r.totals, o.totals...)
 		r.served += o.served
 		r.inTime += o.inTime
-		r.offers += o.offers
+		r.offered += o.offered
 	}
 	return ranks
 }
@@ -181,8 +181,8 @@
 	b.ReportMetric(100*inTime/total, "goodput-%")
 }
 
-// BenchmarkLoad reports the p95 wait of dispatched requests and the part of the
-// capacity that served requests in time, by rank.
+// BenchmarkLoad reports, by rank, the p95 wait of dispatched requests and the fraction
+// of the capacity spent on requests that completed in time.
 func BenchmarkLoad(b *testing.B) {
 	for _, load := range []float64{0.7, 1, 2, 4} {
 		b.Run(fmt.Sprintf("load=%v", load), func(b *testing.B) {
@@ -192,10 +192,10 @@
 	}
 }
 
-// BenchmarkFlood adds work of one workspace and rank to mixed work, so that four
-// times the capacity is offered. Without the flood, the pool is at 0.7 of its
-// capacity for the least urgent one, and at 1 for the urgent one, so that the
-// other ranks ask for more than their minimum shares.
+// BenchmarkFlood overloads the pool with requests of one workspace and rank on top of
+// mixed work, so that four times the capacity is offered. The mixed work alone offers
+// 0.7 of the capacity in the case of the least urgent rank and 1 in the case of the
+// urgent one, so that the other ranks demand more than their minimum shares.
 func BenchmarkFlood(b *testing.B) {
 	for _, c := range []struct {
 		name  string
@@ -216,9 +216,9 @@
 	}
 }
 
-// BenchmarkSmallWorkspaces puts a workspace that asks 20 times as much beside
-// nine small ones and reports the small ones' p95 wait and Jain's index of
-// service over the max-min fair share.
+// BenchmarkSmallWorkspaces runs nine small workspaces beside one that offers 20 times
+// the load of one of them. It reports the small workspaces' p95 wait and Jain's
+// fairness index of the service relative to the max-min fair share.
 func BenchmarkSmallWorkspaces(b *testing.B) {
 	for _, large := range []float64{0, 20 * 0.05} {
 		b.Run(fmt.Sprintf("large=%v", large), func(b *testing.B) {
@@ -233,8 +233,8 @@
 				var waits, totals []float64
 				var sum, squares float64
 				for i, o := range outcomes {
-					// Small ones fit in their fair share, the large one gets the rest.
-					fair := min(o.offers, (1-0.05*9)*capacity*simulatedTime.Seconds())
+					// The small workspaces stay within their fair share; the large one gets the rest.
+					fair := min(o.offered, (1-0.05*9)*capacity*simulatedTime.Seconds())
 					x := o.inTime / fair
 					sum += x
 					squares += x * x
@@ -251,8 +251,8 @@
 	}
 }
 
-// BenchmarkTick measures one tick with 8000 waiting requests of 2000
-// workspaces, of which it examines a bounded number.
+// BenchmarkTick measures one tick with 8000 waiting requests of 2000 workspaces. A tick
+// examines a bounded number of them.
 func BenchmarkTick(b *testing.B) {
 	c := benchConfig(benchReserve)
 	c.MaxQueued = 10_000
--- a/core/admission/bounds.go
+++ b/core/admission/bounds.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// boundWorkspace refuses waiting requests until the workspace is within its
-// bound. Requests that were dispatched once are never victims, so the bound may
-// be exceeded by the number of requests that came back.
-func (q *Queue) boundWorkspace(now time.Time, w *workspace) {
-	for w.full() {
-		victim := w.victim()
-		if victim == nil {
+// enforceWorkspaceLimit refuses waiting requests until the workspace is within its
+// limit. Requests that were already dispatched once are never evicted, so the limit may
+// be exceeded by the number of requeued requests.
+func (q *Queue) enforceWorkspaceLimit(now time.Time, w *workspace) {
+	for w.overQueueLimit() {
+		candidate := w.evictionCandidate()
+		if candidate == nil {
 			break
 		}
-		q.refuse(now, victim, ReasonWorkspaceFull)
+		q.refuse(now, candidate, ReasonWorkspaceFull)
 	}
 }
 
-// boundPool does the same for the pool's own bound.
-func (q *Queue) boundPool(now time.Time) {
+// enforcePoolLimit refuses waiting requests until the pool is within its limit, with
+// the same exception for requeued requests.
+func (q *Queue) enforcePoolLimit(now time.Time) {
 	for q.queued > q.cfg.MaxQueued {
-		victim := q.victim()
-		if victim == nil {
+		candidate := q.evictionCandidate()
+		if candidate == nil {
 			break
 		}
-		q.refuse(now, victim, ReasonPoolFull)
+		q.refuse(now, candidate, ReasonPoolFull)
 	}
 }
 
-// victim returns the newest request of the workspace in its least urgent rank.
-func (w *workspace) victim() *request {
+// evictionCandidate returns the newest request in the least urgent rank of the
+// workspace that has an evictable one, or nil.
+func (w *workspace) evictionCandidate() *request {
 	for i := len(w.flows) - 1; i >= 0; i-- {
 		if f := w.flows[i]; f != nil && f.last != nil {
 			return f.last
@@ -36,12 +38,12 @@
 	return nil
 }
 
-// victim returns, within the least urgent rank that has waiting requests, the
-// newest request of the most overdrawn workspace: the one whose newest request
-// has the largest start tag and so would be served last.
-func (q *Queue) victim() *request {
+// evictionCandidate returns, within the least urgent rank that has evictable requests,
+// the newest request of the flow whose newest request has the largest start tag and so
+// would be served last. It returns nil if no request may be evicted.
+func (q *Queue) evictionCandidate() *request {
 	for i := len(q.ranks) - 1; i >= 0; i-- {
-		if f := q.ranks[i].byVictim.max(); f != nil {
+		if f := q.ranks[i].byLastStart.max(); f != nil {
 			return f.last
 		}
 	}
--- a/core/admission/setup.go
+++ b/core/admission/configure.go
@@ -1,7 +1,7 @@
 package admission
 
-// apply puts c in force and reindexes everything under it.
-func (q *Queue) apply(c Config) {
+// applyConfig applies c and reindexes all flows.
+func (q *Queue) applyConfig(c Config) {
 	if len(c.Ranks) == 0 {
 		c.Ranks = []RankPolicy{{}}
 	}
@@ -11,12 +11,12 @@
 	}
 	for i, r := range q.ranks {
 		r.minShare = 0
-		// Rank 0 keeps what the other ranks' shares leave.
+		// Rank 0 has no explicit share: it gets what the other ranks leave.
 		if i > 0 && i < len(c.Ranks) {
 			r.minShare = c.Ranks[i].MinShare
 		}
 	}
-	q.forgetIdle()
+	q.deleteIdleWorkspaces()
 	for _, f := range q.flows {
 		f.workspace.policy = c.policy(f.workspace.name)
 	}
@@ -25,14 +25,14 @@
 	}
 	for _, f := range q.flows {
 		f.rank.weight += f.workspace.policy.Weight
-		f.rank.place(f)
+		f.rank.reindex(f)
 	}
 	for _, r := range q.ranks {
-		r.expireCredit()
+		r.clearIdleCredit()
 	}
 }
 
-// flow returns the flow of a workspace in a rank, creating it when needed.
+// flow returns the flow of a workspace in a rank, creating it if needed.
 func (q *Queue) flow(name string, rankIndex int) *flow {
 	rankIndex = min(max(rankIndex, 0), len(q.cfg.Ranks)-1)
 	w, ok := q.workspaces[name]
@@ -50,21 +50,21 @@
 }
 
 func (q *Queue) newFlow(w *workspace, r *rank) *flow {
-	const nodesPerFlow = 3
+	const treesPerFlow = 3
 	f := &flow{workspace: w, rank: r, id: q.seq}
 	q.seq++
-	for i, n := range []*node{&f.byStart, &f.byTail, &f.byVictim} {
+	for i, n := range []*node{&f.byStart, &f.byDrain, &f.byLastStart} {
 		n.flow = f
-		n.priority = scramble(f.id*nodesPerFlow + uint64(i))
+		n.priority = splitMix64(f.id*treesPerFlow + uint64(i))
 	}
 	q.flows = append(q.flows, f)
 	r.weight += w.policy.Weight
 	return f
 }
 
-// forgetIdle drops workspaces without requests that the configuration no
-// longer names.
-func (q *Queue) forgetIdle() {
+// deleteIdleWorkspaces deletes the workspaces that have no requests and are not named
+// in the configuration.
+func (q *Queue) deleteIdleWorkspaces() {
 	kept := q.flows[:0]
 	for _, f := range q.flows {
 		w := f.workspace
--- a/core/admission/deadline.go
+++ b/core/admission/deadline.go
@@ -6,40 +6,42 @@
 )
 
 const (
-	// sweepRequests bounds the waiting requests examined by one Tick.
+	// sweepRequests bounds the waiting requests that one Tick examines.
 	sweepRequests = 512
-	// hopelessMargin is the factor by which a waiting request's expected wait
-	// must exceed what its deadline allows before it is refused.
-	hopelessMargin = 1.25
+	// deadlineMargin is the factor by which the expected wait of a waiting request must
+	// exceed the wait that its deadline allows before the request is refused.
+	deadlineMargin = 1.25
 )
 
-// hopeless tells whether a newcomer could not meet its deadline at the current
-// service rate. A request that would be dispatched at once is never hopeless
-// before its deadline, so an outdated rate cannot keep an idle pool idle.
-func (q *Queue) hopeless(now time.Time, f *flow, cost float64, deadline time.Time) (time.Duration, bool) {
+// missesDeadline reports whether a new request could not meet its deadline at the
+// current service rate, and when to retry it. A request that would be dispatched
+// immediately passes until its deadline, because an outdated rate must not keep an idle
+// pool idle.
+func (q *Queue) missesDeadline(now time.Time, f *flow, cost float64, deadline time.Time) (time.Duration, bool) {
 	if deadline.IsZero() {
 		return 0, false
 	}
 	if !deadline.After(now) {
 		return minRetryAfter, true
 	}
-	if q.immediate(f) {
+	if q.dispatchesImmediately(f) {
 		return 0, false
 	}
-	wait, known := q.wait(now, f, f.queuedCost)
+	wait, known := q.expectedWait(now, f, f.queuedCost)
 	if !known {
 		return 0, false
 	}
-	excess := wait - q.pace.allowance(cost, deadline.Sub(now).Seconds())
+	excess := wait - q.rate.maxWait(cost, deadline.Sub(now).Seconds())
 	if excess <= 0 {
 		return 0, false
 	}
 	return retryAfter(min(wait, excess), true), true
 }
 
-// immediate tells whether a newcomer in f would be dispatched at once.
-func (q *Queue) immediate(f *flow) bool {
-	if q.inFlight >= q.slots || f.workspace.held() {
+// dispatchesImmediately reports whether a new request in f would be dispatched
+// immediately.
+func (q *Queue) dispatchesImmediately(f *flow) bool {
+	if q.inFlight >= q.slots || f.workspace.atInFlightLimit() {
 		return false
 	}
 	capped := q.inFlight-q.urgentInFlight >= q.slots-q.reserved()
@@ -47,20 +49,20 @@
 		return false
 	}
 	for _, r := range q.ranks {
-		if r.ready() != nil {
+		if r.nextFlow() != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// latestStart is when r must be dispatched to meet its deadline.
+// latestStart returns when r must be dispatched to meet its deadline.
 func (q *Queue) latestStart(r *request) time.Time {
-	return r.deadline.Add(-duration(q.pace.service(r.cost)))
+	return r.deadline.Add(-secondsToDuration(q.rate.serviceTime(r.cost)))
 }
 
-// expire refuses the waiting requests that could not meet their deadline even
-// if they were dispatched now.
+// expire refuses the waiting requests that could not meet their deadline even if they
+// were dispatched now.
 func (q *Queue) expire(now time.Time) {
 	for len(q.deadlines) > 0 {
 		r := q.deadlines[0]
@@ -76,13 +78,13 @@
 	}
 }
 
-// expired tells whether a dispatch at now would be too late for r.
+// expired reports whether dispatching r at now would be too late.
 func (r *request) expired(now time.Time) bool {
 	return r.latestStart.Before(now) || !r.deadline.After(now)
 }
 
-// sweep examines a bounded number of waiting requests in turn and refuses
-// those whose expected wait has grown beyond what their deadline allows.
+// sweep examines a bounded number of waiting requests, flow by flow in turn, and
+// refuses those whose expected wait now clearly exceeds what their deadline allows.
 func (q *Queue) sweep(now time.Time) {
 	if len(q.deadlines) == 0 {
 		return
@@ -99,37 +101,37 @@
 	}
 }
 
-// sweepFlow examines the requests of one flow from its head and returns how
-// many it examined.
+// sweepFlow examines the never dispatched requests of one flow from its head and
+// returns how many it examined.
 func (q *Queue) sweepFlow(now time.Time, f *flow) int {
 	examined := 0
-	var before float64 // cost of the flow's requests ahead of r
+	var costAhead float64 // cost of the flow's requests ahead of r
 	for _, r := range f.returned {
-		before += r.cost
+		costAhead += r.cost
 	}
 	for r := f.first; r != nil; {
 		next := r.next
 		examined++
-		wait, known := q.wait(now, f, before)
-		if known && q.late(now, r, wait) {
+		wait, known := q.expectedWait(now, f, costAhead)
+		if known && q.missesDeadlineClearly(now, r, wait) {
 			q.refuse(now, r, ReasonDeadline)
 		} else {
-			before += r.cost
+			costAhead += r.cost
 		}
 		r = next
 	}
 	return examined
 }
 
-// late tells whether r misses its deadline by a clear margin after wait
-// seconds. The wait counts the running requests as if they had just begun, so
-// the time that one of them takes is part of the margin.
-func (q *Queue) late(now time.Time, r *request, wait float64) bool {
+// missesDeadlineClearly reports whether r misses its deadline by the margin if it waits
+// for wait seconds. The expected wait treats running requests as if they had just
+// started, so the service time of one of them is added to the margin.
+func (q *Queue) missesDeadlineClearly(now time.Time, r *request, wait float64) bool {
 	if r.deadline.IsZero() {
 		return false
 	}
-	allowed := r.deadline.Sub(now).Seconds() - q.pace.service(r.cost)
-	return wait > allowed*hopelessMargin+q.pace.service(q.meanInFlight())
+	allowed := r.deadline.Sub(now).Seconds() - q.rate.serviceTime(r.cost)
+	return wait > allowed*deadlineMargin+q.rate.serviceTime(q.meanInFlight())
 }
 
 // deadlineHeap orders waiting requests by their latest start.
--- a/core/admission/deadline_test.go
+++ b/core/admission/deadline_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-const perSlot = 100.0 // tokens a second of one slot in these tests
+const perSlot = 100.0 // tokens per second of one slot in these tests
 
-// serve runs the pool at constant pace until the time given, ticking between
-// completions.
+// serve runs the pool at a constant service rate until the given time, with ticks
+// between completions.
 func (d *driver) serve(until time.Time, started map[string]time.Time) {
 	const tick = 100 * time.Millisecond
 	for d.now.Before(until) {
@@ -21,7 +21,7 @@
 			next = until
 		}
 		for i, r := range d.running {
-			if end := started[r.ID].Add(duration(r.Cost / perSlot)); !end.After(next) {
+			if end := started[r.ID].Add(secondsToDuration(r.Cost / perSlot)); !end.After(next) {
 				next, ended = end, i
 			}
 		}
@@ -34,8 +34,9 @@
 	}
 }
 
-// newServer returns a pool that has observed its pace on idle slots. Actual
-// costs are a quarter of the estimates, and times follow the estimates.
+// newServer returns a pool that has measured its service rate from one request that ran
+// alone. Actual costs are a quarter of the estimates; service times follow the
+// estimates.
 func newServer(c Config, slots int) (*driver, map[string]time.Time) {
 	d := newDriver(New(c))
 	d.actual = func(r Request) float64 { return r.Cost / 4 }
@@ -47,16 +48,16 @@
 	return d, started
 }
 
-// An idle pool refuses nothing before its deadline, whatever pace it measured,
-// and no pool refuses before its first completion.
+// An idle pool refuses no request before its deadline, whatever service rate it
+// measured, and no pool refuses by its service rate before the first completion.
 func TestIdlePoolServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(New(Config{Ranks: []RankPolicy{{}, {MinShare: 0.1}}, MaxQueued: 100, UrgentReserve: 0.5}))
 		d.capacity(rapid.IntRange(1, 4).Draw(t, "slots"))
 		for range rapid.IntRange(1, 20).Draw(t, "requests") {
 			rank := rapid.IntRange(0, 1).Draw(t, "rank")
-			patience := time.Duration(rapid.IntRange(1, 1000).Draw(t, "patience")) * time.Millisecond
-			d.arrive("w", rank, drawCost(t), patience)
+			timeout := time.Duration(rapid.IntRange(1, 1000).Draw(t, "timeout")) * time.Millisecond
+			d.arrive("w", rank, drawCost(t), timeout)
 			require.Empty(t, d.refused)
 			require.Len(t, d.running, 1)
 			d.now = d.now.Add(time.Duration(rapid.IntRange(1, 100).Draw(t, "service")) * time.Second)
@@ -71,17 +72,18 @@
 	require.Empty(t, d.refused)
 }
 
-// With constant pace, exact estimates and one workspace, an admitted request is
-// in time, a refused one would have been late, and it is admitted when it comes
-// back one service time after the advised time: slots that began together are
-// that far from the even flow of completions that the advice counts on.
+// With a constant service rate, exact estimates and one workspace, an admitted request
+// completes in time and a refused one would have been late. A refused request is
+// admitted if it is retried one service time after the suggested time: the estimate
+// assumes evenly spread completions, and slots that started together are up to one
+// service time off.
 func TestAdmittedRequestsAreInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 5).Draw(t, "slots")
 		d, started := newServer(Config{MaxQueued: 1000}, slots)
-		const cost, service, patience = 100, time.Second, 10 * time.Second
+		const cost, service, timeout = 100, time.Second, 10 * time.Second
 		for range 400 {
-			d.arrive("w", 0, cost, patience)
+			d.arrive("w", 0, cost, timeout)
 		}
 		// Each slot serves one such request a second.
 		require.InDelta(t, 10*slots, len(d.running)+len(d.waiting), float64(slots))
@@ -92,18 +94,18 @@
 		require.InDelta(t, service/time.Duration(slots), advised, float64(time.Millisecond), "one completion")
 		refused := len(d.refused)
 		d.serve(d.now.Add(advised+service), started)
-		d.arrive("w", 0, cost, patience)
-		require.Equal(t, refused, len(d.refused), "refused again after the advised time")
-		d.serve(d.now.Add(2*patience), started)
+		d.arrive("w", 0, cost, timeout)
+		require.Equal(t, refused, len(d.refused), "refused again after the suggested time")
+		d.serve(d.now.Add(2*timeout), started)
 		require.Equal(t, refused, len(d.refused), "an admitted request was refused later")
 		require.Empty(t, d.waiting)
 	})
 }
 
-// When service times vary, a deadline must leave the mean and two standard
-// deviations: one request in ten takes 9.1 s and the others 0.1 s, so 6.4 s of
-// the 20 s here, and 13 requests may wait. The estimate of the moments is noisy.
-func TestVariableServiceNeedsMoreRoom(t *testing.T) {
+// When service times vary, a deadline must leave the mean plus two standard deviations.
+// Here one request in ten takes 9.1 s and the others 0.1 s, which makes 6.4 s of the 20
+// s, so 13 requests may wait. The tolerance covers the noise of the estimated moments.
+func TestVariableServiceTimeNeedsLongerDeadline(t *testing.T) {
 	d, _ := newServer(Config{MaxQueued: 1000}, 1)
 	for i := range 500 {
 		d.arrive("w", 0, 100, 0)
@@ -119,9 +121,9 @@
 	require.InDelta(t, 13, len(d.waiting), 2)
 }
 
-// When slots are lost, waiting requests that became hopeless are refused at the
-// next tick and not when their deadline is near.
-func TestLostCapacityRefusesAtOnce(t *testing.T) {
+// When slots are lost, waiting requests that can no longer meet their deadline are
+// refused at the next tick and not only when the deadline is near.
+func TestLostSlotsRefuseAtNextTick(t *testing.T) {
 	d, _ := newServer(Config{MaxQueued: 1000}, 10)
 	for range 60 {
 		d.arrive("w", 0, 100, 10*time.Second)
@@ -135,21 +137,22 @@
 	}
 }
 
-// A less urgent rank is judged by the share it keeps, not by the whole rate.
-func TestFloodOfUrgentWorkMakesOthersHopeless(t *testing.T) {
+// The deadlines of a less urgent rank are evaluated with the rate of its minimum share,
+// not with the whole service rate.
+func TestUrgentOverloadRefusesOtherRanksByTheirShare(t *testing.T) {
 	d, _ := newServer(Config{Ranks: []RankPolicy{{}, {MinShare: 0.1}}, MaxQueued: 1000}, 10)
 	for range 300 {
 		d.arrive("urgent", 0, 100, 0)
 	}
-	// The rank keeps 100 tokens a second: one request a second.
+	// The minimum share of the rank is 100 tokens per second: one request per second.
 	for range 60 {
 		d.arrive("w", 1, 100, 20*time.Second)
 	}
 	require.InDelta(t, 20, d.queued("w", 1), 3)
 }
 
-// The expected wait counts what goes before a request. Ten busy slots serve
-// 1000 tokens a second, and a completion frees a slot every 0.1 s.
+// The expected wait counts the work that is served before a request. Ten busy slots
+// serve 1000 tokens per second, so a completion frees a slot every 0.1 s.
 func TestExpectedWait(t *testing.T) {
 	check := func(name string, want time.Duration, prepare func(d *driver), workspace string) {
 		c := Config{Ranks: []RankPolicy{{}, {}, {MinShare: 0.5}}, MaxQueued: 1000}
@@ -185,7 +188,7 @@
 			d.arrive(workspace, 1, 100, 0)
 		}
 	}
-	// The workspaces that run have sent 100 tokens a second and have none queued.
+	// The workspaces with running requests arrive at 100 tokens per second and have none queued.
 	check("later arrivals of idle workspaces", 2100*time.Millisecond*10/9, func(d *driver) {
 		queue(d, "w", 20)
 	}, "w")
@@ -204,9 +207,9 @@
 	}, "limited")
 }
 
-// Position agrees with the tokens dispatched before a request, but for one
-// largest request of each other workspace.
-func TestPositionTellsCostAhead(t *testing.T) {
+// The estimated cost ahead differs from the tokens actually dispatched before the
+// request by at most one largest request of each other workspace.
+func TestPositionEstimatesCostAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		c.Ranks, c.MaxQueued = c.Ranks[:1], 1000
@@ -221,15 +224,15 @@
 				d.done(0)
 			}
 		}
-		told := map[string]float64{}
+		reported := map[string]float64{}
 		for id := range d.waiting {
 			p, ok := d.q.Position(d.now, id)
 			require.True(t, ok)
-			told[id] = p.CostAhead
+			reported[id] = p.CostAhead
 		}
 		dispatched := 0.0
 		d.observe = func(r Request) {
-			require.InDelta(t, dispatched, told[r.ID], 4*maxCost, r.ID)
+			require.InDelta(t, dispatched, reported[r.ID], 4*maxCost, r.ID)
 			dispatched += r.Cost
 		}
 		for len(d.running) > 0 {
@@ -238,8 +241,8 @@
 	})
 }
 
-// After recent urgent work, less urgent work leaves slots free for it; without
-// it for long, they use every slot.
+// After recent urgent requests, less urgent ones leave slots free for rank 0; after a
+// long time without urgent requests they use every slot.
 func TestReserveFollowsUrgentLoad(t *testing.T) {
 	c := Config{Ranks: []RankPolicy{{}, {}}, MaxQueued: 1000, UrgentReserve: 0.2}
 	d, _ := newServer(c, 10)
--- a/core/admission/driver_test.go
+++ b/core/admission/driver_test.go
@@ -7,8 +7,8 @@
 	"masticbank.example/core/config"
 )
 
-// driver carries out the effects of an Admitter in virtual time and keeps
-// account of what it decided.
+// driver carries out the effects of an Admitter in virtual time and records its
+// decisions.
 type driver struct {
 	q       Admitter
 	now     time.Time
@@ -45,10 +45,10 @@
 	}
 }
 
-func (d *driver) arrive(workspace string, rank int, cost float64, patience time.Duration) Request {
+func (d *driver) arrive(workspace string, rank int, cost float64, timeout time.Duration) Request {
 	r := Request{ID: fmt.Sprint("r", d.next), Workspace: workspace, Rank: config.Rank(rank), Cost: cost}
-	if patience > 0 {
-		r.Deadline = d.now.Add(patience)
+	if timeout > 0 {
+		r.Deadline = d.now.Add(timeout)
 	}
 	d.next++
 	d.waiting[r.ID] = r
@@ -65,7 +65,8 @@
 	d.apply(d.q.Done(d.now, r.ID, d.actual(r)))
 }
 
-// queued counts the waiting requests of a rank, of any workspace if "".
+// queued counts the waiting requests of a rank, of all workspaces if workspace is
+// empty.
 func (d *driver) queued(workspace string, rank int) int {
 	n := 0
 	for _, r := range d.waiting {
@@ -76,7 +77,7 @@
 	return n
 }
 
-// isWaiting tells whether r neither runs nor was refused.
+// isWaiting reports whether r is neither running nor refused.
 func (d *driver) isWaiting(r Request) bool {
 	_, ok := d.waiting[r.ID]
 	return ok
--- a/core/admission/fairness_test.go
+++ b/core/admission/fairness_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-const maxCost = 64 // tokens, the largest request of these tests
+const maxCost = 64 // tokens of the largest request in these tests
 
 func drawCost(t *rapid.T) float64 { return float64(rapid.IntRange(1, maxCost).Draw(t, "cost")) }
 
-// spread keeps the range of a changing value since its last reset.
-type spread struct {
-	low, high, fall float64 // fall is the largest drop from an earlier value
+// valueRange tracks the range of a changing value since its last reset.
+type valueRange struct {
+	low, high, maxDrop float64 // maxDrop is the largest drop below an earlier value
 }
 
-func (s *spread) add(v float64) {
+func (s *valueRange) add(v float64) {
 	s.low, s.high = min(s.low, v), max(s.high, v)
-	s.fall = max(s.fall, s.high-v)
+	s.maxDrop = max(s.maxDrop, s.high-v)
 }
 
-// For any two workspaces that have work throughout an interval, the difference
-// of their service divided by weight is at most maxCost/w_i + maxCost/w_j.
+// For any two workspaces that are backlogged throughout an interval, the services they
+// receive, divided by their weights, differ by at most maxCost/w_i + maxCost/w_j.
 func TestFairQueueingBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{Ranks: []RankPolicy{{}}, MaxQueued: 1000, Workspaces: map[string]WorkspacePolicy{}}
@@ -35,7 +35,7 @@
 		}
 		d := newDriver(New(c))
 		served := make([]float64, n)
-		between := make([]spread, n*n)
+		between := make([]valueRange, n*n)
 		d.observe = func(r Request) {
 			var i int
 			_, _ = fmt.Sscanf(r.Workspace, "w%d", &i)
@@ -70,8 +70,8 @@
 	})
 }
 
-// drawShares draws minimum shares of three ranks and returns what each rank
-// keeps: rank 0 keeps what the others leave.
+// drawShares draws the minimum shares of three ranks and returns the share that each
+// rank is guaranteed: rank 0 gets what the others leave.
 func drawShares(t *rapid.T, c *Config) (kept []float64) {
 	middle := rapid.Float64Range(0, 0.5).Draw(t, "middle share")
 	least := rapid.Float64Range(0, 0.5).Draw(t, "least share")
@@ -79,9 +79,9 @@
 	return []float64{1 - middle - least, middle, least}
 }
 
-// In any period in which a rank has work throughout and S tokens are
-// dispatched, it gets at least share*S - 2*maxCost tokens: one largest request
-// for each rank but one. With reserved slots the term doubles.
+// In any period in which a rank is backlogged throughout and S tokens are dispatched,
+// it receives at least share*S - 2*maxCost tokens: the allowance is one largest request
+// for each rank but one. With reserved slots the allowance doubles.
 func TestRankKeepsItsShare(t *testing.T) {
 	for _, reserve := range []float64{0, 0.25} {
 		allowance := 2.0 * maxCost
@@ -93,7 +93,7 @@
 			kept := drawShares(t, &c)
 			d := newDriver(New(c))
 			served, total := [3]float64{}, 0.0
-			lag := [3]spread{}
+			lag := [3]valueRange{}
 			d.observe = func(r Request) {
 				served[r.Rank] += r.Cost
 				total += r.Cost
@@ -101,7 +101,7 @@
 					surplus := served[i] - kept[i]*total
 					lag[i].add(surplus)
 					if d.queued("", i) == 0 {
-						lag[i] = spread{low: surplus, high: surplus, fall: lag[i].fall}
+						lag[i] = valueRange{low: surplus, high: surplus, maxDrop: lag[i].maxDrop}
 					}
 				}
 			}
@@ -117,14 +117,14 @@
 				d.done(rapid.IntRange(0, len(d.running)-1).Draw(t, "completion"))
 			}
 			for i := range lag {
-				require.LessOrEqual(t, lag[i].fall, allowance+1e-6, "rank %d with reserve %v", i, reserve)
+				require.LessOrEqual(t, lag[i].maxDrop, allowance+1e-6, "rank %d with reserve %v", i, reserve)
 			}
 		})
 	}
 }
 
-// A rank that is owed a whole request gets a reserved slot, even while its other
-// requests never end and urgent work never waits.
+// A rank whose credit covers a whole request gets a reserved slot, even if its other
+// requests never end and urgent requests never wait.
 func TestOwedRankMayUseReservedSlot(t *testing.T) {
 	d := newDriver(New(Config{Ranks: []RankPolicy{{}, {MinShare: 0.2}}, MaxQueued: 100, UrgentReserve: 0.25}))
 	d.capacity(4)
@@ -155,11 +155,11 @@
 	require.Equal(t, 10.0, least)
 }
 
-// In a flood of any rank, an urgent request of a workspace without other work
-// is dispatched before (A + 2*maxCost)/(1-M) tokens are, where A is its own
-// cost and one largest request of each other urgent workspace, and M is the sum
-// of the other ranks' minimum shares.
-func TestUrgentWaitIsBoundedInFlood(t *testing.T) {
+// Under overload by any rank, an urgent request of a workspace without other work is
+// dispatched before (A + 2*maxCost)/(1-M) tokens are. A is its own cost plus one
+// largest request of each other urgent workspace; M is the sum of the minimum shares of
+// the other ranks.
+func TestUrgentWaitIsBoundedUnderOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{MaxQueued: 1000}
 		kept := drawShares(t, &c)
@@ -196,9 +196,9 @@
 	})
 }
 
-// Estimates that are wrong by a constant factor are corrected on completion:
-// in tokens really served, equal workspaces get the same and a rank keeps at
-// least 95 % of its share.
+// Estimates that are wrong by a constant factor are corrected on completion: measured
+// in tokens actually served, workspaces of equal weight get the same service and a rank
+// gets at least 95 % of its share.
 func TestWrongEstimatesAreCorrected(t *testing.T) {
 	c := Config{Ranks: []RankPolicy{{}, {MinShare: 0.2}}, MaxQueued: 1000}
 	d := newDriver(New(c))
--- a/core/admission/fifo.go
+++ b/core/admission/fifo.go
@@ -14,19 +14,19 @@
 	waiting   list.List // of *fifoRequest
 	requests  map[string]*fifoRequest
 	inFlight  int
-	cost      float64 // tokens waiting
-	pace      pace
+	cost      float64 // of waiting requests, tokens
+	rate      serviceRate
 	effects   []Effect
 }
 
 type fifoRequest struct {
 	Request
-	place        *list.Element // nil while running
+	element      *list.Element // nil while running
 	dispatchedAt time.Time
 }
 
-// NewFIFO returns an empty FIFO that holds at most maxQueued waiting requests;
-// 0 means no bound.
+// NewFIFO returns an empty FIFO that holds at most maxQueued waiting requests; 0 means
+// no limit.
 func NewFIFO(maxQueued int) *FIFO {
 	return &FIFO{maxQueued: maxQueued, requests: map[string]*fifoRequest{}}
 }
@@ -38,11 +38,11 @@
 		panic(fmt.Sprintf("admission: request %q arrived twice", r.ID))
 	}
 	if f.maxQueued > 0 && f.inFlight >= f.slots && f.waiting.Len() >= f.maxQueued {
-		wait, known := f.wait(f.cost)
+		wait, known := f.expectedWait(f.cost)
 		return append(f.effects, Effect{Kind: Refuse, ID: r.ID, Reason: ReasonPoolFull, RetryAfter: retryAfter(wait, known)})
 	}
 	req := &fifoRequest{Request: r}
-	req.place = f.waiting.PushBack(req)
+	req.element = f.waiting.PushBack(req)
 	f.cost += r.Cost
 	f.requests[r.ID] = req
 	return f.fill(now)
@@ -55,20 +55,20 @@
 	return f.fill(now)
 }
 
-// Done reports that a dispatched request ended.
+// Done reports that a dispatched request ran to completion.
 func (f *FIFO) Done(now time.Time, id string, _ float64) []Effect {
 	f.effects = f.effects[:0]
 	r, ok := f.requests[id]
-	if !ok || r.place != nil {
+	if !ok || r.element != nil {
 		return f.effects
 	}
-	f.pace.observe(r.Cost, now.Sub(r.dispatchedAt), f.slots)
+	f.rate.observe(r.Cost, now.Sub(r.dispatchedAt), f.slots)
 	delete(f.requests, id)
 	f.inFlight--
 	return f.fill(now)
 }
 
-// Cancel reports that the caller of a request left.
+// Cancel reports that a request ended early.
 func (f *FIFO) Cancel(now time.Time, id string) []Effect {
 	f.effects = f.effects[:0]
 	r, ok := f.requests[id]
@@ -76,8 +76,8 @@
 		return f.effects
 	}
 	delete(f.requests, id)
-	if r.place != nil {
-		f.waiting.Remove(r.place)
+	if r.element != nil {
+		f.waiting.Remove(r.element)
 		f.cost -= r.Cost
 	} else {
 		f.inFlight--
@@ -85,37 +85,37 @@
 	return f.fill(now)
 }
 
-// Requeue returns a dispatched request to the front.
+// Requeue returns a dispatched request to the front of the queue.
 func (f *FIFO) Requeue(_ time.Time, id string) []Effect {
 	f.effects = f.effects[:0]
-	if r, ok := f.requests[id]; ok && r.place == nil {
+	if r, ok := f.requests[id]; ok && r.element == nil {
 		f.inFlight--
-		r.place = f.waiting.PushFront(r)
+		r.element = f.waiting.PushFront(r)
 		f.cost += r.Cost
 	}
 	return f.effects
 }
 
-// Configure takes the bound on waiting requests from c.
+// Configure applies the limit on waiting requests from c.
 func (f *FIFO) Configure(now time.Time, c Config) []Effect {
 	f.effects = f.effects[:0]
 	f.maxQueued = c.MaxQueued
 	return f.fill(now)
 }
 
-// Tick dispatches what came back.
+// Tick dispatches requeued requests.
 func (f *FIFO) Tick(now time.Time) []Effect {
 	f.effects = f.effects[:0]
 	return f.fill(now)
 }
 
-// Stats summarises the queue as a single rank, without workspaces.
+// Stats summarizes the queue as a single rank, without workspaces.
 func (f *FIFO) Stats(int) Stats {
 	return Stats{
 		Slots:    f.slots,
 		InFlight: f.inFlight,
 		Queued:   f.waiting.Len(),
-		Rate:     f.pace.perSlot() * float64(f.slots),
+		Rate:     f.rate.perSlot() * float64(f.slots),
 		Ranks:    []RankStats{{Queued: f.waiting.Len(), QueuedCost: f.cost}},
 	}
 }
@@ -128,14 +128,14 @@
 	return []Load{{Weight: 1, Queued: f.waiting.Len(), QueuedCost: f.cost, InFlight: f.inFlight}}
 }
 
-// Position tells where a waiting request stands in the whole queue.
+// Position returns the position of a waiting request in the whole queue.
 func (f *FIFO) Position(_ time.Time, id string) (Position, bool) {
 	p := Position{Place: 1}
 	for e := f.waiting.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*fifoRequest)
 		if r.ID == id {
-			wait, known := f.wait(p.CostAhead)
-			p.Wait, p.WaitKnown = duration(wait), known
+			wait, known := f.expectedWait(p.CostAhead)
+			p.Wait, p.WaitKnown = secondsToDuration(wait), known
 			return p, true
 		}
 		p.Place++
@@ -147,7 +147,7 @@
 func (f *FIFO) fill(now time.Time) []Effect {
 	for f.inFlight < f.slots && f.waiting.Len() > 0 {
 		r := f.waiting.Remove(f.waiting.Front()).(*fifoRequest)
-		r.place = nil
+		r.element = nil
 		f.cost -= r.Cost
 		r.dispatchedAt = now
 		f.inFlight++
@@ -156,8 +156,8 @@
 	return f.effects
 }
 
-func (f *FIFO) wait(ahead float64) (seconds float64, known bool) {
-	rate := f.pace.perSlot() * float64(f.slots)
+func (f *FIFO) expectedWait(ahead float64) (seconds float64, known bool) {
+	rate := f.rate.perSlot() * float64(f.slots)
 	if rate == 0 {
 		return 0, false
 	}
--- a/core/admission/flow.go
+++ b/core/admission/flow.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// request is one held request.
+// request is a request that waits or runs.
 type request struct {
 	id       string
 	flow     *flow
@@ -14,37 +14,38 @@
 	seq      uint64 // order of arrival
 
 	running bool
-	// returned marks a request that was dispatched once and came back.
+	// returned marks a request that was dispatched and then requeued.
 	returned     bool
 	dispatchedAt time.Time
-	start        float64 // start tag of the last dispatch
+	startTag     float64 // assigned at the last dispatch
 	weight       float64 // the workspace's weight at the last dispatch
 	guaranteed   bool    // dispatched on the rank's minimum share
 
 	latestStart   time.Time // key in the deadline heap
-	deadlineIndex int       // place in the deadline heap, -1 outside
-	returnedIndex int       // place in the flow's heap of returned requests
-	prev, next    *request  // neighbours in the flow's list
+	deadlineIndex int       // index in the deadline heap, -1 if not in it
+	returnedIndex int       // index in the flow's heap of returned requests
+	prev, next    *request  // neighbors in the flow's list
 }
 
 // workspace is the state of one workspace in the pool.
 type workspace struct {
 	name         string
 	policy       WorkspacePolicy
-	flows        []*flow // by rank, nil where it never had work
+	flows        []*flow // by rank; nil for ranks without any request so far
 	queued       int
 	queuedCost   float64
 	inFlight     int
 	inFlightCost float64
 }
 
-// held tells whether the bound on running requests keeps the workspace back.
-func (w *workspace) held() bool {
+// atInFlightLimit reports whether the limit on running requests prevents the workspace
+// from dispatching.
+func (w *workspace) atInFlightLimit() bool {
 	return w.policy.MaxInFlight > 0 && w.inFlight >= w.policy.MaxInFlight
 }
 
-// full tells whether the workspace has more waiting requests than allowed.
-func (w *workspace) full() bool {
+// overQueueLimit reports whether the workspace has more waiting requests than allowed.
+func (w *workspace) overQueueLimit() bool {
 	return w.policy.MaxQueued > 0 && w.queued > w.policy.MaxQueued
 }
 
@@ -54,22 +55,22 @@
 	rank      *rank
 	id        uint64
 
-	first, last *request     // requests that were never dispatched, in order
-	returned    returnedHeap // dispatched once; they come before the list
+	first, last *request     // list of requests that were never dispatched, in order of arrival
+	returned    returnedHeap // requeued requests; they come before the list
 	queued      int
 	queuedCost  float64
 	inFlight    int
 
-	demand demand // of accepted requests
+	demand demand // arrival rate of accepted requests
 
-	// finish is the finish tag of the last dispatched request. floor is the
+	// finishTag is the finish tag of the last dispatched request. minStartTag is the
 	// rank's virtual time when the flow last became backlogged.
-	finish float64
-	floor  float64
+	finishTag   float64
+	minStartTag float64
 
-	byStart  node // place among the flows that may be served next
-	byTail   node // the same flows by the tag at which they would be empty
-	byVictim node // place among the flows that may lose a request
+	byStart     node // node in the tree of flows that may be served next, by start tag
+	byDrain     node // node in the tree of the same flows by drain tag
+	byLastStart node // node in the tree of flows that have an evictable request
 }
 
 // head returns the request that the flow serves next, or nil.
@@ -80,25 +81,25 @@
 	return f.first
 }
 
-// start is the start tag of the head. A returned request keeps its own.
-func (f *flow) start() float64 {
+// startTag returns the start tag of the head. A returned request keeps its own.
+func (f *flow) startTag() float64 {
 	if len(f.returned) > 0 {
-		return f.returned[0].start
+		return f.returned[0].startTag
 	}
-	return max(f.floor, f.finish)
+	return max(f.minStartTag, f.finishTag)
 }
 
-// tail is the tag at which the flow would be empty.
-func (f *flow) tail() float64 {
-	return f.start() + f.queuedCost/f.workspace.policy.Weight
+// drainTag returns the tag at which the flow would be empty.
+func (f *flow) drainTag() float64 {
+	return f.startTag() + f.queuedCost/f.workspace.policy.Weight
 }
 
-// lastStart is the start tag of the newest request.
-func (f *flow) lastStart() float64 {
-	return f.start() + (f.queuedCost-f.last.cost)/f.workspace.policy.Weight
+// lastStartTag returns the start tag of the newest request.
+func (f *flow) lastStartTag() float64 {
+	return f.startTag() + (f.queuedCost-f.last.cost)/f.workspace.policy.Weight
 }
 
-// add appends a new request, or returns a dispatched one to its place.
+// add appends a new request, or inserts a returned one in order of arrival.
 func (f *flow) add(r *request) {
 	f.queued++
 	f.queuedCost += r.cost
@@ -117,7 +118,7 @@
 	f.last = r
 }
 
-// remove takes a waiting request out.
+// remove removes a waiting request.
 func (f *flow) remove(r *request) {
 	f.queued--
 	f.queuedCost -= r.cost
--- a/core/admission/lifecycle_test.go
+++ b/core/admission/lifecycle_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// lifecycle records what a history did to each request.
+// lifecycle records the events of each request in a random history.
 type lifecycle struct {
 	*driver
 	q *Queue
-	// dispatches and returns count the events by ID.
+	// dispatches and returns count the dispatches and requeues by request ID.
 	dispatches, returns map[string]int
-	lastFirst           map[string]int // number of the last request first dispatched, by flow
+	lastFirst           map[string]int // by flow, number of the newest request that was dispatched
 }
 
 func newLifecycle(t *rapid.T, c Config) *lifecycle {
@@ -44,8 +44,8 @@
 	switch event := rapid.IntRange(0, 9).Draw(t, "event"); {
 	case event < 5:
 		r := drawRequest(t, 0)
-		patience := time.Duration(rapid.IntRange(-1, 20).Draw(t, "patience")) * time.Second
-		l.arrive(r.Workspace, int(r.Rank), r.Cost, patience)
+		timeout := time.Duration(rapid.IntRange(-1, 20).Draw(t, "timeout")) * time.Second
+		l.arrive(r.Workspace, int(r.Rank), r.Cost, timeout)
 	case event < 7 && len(l.running) > 0:
 		l.done(pick())
 	case event == 7:
@@ -64,10 +64,10 @@
 	return false
 }
 
-// Every request is dispatched once more than it was returned, or refused, or
-// still waits: the driver panics on an effect for a request that does not wait.
-// Requests of one flow start in order of arrival. No slot is idle while a
-// request may use it, but for the slots reserved for rank 0.
+// Each request is dispatched once more than it was requeued, is refused, or still
+// waits; the driver panics on an effect for a request that does not wait. Requests of
+// one flow are first dispatched in order of arrival. No slot is idle while a request
+// may use it, except for the slots reserved for rank 0.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
@@ -78,7 +78,7 @@
 			require.Len(t, l.q.requests, len(l.waiting)+len(l.running))
 			require.LessOrEqual(t, l.q.queued, c.MaxQueued+len(l.returns))
 			for _, r := range l.waiting {
-				require.False(t, !r.Deadline.IsZero() && r.Deadline.Before(l.now), "waits beyond its deadline")
+				require.False(t, !r.Deadline.IsZero() && r.Deadline.Before(l.now), "waits past its deadline")
 			}
 			if returned {
 				continue
@@ -102,12 +102,12 @@
 
 func requireNoneReady(t *rapid.T, q *Queue, rank, usable int) {
 	if usable > 0 {
-		require.Nil(t, q.ranks[rank].ready(), "rank %d waits beside %d usable slots", rank, usable)
+		require.Nil(t, q.ranks[rank].nextFlow(), "rank %d waits beside %d usable slots", rank, usable)
 	}
 }
 
-// A request that came back goes first again and is charged once.
-func TestReturnedRequestKeepsItsTurn(t *testing.T) {
+// A requeued request is dispatched before the others of its flow and is charged once.
+func TestRequeuedRequestKeepsItsPlace(t *testing.T) {
 	d := newDriver(New(Config{Ranks: []RankPolicy{{}}, MaxQueued: 100}))
 	d.capacity(1)
 	first := d.arrive("a", 0, 10, 0)
@@ -119,7 +119,7 @@
 		d.running = nil
 		d.waiting[first.ID] = first
 		d.apply(d.q.Requeue(d.now, first.ID))
-		require.Empty(t, d.running, "returning a request dispatches nothing")
+		require.Empty(t, d.running, "requeueing a request dispatches nothing")
 		d.apply(d.q.Tick(d.now))
 		require.Equal(t, first.ID, d.running[0].ID)
 	}
@@ -131,9 +131,9 @@
 	require.Equal(t, "abababa", order)
 }
 
-// A running request whose caller leaves is charged for the time it ran, so its
-// workspace goes next.
-func TestCancelledRequestIsChargedForItsTime(t *testing.T) {
+// A running request whose client disconnects is charged for the time it ran and not for
+// its full cost, which would delay its workspace.
+func TestCancelledRequestIsChargedForElapsedTime(t *testing.T) {
 	d, _ := newServer(Config{MaxQueued: 100}, 1)
 	d.actual = func(r Request) float64 { return r.Cost }
 	d.arrive("leaving", 0, 1000, 0)
@@ -153,9 +153,9 @@
 	require.Equal(t, []string{"other", "leaving", "other", "leaving"}, order)
 }
 
-// The victim of a full pool is the newest request of the most overdrawn
-// workspace in the least urgent rank, whoever arrives.
-func TestVictimOfFullPool(t *testing.T) {
+// A full pool evicts the newest request of the flow in the least urgent rank that would
+// be served last, whichever request arrives.
+func TestEvictionFromFullPool(t *testing.T) {
 	d := newDriver(New(Config{Ranks: []RankPolicy{{}, {}}, MaxQueued: 4}))
 	d.arrive("small", 1, 10, 0)
 	d.arrive("large", 1, 10, 0)
@@ -171,6 +171,6 @@
 	for range 10 {
 		d.arrive("large", 0, 10, 0)
 	}
-	require.Zero(t, d.queued("", 1), "the less urgent rank loses first")
+	require.Zero(t, d.queued("", 1), "the less urgent rank is evicted first")
 	require.Equal(t, 4, d.queued("", 0))
 }
--- a/core/admission/policy.go
+++ b/core/admission/policy.go
@@ -4,36 +4,37 @@
 	"masticbank.example/core/config"
 )
 
-// Config is the part of the configuration that concerns one pool. It must not
-// be changed once it was handed to an Admitter.
+// Config is the configuration of one pool. It must not be changed after it was passed
+// to an Admitter.
 type Config struct {
 	// Ranks holds the policy of each rank, the most urgent first.
 	Ranks []RankPolicy
-	// Workspaces holds the policy by workspace. A workspace that is missing
-	// gets weight 1 and only the pool's own bound.
+	// Workspaces holds the policy by workspace name. A workspace without an entry gets
+	// weight 1 and no limits of its own.
 	Workspaces map[string]WorkspacePolicy
-	// MaxQueued bounds the waiting requests of all workspaces.
+	// MaxQueued limits the waiting requests of all workspaces together.
 	MaxQueued int
-	// UrgentReserve is the largest fraction of the slots, 0 to 1, kept free for
-	// rank 0 as far as its recent load needs them.
+	// UrgentReserve is the maximum fraction of the slots, 0 to 1, that is kept free for
+	// rank 0. Its recent load determines how many of them are reserved.
 	UrgentReserve float64
 }
 
 // RankPolicy is the policy of one rank.
 type RankPolicy struct {
-	// MinShare is the fraction of the dispatched cost that the rank keeps while
-	// it has work. The shares of all ranks add up to at most 1.
+	// MinShare is the minimum fraction of the dispatched cost that the rank receives
+	// while it has waiting requests. The shares of all ranks add up to at most 1.
 	MinShare float64
 }
 
 // WorkspacePolicy is the policy of one workspace in one pool.
 type WorkspacePolicy struct {
-	// Weight is the share of a rank relative to other workspaces.
+	// Weight is the workspace's weight in fair queueing, relative to the other
+	// workspaces of the same rank.
 	Weight float64
-	// MaxQueued bounds the waiting requests; 0 means no bound of its own.
+	// MaxQueued limits the waiting requests; 0 means no limit per workspace.
 	MaxQueued int
-	// MaxInFlight bounds the running requests; 0 means no bound. A workspace at
-	// this bound waits and is not refused.
+	// MaxInFlight limits the running requests; 0 means no limit. Requests beyond it
+	// wait and are not refused for it.
 	MaxInFlight int
 }
 
@@ -53,7 +54,7 @@
 	return out
 }
 
-// policy returns the policy of a workspace, with a usable weight.
+// policy returns the policy of a workspace. A weight that is not positive becomes 1.
 func (c *Config) policy(workspace string) WorkspacePolicy {
 	p := c.Workspaces[workspace]
 	if !(p.Weight > 0) {
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Queue is the admission decision of one pool: ranks with minimum shares,
-// start-time fair queueing by workspace, deadlines and bounded queues.
+// Queue is the Admitter with ranks that have minimum shares, start-time fair queueing
+// by workspace, deadlines and bounded queues.
 type Queue struct {
 	cfg   Config
 	slots int
@@ -23,18 +23,18 @@
 	flows      []*flow // in order of creation
 	ranks      []*rank
 	deadlines  deadlineHeap
-	pace       pace
-	load       load
-	sweepNext  int // index in flows where the next sweep begins
+	rate       serviceRate
+	urgentLoad urgentLoad
+	sweepNext  int // index in flows at which the next sweep starts
 
 	effects []Effect
-	free    []*request // for reuse
+	free    []*request // ended requests for reuse
 }
 
 // New returns an empty Queue with no slots.
 func New(c Config) *Queue {
 	q := &Queue{requests: map[string]*request{}, workspaces: map[string]*workspace{}}
-	q.apply(c)
+	q.applyConfig(c)
 	return q
 }
 
@@ -45,8 +45,8 @@
 		panic(fmt.Sprintf("admission: request %q arrived twice", r.ID))
 	}
 	f := q.flow(r.Workspace, int(r.Rank))
-	cost := usableCost(r.Cost)
-	if retryAfter, hopeless := q.hopeless(now, f, cost, r.Deadline); hopeless {
+	cost := clampCost(r.Cost)
+	if retryAfter, missed := q.missesDeadline(now, f, cost, r.Deadline); missed {
 		q.effects = append(q.effects, Effect{Kind: Refuse, ID: r.ID, Reason: ReasonHopeless, RetryAfter: retryAfter})
 		q.fill(now)
 		return q.effects
@@ -59,8 +59,8 @@
 	f.demand.add(now, cost)
 	q.enqueue(req)
 	q.fill(now)
-	q.boundWorkspace(now, f.workspace)
-	q.boundPool(now)
+	q.enforceWorkspaceLimit(now, f.workspace)
+	q.enforcePoolLimit(now)
 	return q.effects
 }
 
@@ -72,20 +72,20 @@
 	return q.effects
 }
 
-// Done reports that a dispatched request was served to its end and what it
-// cost in tokens.
+// Done reports that a dispatched request ran to completion, and its actual cost in
+// tokens.
 func (q *Queue) Done(now time.Time, id string, cost float64) []Effect {
 	q.begin(now)
 	if r, ok := q.requests[id]; ok && r.running {
-		q.pace.observe(r.cost, now.Sub(r.dispatchedAt), q.slots)
-		q.settle(r, usableCost(cost))
+		q.rate.observe(r.cost, now.Sub(r.dispatchedAt), q.slots)
+		q.settle(r, clampCost(cost))
 		q.fill(now)
 	}
 	return q.effects
 }
 
-// Cancel reports that a request ended early. A running request is charged for
-// what it is expected to have used so far.
+// Cancel reports that a request ended early. A running request is charged the tokens it
+// is estimated to have used so far.
 func (q *Queue) Cancel(now time.Time, id string) []Effect {
 	q.begin(now)
 	r, ok := q.requests[id]
@@ -93,46 +93,46 @@
 		return q.effects
 	}
 	if r.running {
-		q.settle(r, q.used(now, r))
+		q.settle(r, q.estimatedUsage(now, r))
 	} else {
-		q.drop(r)
+		q.discard(r)
 	}
 	q.fill(now)
 	return q.effects
 }
 
-// Requeue returns a dispatched request to its place. The charge for it is
-// taken back, and it keeps its start tag, so that it loses no turn.
+// Requeue returns a dispatched request to its former place. Its charge is reversed and
+// it keeps its start tag, so it does not lose its turn.
 func (q *Queue) Requeue(now time.Time, id string) []Effect {
 	q.begin(now)
 	r, ok := q.requests[id]
 	if !ok || !r.running {
 		return q.effects
 	}
-	q.release(r)
-	r.flow.finish -= r.cost / r.weight
-	q.account(r.flow.rank, -r.cost, r.guaranteed)
+	q.releaseSlot(r)
+	r.flow.finishTag -= r.cost / r.weight
+	q.updateCredits(r.flow.rank, -r.cost, r.guaranteed)
 	r.returned = true
 	q.enqueue(r)
 	q.expire(now)
 	return q.effects
 }
 
-// Configure puts c in force. Requests keep their place; tags already given are
-// not recomputed. Bounds that became lower apply at once.
+// Configure applies c. Requests keep their place, and tags already assigned are not
+// recomputed. Lowered queue limits are enforced immediately.
 func (q *Queue) Configure(now time.Time, c Config) []Effect {
 	q.begin(now)
-	q.apply(c)
+	q.applyConfig(c)
 	q.fill(now)
 	for _, f := range q.flows {
-		q.boundWorkspace(now, f.workspace)
+		q.enforceWorkspaceLimit(now, f.workspace)
 	}
-	q.boundPool(now)
+	q.enforcePoolLimit(now)
 	return q.effects
 }
 
-// Tick advances time: it refuses waiting requests that can no longer meet
-// their deadline.
+// Tick advances time: it refuses waiting requests that can no longer meet their
+// deadline.
 func (q *Queue) Tick(now time.Time) []Effect {
 	q.begin(now)
 	q.sweep(now)
@@ -140,21 +140,22 @@
 	return q.effects
 }
 
-// begin starts an event: it clears the effects and lets time pass.
+// begin starts the processing of an event: it clears the effects, updates the load
+// average and refuses requests whose deadline is out of reach.
 func (q *Queue) begin(now time.Time) {
 	q.effects = q.effects[:0]
 	urgent := 0
 	if len(q.ranks) > 0 {
 		urgent = q.urgentInFlight + q.ranks[0].queued
 	}
-	q.load.observe(now, urgent)
+	q.urgentLoad.observe(now, urgent)
 	q.expire(now)
 }
 
-// fill dispatches as long as there is a slot for a waiting request.
+// fill dispatches requests while a slot is free for one that waits.
 func (q *Queue) fill(now time.Time) {
 	for {
-		r, guaranteed := q.next()
+		r, guaranteed := q.nextRank()
 		if r == nil {
 			return
 		}
@@ -162,33 +163,34 @@
 	}
 }
 
-// next returns the rank to be served next, and whether it is served because
-// its minimum share is owed to it.
-func (q *Queue) next() (r *rank, guaranteed bool) {
+// nextRank returns the rank to dispatch from, or nil, and whether it is chosen to make
+// up for its minimum share.
+func (q *Queue) nextRank() (r *rank, guaranteed bool) {
 	if q.inFlight >= q.slots {
 		return nil, false
 	}
 	capped := q.inFlight-q.urgentInFlight >= q.slots-q.reserved()
-	if owed := q.owed(capped); owed != nil {
+	if owed := q.mostOwedRank(capped); owed != nil {
 		return owed, true
 	}
 	for i, r := range q.ranks {
 		if capped && i > 0 {
 			return nil, false
 		}
-		if r.ready() != nil {
+		if r.nextFlow() != nil {
 			return r, false
 		}
 	}
 	return nil, false
 }
 
-// owed returns the rank that lags most behind its minimum share. While only
-// reserved slots are free, a rank gets one once it is owed a whole request.
-func (q *Queue) owed(capped bool) *rank {
+// mostOwedRank returns the rank that lags furthest behind its minimum share, or nil.
+// While only reserved slots are free (capped), a rank qualifies once its credit covers
+// its whole next request.
+func (q *Queue) mostOwedRank(capped bool) *rank {
 	var best *rank
 	for _, r := range q.ranks {
-		f := r.ready()
+		f := r.nextFlow()
 		if f == nil || r.credit <= 0 || capped && r.credit < f.head().cost {
 			continue
 		}
@@ -199,18 +201,18 @@
 	return best
 }
 
-// dispatch serves the next request of r.
+// dispatch dispatches the next request of r.
 func (q *Queue) dispatch(now time.Time, r *rank, guaranteed bool) {
-	f := r.ready()
+	f := r.nextFlow()
 	req := f.head()
-	q.account(r, req.cost, guaranteed)
+	q.updateCredits(r, req.cost, guaranteed)
 	if !req.returned {
-		req.start = f.start()
-		f.finish = req.start
+		req.startTag = f.startTag()
+		f.finishTag = req.startTag
 	}
 	req.weight = f.workspace.policy.Weight
-	f.finish += req.cost / req.weight
-	r.vtime = max(r.vtime, req.start)
+	f.finishTag += req.cost / req.weight
+	r.virtualTime = max(r.virtualTime, req.startTag)
 	q.dequeue(req)
 	req.running, req.returned, req.guaranteed, req.dispatchedAt = true, false, guaranteed, now
 	q.inFlight++
@@ -221,21 +223,21 @@
 	f.inFlight++
 	f.workspace.inFlight++
 	f.workspace.inFlightCost += req.cost
-	q.reindex(f.workspace)
+	q.reindexWorkspace(f.workspace)
 	q.effects = append(q.effects, Effect{Kind: Dispatch, ID: req.id})
 }
 
-// settle ends a running request and corrects what was charged for it.
+// settle ends a running request and replaces its estimated cost by the actual one.
 func (q *Queue) settle(r *request, cost float64) {
-	q.release(r)
-	r.flow.finish += (cost - r.cost) / r.weight
-	q.account(r.flow.rank, cost-r.cost, r.guaranteed)
-	q.reindex(r.flow.workspace)
-	q.forget(r)
+	q.releaseSlot(r)
+	r.flow.finishTag += (cost - r.cost) / r.weight
+	q.updateCredits(r.flow.rank, cost-r.cost, r.guaranteed)
+	q.reindexWorkspace(r.flow.workspace)
+	q.deleteRequest(r)
 }
 
-// release gives the slot of a running request back.
-func (q *Queue) release(r *request) {
+// releaseSlot frees the slot of a running request.
+func (q *Queue) releaseSlot(r *request) {
 	r.running = false
 	q.inFlight--
 	q.inFlightCost -= r.cost
@@ -261,10 +263,11 @@
 		r.latestStart = q.latestStart(r)
 		heap.Push(&q.deadlines, r)
 	}
-	q.reindex(r.flow.workspace)
+	q.reindexWorkspace(r.flow.workspace)
 }
 
-// dequeue takes a waiting request out of its flow. The caller reindexes.
+// dequeue removes a waiting request from its flow. The caller must reindex the
+// workspace.
 func (q *Queue) dequeue(r *request) {
 	q.queued--
 	r.flow.rank.queued--
@@ -278,25 +281,25 @@
 	}
 }
 
-// drop forgets a waiting request.
-func (q *Queue) drop(r *request) {
+// discard removes a waiting request from its flow and from the queue.
+func (q *Queue) discard(r *request) {
 	q.dequeue(r)
-	q.reindex(r.flow.workspace)
-	q.forget(r)
+	q.reindexWorkspace(r.flow.workspace)
+	q.deleteRequest(r)
 }
 
-// refuse drops a waiting request and tells its caller, with the wait of a new
-// request in its place as advice.
+// refuse discards a waiting request and refuses it. The suggested retry time is the
+// expected wait of a new request in the same flow.
 func (q *Queue) refuse(now time.Time, r *request, reason Reason) {
 	id, f := r.id, r.flow
-	q.drop(r)
-	wait, known := q.wait(now, f, f.queuedCost)
+	q.discard(r)
+	wait, known := q.expectedWait(now, f, f.queuedCost)
 	q.effects = append(q.effects, Effect{Kind: Refuse, ID: id, Reason: reason, RetryAfter: retryAfter(wait, known)})
 }
 
-// forget removes a request from the index. The object is reused, so the caller
-// must not keep it beyond the current event.
-func (q *Queue) forget(r *request) {
+// deleteRequest deletes a request from the map of held requests. The object is reused,
+// so the caller must not keep it beyond the current event.
+func (q *Queue) deleteRequest(r *request) {
 	delete(q.requests, r.id)
 	*r = request{}
 	q.free = append(q.free, r)
@@ -311,18 +314,19 @@
 	return &request{}
 }
 
-// reindex updates the places of a workspace's flows.
-func (q *Queue) reindex(w *workspace) {
+// reindexWorkspace updates the tree positions of all flows of a workspace.
+func (q *Queue) reindexWorkspace(w *workspace) {
 	for _, f := range w.flows {
 		if f != nil {
-			f.rank.place(f)
-			f.rank.expireCredit()
+			f.rank.reindex(f)
+			f.rank.clearIdleCredit()
 		}
 	}
 }
 
-// usableCost bounds a cost from below, so that no request is free.
-func usableCost(cost float64) float64 {
+// clampCost raises a cost to the minimum, so that no request is free; NaN becomes the
+// minimum too.
+func clampCost(cost float64) float64 {
 	const minCost = 1 // tokens
 	if !(cost > minCost) {
 		return minCost
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -21,7 +21,7 @@
 var epoch = time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // drawConfig draws weights and shares that are exact in binary, so that both
-// sides of a differential test round alike.
+// implementations round equally.
 func drawConfig(t *rapid.T) Config {
 	c := Config{
 		Workspaces:    map[string]WorkspacePolicy{},
@@ -52,16 +52,17 @@
 	}
 }
 
-// drawHeld draws one of the requests that the naive version holds.
-func drawHeld(t *rapid.T, n *naive, running bool) *naiveRequest {
-	held := n.filter(running, every)
+// drawHeld draws one of the waiting or running requests of the reference
+// implementation.
+func drawHeld(t *rapid.T, n *naiveQueue, running bool) *naiveRequest {
+	held := n.filter(running, anyRequest)
 	if len(held) == 0 {
 		return nil
 	}
 	return rapid.SampledFrom(held).Draw(t, "request")
 }
 
-// checkDecisions compares the effects but for the advice on retries.
+// checkDecisions compares the effects, ignoring RetryAfter.
 func checkDecisions(t *rapid.T, want, got []Effect) {
 	got = slices.Clone(got)
 	for i := range got {
@@ -75,11 +76,11 @@
 func TestQueueDecidesLikeLinearScans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
-		q, n := New(c), newNaive(c)
+		q, n := New(c), newNaiveQueue(c)
 		now, arrived := epoch, 0
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
-			n.step(now)
+			n.beginEvent(now)
 			event := rapid.SampledFrom([]string{
 				"arrive", "arrive", "arrive", "arrive", "done", "done", "capacity", "leave", "requeue", "configure", "tick",
 			}).Draw(t, "event")
@@ -102,7 +103,7 @@
 				got = q.Capacity(now, n.slots)
 			case "leave":
 				if r := drawHeld(t, n, false); r != nil {
-					n.forget(r)
+					n.remove(r)
 					n.fill()
 					got = q.Cancel(now, r.ID)
 				}
@@ -124,9 +125,9 @@
 	})
 }
 
-// checkQueue checks what must hold between events.
-func checkQueue(t *rapid.T, q *Queue, n *naive) {
-	running := len(n.filter(true, every))
+// checkQueue checks invariants that hold between events.
+func checkQueue(t *rapid.T, q *Queue, n *naiveQueue) {
+	running := len(n.filter(true, anyRequest))
 	require.Equal(t, running, q.inFlight)
 	require.Equal(t, len(n.all)-running, q.queued)
 	require.Len(t, q.requests, len(n.all))
@@ -138,8 +139,8 @@
 		require.Equal(t, cost(waiting), r.QueuedCost, "queued cost of rank %d", i)
 	}
 	for _, w := range stats.Heaviest {
-		require.Equal(t, cost(n.filter(false, of(w.Workspace))), w.QueuedCost, "queued cost of %s", w.Workspace)
-		require.Equal(t, cost(n.filter(true, of(w.Workspace))), w.InFlightCost, "running cost of %s", w.Workspace)
+		require.Equal(t, cost(n.filter(false, ofWorkspace(w.Workspace))), w.QueuedCost, "queued cost of %s", w.Workspace)
+		require.Equal(t, cost(n.filter(true, ofWorkspace(w.Workspace))), w.InFlightCost, "running cost of %s", w.Workspace)
 	}
 }
 
@@ -150,8 +151,8 @@
 	return total
 }
 
-// FIFO serves in order of arrival, whatever rank, workspace and deadline, and a
-// request that came back goes first.
+// FIFO serves in order of arrival regardless of rank, workspace and deadline; a
+// requeued request is served first.
 func TestFIFOServesInOrder(t *testing.T) {
 	d := newDriver(NewFIFO(4))
 	d.capacity(1)
--- a/core/admission/rank.go
+++ b/core/admission/rank.go
@@ -5,59 +5,61 @@
 	"time"
 )
 
-// demandPeriod is the time constant of a rank's arrival rate.
+// demandPeriod is the time constant of the arrival rate of a rank or a flow.
 const demandPeriod = 10 * time.Second
 
-// rank holds the flows of one rank and what the rank is owed.
+// rank holds the flows of one rank and the credit from its minimum share.
 type rank struct {
 	index    int
 	minShare float64
-	// credit is the cost in tokens by which the rank lags behind its minimum
-	// share; a negative value was served in advance.
+	// credit is the cost in tokens by which the rank lags behind its minimum share. It
+	// is negative if the rank was served in advance.
 	credit float64
-	// vtime is the virtual time: the largest start tag dispatched so far.
-	vtime      float64
-	weight     float64 // of all its flows, idle ones too
-	queued     int
-	queuedCost float64
-	demand     demand
+	// virtualTime is the virtual time: the largest start tag dispatched so far.
+	virtualTime float64
+	weight      float64 // sum over all its flows, including idle ones
+	queued      int
+	queuedCost  float64
+	demand      demand
 
-	byStart  tree
-	byTail   tree
-	byVictim tree
+	byStart     tree
+	byDrain     tree
+	byLastStart tree
 }
 
-// ready returns the flow to be served next, or nil if the rank has no work
-// that may run.
-func (r *rank) ready() *flow {
+// nextFlow returns the flow to be served next, or nil if the rank has no request that
+// may run.
+func (r *rank) nextFlow() *flow {
 	return r.byStart.min()
 }
 
-// place updates the places of f after any change to f or its workspace. A flow
-// that becomes eligible starts at the current virtual time.
-func (r *rank) place(f *flow) {
+// reindex updates the tree positions of f. It must be called after any change to f or
+// its workspace. The start tag of a flow that becomes eligible is at least the current
+// virtual time.
+func (r *rank) reindex(f *flow) {
 	head := f.head()
-	eligible := head != nil && !f.workspace.held()
+	eligible := head != nil && !f.workspace.atInFlightLimit()
 	if eligible && !f.byStart.linked {
-		f.floor = r.vtime
+		f.minStartTag = r.virtualTime
 	}
-	var start, tail float64
+	var start, drain float64
 	var tie uint64
 	if eligible {
-		start, tail, tie = f.start(), f.tail(), head.seq
+		start, drain, tie = f.startTag(), f.drainTag(), head.seq
 	}
 	r.byStart.set(&f.byStart, eligible, start, tie)
-	r.byTail.set(&f.byTail, eligible, tail, f.id)
+	r.byDrain.set(&f.byDrain, eligible, drain, f.id)
 	if f.last == nil {
-		r.byVictim.set(&f.byVictim, false, 0, 0)
+		r.byLastStart.set(&f.byLastStart, false, 0, 0)
 	} else {
-		r.byVictim.set(&f.byVictim, true, f.lastStart(), f.last.seq)
+		r.byLastStart.set(&f.byLastStart, true, f.lastStartTag(), f.last.seq)
 	}
 }
 
-// expireCredit takes the credit of a rank without work that may run.
-func (r *rank) expireCredit() {
-	if r.ready() == nil {
+// clearIdleCredit discards the positive credit of a rank without a request that may
+// run.
+func (r *rank) clearIdleCredit() {
+	if r.nextFlow() == nil {
 		r.credit = min(r.credit, 0)
 	}
 }
@@ -73,7 +75,7 @@
 	d.last = now
 }
 
-// rate returns tokens a second.
+// rate returns the arrival rate in tokens per second.
 func (d *demand) rate(now time.Time) float64 {
 	if d.sum == 0 {
 		return 0
@@ -82,16 +84,17 @@
 	return d.sum * math.Exp(-age/demandPeriod.Seconds()) / demandPeriod.Seconds()
 }
 
-// account records that cost tokens of rank served were dispatched. A negative
-// cost takes back an earlier call. Each other rank with a minimum share gains
-// credit; the rank itself pays if the dispatch used its minimum share.
-func (q *Queue) account(served *rank, cost float64, guaranteed bool) {
+// updateCredits records that cost tokens of rank served were dispatched. A negative
+// cost reverses an earlier call. Each other rank gains credit in proportion to its
+// minimum share; served itself pays if the dispatch was made to fill its minimum share
+// (guaranteed).
+func (q *Queue) updateCredits(served *rank, cost float64, guaranteed bool) {
 	for _, r := range q.ranks {
 		switch {
 		case r == served && guaranteed:
 			r.credit -= (1 - r.minShare) * cost
 		case r == served:
-		case r.ready() != nil:
+		case r.nextFlow() != nil:
 			r.credit += r.minShare * cost
 		default:
 			r.credit = min(r.credit+r.minShare*max(cost, 0), 0)
--- a/core/admission/reserve.go
+++ b/core/admission/reserve.go
@@ -6,26 +6,25 @@
 )
 
 const (
-	// loadPeriod is the time constant of the urgent rank's average load.
-	loadPeriod = 30 * time.Second
-	// reserveDeviations is the number of standard deviations above the average
-	// load that the reserve covers, by square-root staffing (Halfin and Whitt,
-	// 1981).
+	// urgentLoadPeriod is the time constant of the average load of rank 0.
+	urgentLoadPeriod = 30 * time.Second
+	// reserveDeviations is the number of standard deviations above the average load
+	// that the reserve covers, by square-root staffing (Halfin and Whitt, 1981).
 	reserveDeviations = 2
 )
 
-// load is the exponentially weighted average number of urgent requests that
-// run or wait.
-type load struct {
-	// sum is the weighted sum and weight the sum of the weights, below 1 until
-	// several time constants have passed.
+// urgentLoad is the exponentially weighted average number of requests of rank 0 that
+// wait or run.
+type urgentLoad struct {
+	// sum is the weighted sum of the counts and weight the sum of the weights, which
+	// stays below 1 until several time constants have passed.
 	sum    float64
 	weight float64
 	last   time.Time
 }
 
 // mean returns the average over the time observed so far.
-func (l *load) mean() float64 {
+func (l *urgentLoad) mean() float64 {
 	if l.weight == 0 {
 		return 0
 	}
@@ -33,9 +32,9 @@
 }
 
 // observe records that count requests were present since the last call.
-func (l *load) observe(now time.Time, count int) {
+func (l *urgentLoad) observe(now time.Time, count int) {
 	if !l.last.IsZero() && now.After(l.last) {
-		keep := math.Exp(-now.Sub(l.last).Seconds() / loadPeriod.Seconds())
+		keep := math.Exp(-now.Sub(l.last).Seconds() / urgentLoadPeriod.Seconds())
 		l.sum = l.sum*keep + float64(count)*(1-keep)
 		l.weight = l.weight*keep + (1 - keep)
 	}
@@ -44,12 +43,12 @@
 	}
 }
 
-// reserved is the number of slots that only rank 0 may use, or a rank that is
-// owed a whole request: enough for the recent urgent load, at most the
-// configured fraction.
+// reserved returns the number of slots that only rank 0, or a rank whose credit covers
+// its whole next request, may use: enough for the recent load of rank 0, at most the
+// configured fraction of the slots.
 func (q *Queue) reserved() int {
 	most := math.Floor(q.cfg.UrgentReserve * float64(q.slots))
-	mean := q.load.mean()
+	mean := q.urgentLoad.mean()
 	needed := math.Round(mean + reserveDeviations*math.Sqrt(mean))
 	return int(max(min(most, needed, float64(q.slots-1)), 0))
 }
--- a/core/admission/simulate_test.go
+++ b/core/admission/simulate_test.go
@@ -9,10 +9,10 @@
 	"masticbank.example/core/config"
 )
 
-// outcome is what became of the requests of one source.
+// outcome records the results of the requests of one source.
 type outcome struct {
-	waits, totals          []float64 // seconds until dispatch and completion
-	served, inTime, offers float64   // tokens
+	waits, totals           []float64 // seconds until dispatch and completion
+	served, inTime, offered float64   // tokens
 }
 
 type job struct {
@@ -22,8 +22,9 @@
 	served  float64 // tokens
 }
 
-// simulation is one pool with exponential service in virtual time. Requests
-// beyond the pool's slots share them, rank 0 before the others.
+// simulation runs one pool with exponential service times in virtual time. Running
+// requests share the slots of the engines; if the pool admits more requests than the
+// engines have slots, rank 0 is served before the others.
 type simulation struct {
 	q          Admitter
 	rng        *rand.Rand
@@ -53,8 +54,8 @@
 	return s.outcomes
 }
 
-// speeds returns the part of a slot that running requests of rank 0 and of the
-// other ranks get.
+// speeds returns the fraction of a slot that each running request of rank 0 and each of
+// the other ranks gets.
 func (s *simulation) speeds() (urgent, others float64) {
 	n := 0.0
 	for _, j := range s.running {
@@ -75,15 +76,15 @@
 	rate := func(j *job) float64 {
 		src := s.sources[j.source]
 		if src.rank == 0 {
-			return fast * slotPace / src.cost
+			return fast * slotRate / src.cost
 		}
-		return slow * slotPace / src.cost
+		return slow * slotRate / src.cost
 	}
 	for _, j := range s.running {
 		completions += rate(j)
 	}
 	pause := s.rng.ExpFloat64() / (arrivals + completions)
-	s.now = s.now.Add(duration(pause))
+	s.now = s.now.Add(secondsToDuration(pause))
 	for _, j := range s.running {
 		j.served += pause * rate(j) * s.sources[j.source].cost
 	}
@@ -106,7 +107,7 @@
 	src := s.sources[i]
 	j := &job{id: fmt.Sprint(s.arrived), source: i, arrived: s.now}
 	s.arrived++
-	s.outcomes[i].offers += src.cost
+	s.outcomes[i].offered += src.cost
 	s.waiting[j.id] = j
 	s.apply(s.q.Arrive(s.now, Request{
 		ID: j.id, Workspace: src.workspace, Rank: config.Rank(src.rank), Cost: src.cost,
--- a/core/admission/stats.go
+++ b/core/admission/stats.go
@@ -8,15 +8,15 @@
 	"masticbank.example/core/config"
 )
 
-// Stats summarises a pool for digests and operators.
+// Stats summarizes a pool for digests and operators.
 type Stats struct {
 	Slots    int
 	InFlight int
 	Queued   int
-	// Reserved is the number of slots kept for rank 0.
+	// Reserved is the number of slots reserved for rank 0.
 	Reserved int
-	// Rate is the service rate in estimated tokens a second at the current
-	// number of slots, 0 while unknown.
+	// Rate is the service rate in estimated tokens per second with the current number
+	// of slots, 0 while unknown.
 	Rate float64
 	// Ranks has one entry for each rank, the most urgent first.
 	Ranks []RankStats
@@ -24,16 +24,16 @@
 	Heaviest []WorkspaceStats
 }
 
-// RankStats summarises one rank.
+// RankStats summarizes one rank.
 type RankStats struct {
 	Queued     int
 	QueuedCost float64 // tokens
-	// Credit is the cost in tokens by which the rank lags behind its minimum
-	// share. It is negative after service in advance.
+	// Credit is the cost in tokens by which the rank lags behind its minimum share. It
+	// is negative if the rank was served in advance.
 	Credit float64
 }
 
-// WorkspaceStats summarises one workspace.
+// WorkspaceStats summarizes one workspace.
 type WorkspaceStats struct {
 	Workspace    string
 	Queued       int
@@ -42,28 +42,28 @@
 	InFlightCost float64 // tokens
 }
 
-// Position is the place of a waiting request.
+// Position describes the position of a waiting request.
 type Position struct {
-	// Place is the place among the requests of the same workspace and rank,
-	// from 1.
+	// Place is the position among the requests of the same workspace and rank, starting
+	// at 1. FIFO counts all waiting requests.
 	Place int
-	// CostAhead estimates the tokens that the pool dispatches before the
-	// request, as far as they are queued now.
+	// CostAhead estimates the tokens that the pool dispatches before the request,
+	// counting only work that is queued now.
 	CostAhead float64
-	// Wait is the expected wait; it is valid if WaitKnown.
+	// Wait is the expected wait. It is valid if WaitKnown is true.
 	Wait      time.Duration
 	WaitKnown bool
 }
 
-// Stats summarises the pool with at most top workspaces. It takes time linear
-// in the number of workspaces.
+// Stats summarizes the pool, with at most top workspaces. It takes time linear in the
+// number of workspaces.
 func (q *Queue) Stats(top int) Stats {
 	s := Stats{
 		Slots:    q.slots,
 		InFlight: q.inFlight,
 		Queued:   q.queued,
 		Reserved: q.reserved(),
-		Rate:     q.pace.perSlot() * float64(q.slots),
+		Rate:     q.rate.perSlot() * float64(q.slots),
 	}
 	for _, r := range q.ranks {
 		s.Ranks = append(s.Ranks, RankStats{Queued: r.queued, QueuedCost: r.queuedCost, Credit: r.credit})
@@ -82,7 +82,7 @@
 	return s
 }
 
-// heaviest returns the top workspaces by cost, ties by name.
+// heaviest returns the top workspaces by cost, ties ordered by name.
 func heaviest(all []WorkspaceStats, top int) []WorkspaceStats {
 	slices.SortFunc(all, func(a, b WorkspaceStats) int {
 		byCost := cmp.Compare(b.QueuedCost+b.InFlightCost, a.QueuedCost+a.InFlightCost)
@@ -91,23 +91,23 @@
 	return all[:min(max(top, 0), len(all))]
 }
 
-// Position tells where a waiting request stands. It takes time linear in the
-// requests of the same workspace and rank.
+// Position returns the position of a waiting request. It takes time linear in the
+// number of requests of the same workspace and rank.
 func (q *Queue) Position(now time.Time, id string) (Position, bool) {
 	r, ok := q.requests[id]
 	if !ok || r.running {
 		return Position{}, false
 	}
-	place, before := r.flow.before(r)
-	ahead := r.flow.lead(now, before).cost
-	wait, known := q.wait(now, r.flow, before)
+	place, costAhead := r.flow.ahead(r)
+	ahead := r.flow.workAhead(now, costAhead).cost
+	wait, known := q.expectedWait(now, r.flow, costAhead)
 	for _, o := range q.ranks[:r.flow.rank.index] {
 		ahead += o.queuedCost
 	}
-	return Position{Place: place + 1, CostAhead: ahead, Wait: duration(wait), WaitKnown: known}, true
+	return Position{Place: place + 1, CostAhead: ahead, Wait: secondsToDuration(wait), WaitKnown: known}, true
 }
 
-// Load is the work of one workspace in one rank.
+// Load is the waiting and running work of one workspace in one rank.
 type Load struct {
 	Workspace  string
 	Rank       config.Rank
@@ -117,8 +117,8 @@
 	InFlight   int
 }
 
-// Loads returns the work of each workspace and rank that has some, in no order.
-// It takes time linear in the number of workspaces.
+// Loads returns the work by workspace and rank in no particular order, without empty
+// entries. It takes time linear in the number of workspaces.
 func (q *Queue) Loads() []Load {
 	var out []Load
 	for _, w := range q.workspaces {
--- a/core/admission/tree.go
+++ b/core/admission/tree.go
@@ -1,30 +1,30 @@
 package admission
 
-// node is one flow's entry in a tree. Its key must not change while linked.
+// node is the entry of one flow in a tree. Its key must not change while it is linked.
 type node struct {
 	flow     *flow
 	key      float64
 	tie      uint64
 	priority uint64
 	linked   bool
-	own      sums
-	total    sums
+	own      aggregate
+	total    aggregate
 	left     *node
 	right    *node
 }
 
-// sums aggregates the entries of a subtree.
-type sums struct {
-	weight   float64 // sum of the workspace weights
-	weighted float64 // sum of weight times key
-	head     float64 // sum of the costs of the flows' first requests
-	demand   float64 // sum of the flows' arrival rates, tokens a second
+// aggregate holds sums over the entries of a subtree.
+type aggregate struct {
+	weight      float64 // sum of the workspace weights
+	weightedKey float64 // sum of weight times key
+	headCost    float64 // sum of the costs of the flows' head requests
+	demand      float64 // sum of the flows' arrival rates, tokens per second
 }
 
-func (s *sums) add(o sums) {
+func (s *aggregate) add(o aggregate) {
 	s.weight += o.weight
-	s.weighted += o.weighted
-	s.head += o.head
+	s.weightedKey += o.weightedKey
+	s.headCost += o.headCost
 	s.demand += o.demand
 }
 
@@ -35,8 +35,8 @@
 	return n.tie < o.tie
 }
 
-// pull recomputes the aggregate of n from its children.
-func (n *node) pull() {
+// updateTotal recomputes the aggregate of the subtree of n from its children.
+func (n *node) updateTotal() {
 	n.total = n.own
 	if n.left != nil {
 		n.total.add(n.left.total)
@@ -46,19 +46,20 @@
 	}
 }
 
-// tree is a treap (Seidel and Aragon, 1996) of flows ordered by key and tie,
-// with aggregates. Every operation takes O(log n) expected time.
+// tree is a treap (Seidel and Aragon, 1996) of flows ordered by key, then tie, with
+// subtree aggregates. Every operation takes O(log n) expected time.
 type tree struct {
 	root *node
 }
 
-// set links n under key, moves it there, or unlinks it.
+// set inserts n under key, moves it there if it is linked already, or removes it if
+// linked is false.
 func (t *tree) set(n *node, linked bool, key float64, tie uint64) {
-	own := sums{}
+	own := aggregate{}
 	if linked {
 		f := n.flow
 		w := f.workspace.policy.Weight
-		own = sums{weight: w, weighted: w * key, head: f.head().cost, demand: f.demand.rate(f.demand.last)}
+		own = aggregate{weight: w, weightedKey: w * key, headCost: f.head().cost, demand: f.demand.rate(f.demand.last)}
 	}
 	if linked == n.linked && (!linked || key == n.key && tie == n.tie && own == n.own) {
 		return
@@ -72,7 +73,7 @@
 	}
 	n.key, n.tie, n.own = key, tie, own
 	n.left, n.right = nil, nil
-	n.pull()
+	n.updateTotal()
 	low, high := split(t.root, n)
 	t.root = merge(merge(low, n), high)
 }
@@ -101,17 +102,17 @@
 	return n.flow
 }
 
-// total aggregates all entries.
-func (t *tree) total() sums {
+// total returns the aggregate of all entries.
+func (t *tree) total() aggregate {
 	if t.root == nil {
-		return sums{}
+		return aggregate{}
 	}
 	return t.root.total
 }
 
-// upTo aggregates the entries whose key is at most key.
-func (t *tree) upTo(key float64) sums {
-	var s sums
+// upTo returns the aggregate of the entries whose key is at most key.
+func (t *tree) upTo(key float64) aggregate {
+	var s aggregate
 	for n := t.root; n != nil; {
 		if n.key > key {
 			n = n.left
@@ -126,22 +127,22 @@
 	return s
 }
 
-// split returns the entries of t before at and the others.
+// split divides t into the entries ordered before at and the others.
 func split(t, at *node) (low, high *node) {
 	if t == nil {
 		return nil, nil
 	}
 	if t.less(at) {
 		t.right, high = split(t.right, at)
-		t.pull()
+		t.updateTotal()
 		return t, high
 	}
 	low, t.left = split(t.left, at)
-	t.pull()
+	t.updateTotal()
 	return low, t
 }
 
-// merge joins two trees; all entries of low come before those of high.
+// merge joins two trees. All entries of low must be ordered before those of high.
 func merge(low, high *node) *node {
 	if low == nil {
 		return high
@@ -151,15 +152,15 @@
 	}
 	if low.priority > high.priority {
 		low.right = merge(low.right, high)
-		low.pull()
+		low.updateTotal()
 		return low
 	}
 	high.left = merge(low, high.left)
-	high.pull()
+	high.updateTotal()
 	return high
 }
 
-// remove returns t without n, which it must contain.
+// remove returns t without n, which t must contain.
 func remove(t, n *node) *node {
 	if t == n {
 		return merge(t.left, t.right)
@@ -169,12 +170,13 @@
 	} else {
 		t.right = remove(t.right, n)
 	}
-	t.pull()
+	t.updateTotal()
 	return t
 }
 
-// scramble is the SplitMix64 finaliser. It gives tree nodes their priorities.
-func scramble(x uint64) uint64 {
+// splitMix64 is the finalizer of the SplitMix64 generator. It derives node priorities
+// from flow IDs.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
