--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// fixed is the baseline without learning.
+// fixed is the baseline that never changes the limit.
 type fixed struct{}
 
 func (fixed) next(limit float64, _ *window) float64 { return limit }
 
-// BenchmarkLaws runs each law against an engine whose slots change from 24 to 6, to
-// 48 and back, and whose pace falls to a third for a while. It reports the mean part
-// of the slots in use and the mean number of sequences beyond the slots, both in
-// percent of the slots.
-func BenchmarkLaws(b *testing.B) {
-	laws := map[string]law{"fixed": fixed{}, "aimd": aimd{}, "gradient": gradient{}}
-	signs := map[string]func(*engine){
-		"times":    func(e *engine) { e.slows = true },
-		"waiting":  func(e *engine) { e.reports = true },
+// BenchmarkAlgorithms runs each algorithm against an engine whose slots change from 24
+// to 6, to 48 and back, and whose step times triple for a while. It reports the mean
+// fraction of the slots in use and the mean number of sequences in excess of the slots,
+// both in percent of the slots.
+func BenchmarkAlgorithms(b *testing.B) {
+	algorithms := map[string]algorithm{"fixed": fixed{}, "aimd": aimd{}, "gradient": gradient{}}
+	signals := map[string]func(*engine){
+		"times":    func(e *engine) { e.slowsPrefill = true },
+		"waiting":  func(e *engine) { e.reportsWaiting = true },
 		"refusals": func(e *engine) { e.refuses = true },
-		"all":      func(e *engine) { e.slows, e.reports, e.tells, e.refuses = true, true, true, true },
+		"all":      func(e *engine) { e.slowsPrefill, e.reportsWaiting, e.reportsSlots, e.refuses = true, true, true, true },
 	}
-	for name, law := range laws {
-		for sign, apply := range signs {
-			b.Run(name+"/"+sign, func(b *testing.B) {
+	for name, algorithm := range algorithms {
+		for signal, apply := range signals {
+			b.Run(name+"/"+signal, func(b *testing.B) {
 				var sum outcome
 				runs := uint64(0)
 				for b.Loop() {
 					runs++
-					sum.add(runPhases(law, newEngine(0, runs, apply)))
+					sum.add(runPhases(algorithm, newEngine(0, runs, apply)))
 				}
 				b.ReportMetric(100*sum.used/float64(runs), "used-%")
-				b.ReportMetric(100*sum.beyond/float64(runs), "beyond-%")
+				b.ReportMetric(100*sum.excess/float64(runs), "beyond-%")
 			})
 		}
 	}
@@ -40,23 +40,23 @@
 
 func (o *outcome) add(other outcome) {
 	o.used += other.used
-	o.beyond += other.beyond
+	o.excess += other.excess
 }
 
-func runPhases(law law, e *engine) outcome {
+func runPhases(algorithm algorithm, e *engine) outcome {
 	const minute = int(time.Minute / tick)
 	l := New()
-	l.law = law
+	l.algorithm = algorithm
 	var sum outcome
 	slots := []int{24, 6, 48, 24, 24, 24}
 	for i, n := range slots {
-		e.slots, e.pace = n, 1
+		e.slots, e.stepTimeRatio = n, 1
 		if i == 4 {
-			e.pace = 3
+			e.stepTimeRatio = 3
 		}
 		sum.add(e.run(l, minute))
 	}
-	return outcome{used: sum.used / float64(len(slots)), beyond: sum.beyond / float64(len(slots))}
+	return outcome{used: sum.used / float64(len(slots)), excess: sum.excess / float64(len(slots))}
 }
 
 func BenchmarkObserve(b *testing.B) {
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,43 +1,44 @@
-// Package limit learns how many sequences in flight one replica takes, from its load
-// reports, its refusals and the observed times of its steps.
+// Package limit estimates how many sequences one replica can process at the same time,
+// from its load reports, its refusals and the observed times of its steps.
 //
-// Observations are gathered in windows; at the end of each, a law gives the next
-// limit. The limit never exceeds the slots that the replica reports.
+// Observations are collected in windows. At the end of each window, an algorithm
+// computes the next limit. The limit never exceeds the slots that the replica reports.
 package limit
 
 import "time"
 
 const (
-	// initial applies until slots are reported.
-	initial = 8
-	lowest  = 1
-	// highest bounds the limit while the slots are unknown.
-	highest = 1024
-
-	// windowTime and windowSamples are the least duration and number of
-	// observations of a window.
+	// initialLimit applies until the replica reports its slots.
+	initialLimit = 8
+	minLimit     = 1
+	// maxLimit bounds the limit while the number of slots is unknown.
+	maxLimit = 1024
+
+	// windowTime and windowSamples are the minimum duration and number of observations
+	// of a window.
 	windowTime    = 500 * time.Millisecond
 	windowSamples = 5
-	// usedShare is the part of the limit that must have been in flight for the
-	// limit to rise.
-	usedShare = 0.8
-	// reportMaxAge is the age of the last report up to which a window waits for
-	// the next one.
+	// usedFraction is the fraction of the limit that must have been in flight for the
+	// limit to increase.
+	usedFraction = 0.8
+	// reportMaxAge is the age of the last report up to which a window stays open for
+	// the next report.
 	reportMaxAge = 5 * time.Second
-	// slowdownAllowed is the growth of step times, relative to the fastest window,
-	// that a busy replica explains: a step waits for the batch under way, which
-	// doubles its time, and fuller batches double it again.
-	slowdownAllowed = 4
-	// maxUnmoved is the number of windows in a row in which a lower limit did not
-	// make steps faster, after which the replica's pace itself is taken to have
-	// changed, as by longer contexts.
-	maxUnmoved = 3
-	// movedShare is the relative slowdown, compared with the window before, below
-	// which steps became faster.
-	movedShare = 0.95
+	// maxSlowdown is the increase of step times, relative to the fastest window, that a
+	// busy replica explains without congestion: a step waits for the current batch,
+	// which doubles its time, and fuller batches double it again.
+	maxSlowdown = 4
+	// maxIneffectiveWindows is the number of consecutive windows in which lowering the
+	// limit did not make steps faster. After it, the step time of the replica itself is
+	// assumed to have changed, for example because contexts became longer.
+	maxIneffectiveWindows = 3
+	// improvedRatio is the slowdown relative to the previous window below which steps
+	// count as faster.
+	improvedRatio = 0.95
 )
 
-// Kind tells what an observed time is of. Times are compared within a kind only.
+// Kind is the kind of an observed time. Times are compared only with times of the same
+// kind.
 type Kind int
 
 const (
@@ -48,50 +49,53 @@
 	kinds
 )
 
-// law gives the limit that follows a window. Measurements compare laws.
-type law interface {
+// algorithm computes the limit that follows a window. Benchmarks compare several
+// algorithms.
+type algorithm interface {
 	next(limit float64, w *window) float64
 }
 
-// Limiter learns the limit of one replica. It is not safe for concurrent use.
+// Limiter estimates the limit of one replica. It is not safe for concurrent use.
 type Limiter struct {
-	law    law
-	limit  float64
-	slots  int
-	window window
+	algorithm algorithm
+	limit     float64
+	slots     int
+	window    window
 	// reportedAt is the time of the last report.
 	reportedAt time.Time
-	// base are the times of the fastest window.
-	base [kinds]float64
-	slow slowSpell
+	// baseline holds the mean times of the fastest window by kind, 0 while unknown.
+	baseline   [kinds]float64
+	slowPeriod slowPeriod
 }
 
-// slowSpell is a row of windows that only their times show to be congested.
-type slowSpell struct {
-	// before is the limit at its begin.
-	before float64
-	// last is the slowdown of the latest window.
-	last float64
-	// unmoved counts the windows that were no faster than the one before.
-	unmoved int
+// slowPeriod is a series of consecutive windows whose congestion shows only in their
+// times.
+type slowPeriod struct {
+	// limitBefore is the limit at the start of the period.
+	limitBefore float64
+	// lastSlowdown is the slowdown of the latest window.
+	lastSlowdown float64
+	// ineffective counts the latest consecutive windows that were not faster than the
+	// window before.
+	ineffective int
 }
 
-// New returns a limiter that has learnt nothing.
+// New returns a limiter without observations.
 func New() *Limiter {
-	return &Limiter{law: aimd{}, limit: initial}
+	return &Limiter{algorithm: aimd{}, limit: initialLimit}
 }
 
-// Limit returns the number of sequences, of all instances, that the replica takes;
-// it is at least 1.
+// Limit returns the number of sequences, of all instances together, that the replica
+// can process; it is at least 1.
 func (l *Limiter) Limit() int {
 	return int(l.limit)
 }
 
-// Report takes a load report: the sequences held, the steps waiting for a slot,
-// and the slots, 0 when
-// unknown. The first report of slots sets the limit to them.
+// Report records a load report: the sequences held, the steps waiting for a slot, and
+// the number of slots, 0 when unknown. The first report with slots sets the limit to
+// them.
 func (l *Limiter) Report(now time.Time, running, waiting, slots int) {
-	l.window.open(now)
+	l.window.begin(now)
 	if slots > 0 && l.slots == 0 {
 		l.limit = float64(slots)
 	}
@@ -99,101 +103,102 @@
 		l.slots = slots
 	}
 	l.window.reported = true
-	// Steps that wait while all slots are held only show that several instances
-	// dispatched at once.
+	// Steps that wait while all slots are held show only that several instances
+	// dispatched at the same time.
 	full := slots > 0 && running >= slots
 	l.window.waiting = l.window.waiting || waiting > 0 && !full
 	l.reportedAt = now
-	l.set(l.limit)
-	l.close(now)
+	l.setLimit(l.limit)
+	l.closeIfComplete(now)
 }
 
-// Refused takes the replica's answer that it has no slot free.
+// Refused records that the replica responded that it has no free slot.
 func (l *Limiter) Refused(now time.Time) {
-	l.window.open(now)
+	l.window.begin(now)
 	l.window.refused = true
-	l.close(now)
+	l.closeIfComplete(now)
 }
 
-// Observe takes the time of one token of the given kind, with the number of
-// sequences that the replica was estimated to hold.
+// Observe records the time per token of an operation of the given kind, with the number
+// of sequences that the replica was estimated to hold.
 func (l *Limiter) Observe(now time.Time, kind Kind, inFlight int, perToken time.Duration) {
-	l.window.open(now)
+	l.window.begin(now)
 	l.window.observe(kind, inFlight, perToken.Seconds())
-	l.close(now)
+	l.closeIfComplete(now)
 }
 
-// close ends the window if it is complete, and sets the next limit.
-func (l *Limiter) close(now time.Time) {
+// closeIfComplete ends the window if it is complete and computes the next limit.
+func (l *Limiter) closeIfComplete(now time.Time) {
 	w := &l.window
 	reporting := !l.reportedAt.IsZero() && now.Sub(l.reportedAt) <= reportMaxAge
 	if !w.complete(now) || reporting && !w.reported && !w.refused {
 		return
 	}
-	w.slowdown = l.compare()
+	w.slowdown = l.updateBaseline()
 	w.slotsKnown = l.slots > 0
-	if l.paceChanged() {
-		l.rebase()
-		l.set(l.slow.before)
-		l.slow = slowSpell{}
+	if l.baselineChanged() {
+		l.resetBaseline()
+		l.setLimit(l.slowPeriod.limitBefore)
+		l.slowPeriod = slowPeriod{}
 	} else {
-		l.set(l.law.next(l.limit, w))
+		l.setLimit(l.algorithm.next(l.limit, w))
 	}
 	l.window = window{}
 }
 
-// compare returns by which factor the window was slower than the fastest one, for
-// the kind that slowed most, and updates the fastest times.
-func (l *Limiter) compare() float64 {
+// updateBaseline lowers the baseline to the times of the window where these are faster.
+// It returns the ratio of the mean time of the window to the baseline, for the kind
+// that slowed down most.
+func (l *Limiter) updateBaseline() float64 {
 	slowdown := 1.0
 	for k := range kinds {
 		mean, ok := l.window.mean(k)
 		if !ok {
 			continue
 		}
-		if l.base[k] == 0 || mean < l.base[k] {
-			l.base[k] = mean
+		if l.baseline[k] == 0 || mean < l.baseline[k] {
+			l.baseline[k] = mean
 		}
-		if l.base[k] > 0 {
-			slowdown = max(slowdown, mean/l.base[k])
+		if l.baseline[k] > 0 {
+			slowdown = max(slowdown, mean/l.baseline[k])
 		}
 	}
 	return slowdown
 }
 
-// paceChanged follows slow windows. It returns true when lower limits have not made
+// baselineChanged tracks slow windows. It returns true when lower limits have not made
 // steps faster.
-func (l *Limiter) paceChanged() bool {
+func (l *Limiter) baselineChanged() bool {
 	w := &l.window
-	if w.waiting || w.refused || w.slotsKnown || w.slowdown <= slowdownAllowed {
-		l.slow = slowSpell{}
+	if w.waiting || w.refused || w.slotsKnown || w.slowdown <= maxSlowdown {
+		l.slowPeriod = slowPeriod{}
 		return false
 	}
 	switch {
-	case l.slow.last == 0:
-		l.slow.before = l.limit
-	case w.slowdown >= movedShare*l.slow.last:
-		l.slow.unmoved++
+	case l.slowPeriod.lastSlowdown == 0:
+		l.slowPeriod.limitBefore = l.limit
+	case w.slowdown >= improvedRatio*l.slowPeriod.lastSlowdown:
+		l.slowPeriod.ineffective++
 	default:
-		l.slow.unmoved = 0
+		l.slowPeriod.ineffective = 0
 	}
-	l.slow.last = w.slowdown
-	return l.slow.unmoved >= maxUnmoved
+	l.slowPeriod.lastSlowdown = w.slowdown
+	return l.slowPeriod.ineffective >= maxIneffectiveWindows
 }
 
-// rebase takes the times of the window as the replica's pace.
-func (l *Limiter) rebase() {
+// resetBaseline replaces the baseline by the times of the window.
+func (l *Limiter) resetBaseline() {
 	for k := range kinds {
 		if mean, ok := l.window.mean(k); ok {
-			l.base[k] = mean
+			l.baseline[k] = mean
 		}
 	}
 }
 
-func (l *Limiter) set(limit float64) {
-	bound := float64(highest)
+func (l *Limiter) setLimit(limit float64) {
+	bound := float64(maxLimit)
 	if l.slots > 0 {
 		bound = float64(l.slots)
 	}
-	l.limit = min(max(limit, lowest), bound)
+	l.limit = min(max(limit, minLimit), bound)
 }
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -18,15 +18,16 @@
 var start = time.Unix(1_800_000_000, 0)
 
 // engine is a replica under full demand: it always holds as many sequences as the
-// limiter allows. Its batch slows it by up to a quarter; beyond its slots, first
-// steps wait. Reports lag by a second.
+// limiter allows. Its batch slows steps down by up to a quarter; the prefill of
+// sequences in excess of its slots waits. Reports lag by one second.
 type engine struct {
 	slots int
-	// pace multiplies all times.
-	pace float64
-	// slows, reports, tells and refuses are which signs of congestion it gives:
-	// slower first steps, load reports without slots, their slots, and refusals.
-	slows, reports, tells, refuses bool
+	// stepTimeRatio multiplies all times.
+	stepTimeRatio float64
+	// slowsPrefill, reportsWaiting, reportsSlots and refuses select the signals of
+	// congestion that the engine gives: slower prefills, load reports without slots,
+	// load reports with slots, and refusals.
+	slowsPrefill, reportsWaiting, reportsSlots, refuses bool
 
 	random  *rand.Rand
 	now     time.Time
@@ -34,19 +35,19 @@
 }
 
 const (
-	// tick is the time between two observations of a run.
+	// tick is the time between two observations.
 	tick = 50 * time.Millisecond
-	// reportTicks is the time between two reports, and their lag.
+	// reportTicks is the number of ticks between two reports, and their lag.
 	reportTicks = 20
 )
 
-// outcome sums up a run: the mean part of the slots in use, and the mean number of
-// sequences beyond the slots, relative to the slots.
-type outcome struct{ used, beyond float64 }
+// outcome summarizes a run: the mean fraction of the slots in use, and the mean number
+// of sequences in excess of the slots, relative to the slots.
+type outcome struct{ used, excess float64 }
 
-func newEngine(slots int, seed uint64, sign func(*engine)) *engine {
-	e := &engine{slots: slots, pace: 1, now: start, random: rand.New(rand.NewPCG(seed, 0))}
-	sign(e)
+func newEngine(slots int, seed uint64, signal func(*engine)) *engine {
+	e := &engine{slots: slots, stepTimeRatio: 1, now: start, random: rand.New(rand.NewPCG(seed, 0))}
+	signal(e)
 	return e
 }
 
@@ -57,25 +58,25 @@
 		e.now = e.now.Add(tick)
 		e.observe(l, held)
 		e.waiting = append(e.waiting, max(held-e.slots, 0))
-		if i%reportTicks == 0 && len(e.waiting) > reportTicks && (e.reports || e.tells) {
+		if i%reportTicks == 0 && len(e.waiting) > reportTicks && (e.reportsWaiting || e.reportsSlots) {
 			slots := 0
-			if e.tells {
+			if e.reportsSlots {
 				slots = e.slots
 			}
 			l.Report(e.now, min(held, e.slots), e.waiting[len(e.waiting)-reportTicks], slots)
 		}
 		o.used += min(float64(held)/float64(e.slots), 1) / float64(ticks)
-		o.beyond += max(float64(held)/float64(e.slots)-1, 0) / float64(ticks)
+		o.excess += max(float64(held)/float64(e.slots)-1, 0) / float64(ticks)
 	}
 	return o
 }
 
 func (e *engine) observe(l *Limiter, held int) {
 	fill := float64(held) / float64(e.slots)
-	step := e.pace * (0.8 + 0.4*e.random.Float64()) * (1 + 0.25*min(fill, 1))
+	step := e.stepTimeRatio * (0.8 + 0.4*e.random.Float64()) * (1 + 0.25*min(fill, 1))
 	l.Observe(e.now, Decode, held, time.Duration(step*20e6))
-	if e.slows {
-		// A first step beyond the slots waits for a sequence of some hundred steps.
+	if e.slowsPrefill {
+		// The prefill of an excess sequence waits for another sequence of some hundred steps to end.
 		step *= 1 + 20*max(fill-1, 0)
 	}
 	l.Observe(e.now, Prefill, held, time.Duration(step*1e5))
@@ -84,30 +85,30 @@
 	}
 }
 
-// From each sign of congestion alone, the limit finds the slots, follows them when
-// they change, and outlives a lasting change of pace.
-func TestLimitFindsTheSlots(t *testing.T) {
-	for name, sign := range map[string]func(*engine){
-		"times":    func(e *engine) { e.slows = true },
-		"waiting":  func(e *engine) { e.reports = true },
-		"slots":    func(e *engine) { e.tells = true },
+// With any single signal of congestion, the limit converges to the slots, follows them
+// when they change, and recovers from a lasting change of the step time.
+func TestLimitConvergesToSlots(t *testing.T) {
+	for name, signal := range map[string]func(*engine){
+		"times":    func(e *engine) { e.slowsPrefill = true },
+		"waiting":  func(e *engine) { e.reportsWaiting = true },
+		"slots":    func(e *engine) { e.reportsSlots = true },
 		"refusals": func(e *engine) { e.refuses = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEngine(24, 1, sign)
+			e := newEngine(24, 1, signal)
 			l := New()
-			for _, change := range []func(){func() {}, func() { e.slots = 6 }, func() { e.pace = 3 }} {
+			for _, change := range []func(){func() {}, func() { e.slots = 6 }, func() { e.stepTimeRatio = 3 }} {
 				change()
 				e.run(l, 2000)
 				o := e.run(l, 2000)
 				require.Greater(t, o.used, 0.8)
-				require.Less(t, o.beyond, 0.5)
+				require.Less(t, o.excess, 0.5)
 			}
 		})
 	}
 }
 
-// The limit never leaves 1 to the reported slots, whatever is reported and observed.
+// The limit stays between 1 and the reported slots for any reports and observations.
 func TestLimitIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
@@ -124,14 +125,14 @@
 				d := time.Duration(rapid.IntRange(0, 50).Draw(t, "took")) * time.Millisecond
 				l.Observe(now, Kind(rapid.IntRange(0, 1).Draw(t, "kind")), l.Limit(), d)
 			}
-			require.GreaterOrEqual(t, l.Limit(), lowest)
+			require.GreaterOrEqual(t, l.Limit(), minLimit)
 			require.True(t, slots == 0 || l.Limit() <= slots)
 		}
 	})
 }
 
-// However many refusals one moment brings, they lower the first report's limit once.
-func TestRefusalsOfOneMomentCountOnce(t *testing.T) {
+// Any number of simultaneous refusals lowers the limit only once.
+func TestSimultaneousRefusalsCountOnce(t *testing.T) {
 	l := New()
 	l.Report(start, 0, 0, 40)
 	require.Equal(t, 40, l.Limit())
@@ -141,9 +142,9 @@
 	require.Equal(t, int(40*aimdDecrease), l.Limit())
 }
 
-// feed observes windows of steps with the given times in milliseconds, each ended
-// by a report without slots, from a limit of 100.
-func feed(l *Limiter, waiting int, windows ...int) {
+// observeWindows feeds windows of steps with the given times in milliseconds, each
+// ended by a report without slots, starting from a limit of 100.
+func observeWindows(l *Limiter, waiting int, windows ...int) {
 	now := start
 	l.limit = 100
 	l.Report(now, 0, 0, 0)
@@ -156,17 +157,17 @@
 	}
 }
 
-// Slow windows are no change of pace when they become faster, if seldom, or while
+// Slow windows do not change the baseline if steps become faster, even rarely, or if
 // steps wait.
-func TestSlowSpells(t *testing.T) {
+func TestSlowPeriods(t *testing.T) {
 	faster, waiting := New(), New()
-	feed(faster, 0, 100, 500, 500, 500, 450, 450, 450, 400, 400)
+	observeWindows(faster, 0, 100, 500, 500, 500, 450, 450, 450, 400, 400)
 	require.Less(t, faster.Limit(), 50)
-	feed(waiting, 1, 100, 500, 500, 500, 500, 500, 500, 500, 500)
+	observeWindows(waiting, 1, 100, 500, 500, 500, 500, 500, 500, 500, 500)
 	require.Less(t, waiting.Limit(), 50)
 }
 
-// The limit rises without reports once these stop, and only while it is used.
+// The limit increases without reports once these stop, and only while it is used.
 func TestLimitRises(t *testing.T) {
 	used, unused := New(), New()
 	used.Report(start, 0, 0, 0)
@@ -175,13 +176,13 @@
 		used.Observe(now, Decode, used.Limit(), time.Millisecond)
 		unused.Observe(now, Decode, 2, time.Millisecond)
 	}
-	require.Greater(t, used.Limit(), 2*initial)
-	require.Equal(t, initial, unused.Limit())
+	require.Greater(t, used.Limit(), 2*initialLimit)
+	require.Equal(t, initialLimit, unused.Limit())
 }
 
-// TestTimesDoNotCountBesideKnownSlots slows steps of a replica that reports its
-// slots tenfold.
-func TestTimesDoNotCountBesideKnownSlots(t *testing.T) {
+// TestTimesAreIgnoredIfSlotsAreKnown makes the steps of a replica that reports its
+// slots ten times slower.
+func TestTimesAreIgnoredIfSlotsAreKnown(t *testing.T) {
 	l := New()
 	for i := range 200 {
 		now := start.Add(time.Duration(i) * windowTime / windowSamples)
@@ -195,9 +196,9 @@
 	require.Equal(t, 8, l.Limit())
 }
 
-// TestWaitingWhileFullKeepsTheLimit reports steps that wait although every slot
-// is held, as when several instances dispatch to one replica at once.
-func TestWaitingWhileFullKeepsTheLimit(t *testing.T) {
+// TestWaitingWhileAllSlotsHeldKeepsLimit reports waiting steps while every slot is
+// held, as when several instances dispatch to one replica at the same time.
+func TestWaitingWhileAllSlotsHeldKeepsLimit(t *testing.T) {
 	l := New()
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * windowTime)
--- a/core/limit/window.go
+++ b/core/limit/window.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// window gathers what was observed since the limit last changed.
+// window collects the observations since the limit was last computed.
 type window struct {
-	begun   time.Time
+	start   time.Time
 	samples int
 	sum     [kinds]float64
 	count   [kinds]int
-	// peak is the most sequences in flight.
-	peak     int
-	reported bool
-	waiting  bool
-	refused  bool
-	// slotsKnown is true when the replica reports its slots.
+	// peakInFlight is the maximum number of sequences in flight.
+	peakInFlight int
+	reported     bool
+	waiting      bool
+	refused      bool
+	// slotsKnown is true if the replica reports its slots.
 	slotsKnown bool
-	// slowdown is the mean step time relative to the fastest window.
+	// slowdown is the ratio of the mean times of the window to those of the fastest
+	// window, for the kind that slowed down most.
 	slowdown float64
 }
 
-func (w *window) open(now time.Time) {
-	if w.begun.IsZero() {
-		w.begun = now
+func (w *window) begin(now time.Time) {
+	if w.start.IsZero() {
+		w.start = now
 	}
 }
 
@@ -29,14 +30,14 @@
 	w.samples++
 	w.sum[kind] += seconds
 	w.count[kind]++
-	w.peak = max(w.peak, inFlight)
+	w.peakInFlight = max(w.peakInFlight, inFlight)
 }
 
-// complete tells whether the window is long enough. A sign of congestion needs no
-// further observations.
+// complete reports whether the window is long enough. If it shows congestion by waiting
+// steps or refusals, it needs no minimum number of observations.
 func (w *window) complete(now time.Time) bool {
 	enough := w.samples >= windowSamples || w.waiting || w.refused
-	return enough && now.Sub(w.begun) >= windowTime
+	return enough && now.Sub(w.start) >= windowTime
 }
 
 func (w *window) mean(kind Kind) (float64, bool) {
@@ -46,14 +47,15 @@
 	return w.sum[kind] / float64(w.count[kind]), true
 }
 
-// congested tells whether the replica held more than it takes. Times tell only
-// while the slots are unknown: beside them, the time of a prefill shows how long
-// the prompts are, and that of a step how many instances dispatched at once.
+// congested reports whether the replica held more sequences than it can process. Times
+// count only while the slots are unknown: if they are known, the prefill time mainly
+// reflects the length of the prompts, and the step time how many instances dispatched
+// at the same time.
 func (w *window) congested() bool {
-	return w.refused || w.waiting || !w.slotsKnown && w.slowdown > slowdownAllowed
+	return w.refused || w.waiting || !w.slotsKnown && w.slowdown > maxSlowdown
 }
 
-// used tells whether the limit was nearly reached.
+// used reports whether the limit was nearly reached.
 func (w *window) used(limit float64) bool {
-	return float64(w.peak) >= usedShare*limit
+	return float64(w.peakInFlight) >= usedFraction*limit
 }
--- a/core/pause/pause.go
+++ b/core/pause/pause.go
@@ -1,70 +1,72 @@
-// Package pause keeps the replicas that have asked this instance to send them nothing
-// for a time. The load that it answers: a replica that is overloaded turns requests away
-// and says when it can take more; what comes earlier only adds to its load. It has no I/O
-// and no clock.
+// Package pause tracks the replicas that have asked this instance to send them no
+// requests for some time. An overloaded replica rejects requests and states when it can
+// accept more; requests sent before that would only add to its load. The package does
+// no I/O and reads no clock.
 package pause
 
 import "time"
 
 const (
-	// Longest bounds one pause. A replica that wants a longer one says so again when
-	// it is asked after that.
+	// Longest bounds one pause. A replica that needs a longer one asks again when it
+	// receives a request after it.
 	Longest = time.Minute
-	// spreadShare and mostSpread bound what is added to a pause at random, so that
-	// the instances do not all come back at the same moment.
-	spreadShare = 0.1
-	mostSpread  = 250 * time.Millisecond
+	// jitterFraction and maxJitter bound the random extension of a pause, so that the
+	// instances do not all resume at the same moment.
+	jitterFraction = 0.1
+	maxJitter      = 250 * time.Millisecond
 )
 
 // List holds the pauses of replicas. It is not safe for concurrent use.
 type List struct {
-	until map[string]pause
+	pauses map[string]pause
 }
 
 type pause struct {
-	born int64
-	end  time.Time
+	startTime int64
+	end       time.Time
 }
 
 // New returns a List without pauses.
-func New() *List { return &List{until: map[string]pause{}} }
+func New() *List { return &List{pauses: map[string]pause{}} }
 
-// Add notes that the process of a replica that started at born asked for a pause of d.
-// Random, 0 to 1, spreads the instances. It returns the end of the pause, which is never
-// earlier than that of another one that the process asked for.
-func (l *List) Add(now time.Time, replica string, born int64, d time.Duration, random float64) time.Time {
-	d = min(d, Longest)
-	spread := min(time.Duration(float64(d)*spreadShare), mostSpread)
-	end := now.Add(d + time.Duration(random*float64(spread)))
-	if was := l.until[replica]; was.born == born && was.end.After(end) {
-		return was.end
+// Add records that the process of a replica that started at startTime asked for a pause
+// of the given duration. Random, 0 to 1, scales the random extension. Add returns the
+// end of the pause, which is never earlier than the end of a previous pause of the same
+// process.
+func (l *List) Add(now time.Time, replica string, startTime int64, duration time.Duration, random float64) time.Time {
+	duration = min(duration, Longest)
+	spread := min(time.Duration(float64(duration)*jitterFraction), maxJitter)
+	end := now.Add(duration + time.Duration(random*float64(spread)))
+	if previous := l.pauses[replica]; previous.startTime == startTime && previous.end.After(end) {
+		return previous.end
 	}
-	l.until[replica] = pause{born: born, end: end}
+	l.pauses[replica] = pause{startTime: startTime, end: end}
 	return end
 }
 
-// Until returns the end of the pause of a replica, or false if it has none. A later
-// process of the replica has asked for nothing.
-func (l *List) Until(now time.Time, replica string, born int64) (time.Time, bool) {
-	p, ok := l.until[replica]
+// Until returns the end of the pause of a replica, or false if it has none. A pause
+// does not apply to a later process of the replica.
+func (l *List) Until(now time.Time, replica string, startTime int64) (time.Time, bool) {
+	p, ok := l.pauses[replica]
 	if !ok {
 		return time.Time{}, false
 	}
-	if !now.Before(p.end) || born > p.born {
-		delete(l.until, replica)
+	if !now.Before(p.end) || startTime > p.startTime {
+		delete(l.pauses, replica)
 		return time.Time{}, false
 	}
 	return p.end, true
 }
 
-// Empty tells whether no replica has asked for a pause lately.
-func (l *List) Empty() bool { return len(l.until) == 0 }
+// Empty reports whether the list holds no pauses. Ended pauses count until they are
+// pruned or looked up.
+func (l *List) Empty() bool { return len(l.pauses) == 0 }
 
-// Prune forgets the pauses that are over.
+// Prune deletes the pauses that have ended.
 func (l *List) Prune(now time.Time) {
-	for id, p := range l.until {
+	for id, p := range l.pauses {
 		if !now.Before(p.end) {
-			delete(l.until, id)
+			delete(l.pauses, id)
 		}
 	}
 }
--- a/core/pause/pause_test.go
+++ b/core/pause/pause_test.go
@@ -12,15 +12,15 @@
 
 var start = time.Unix(1000, 0)
 
-// TestPausesAreKept compares the list with a slow version that remembers all answers.
-func TestPausesAreKept(t *testing.T) {
+// TestMatchesNaiveList compares the list with a naive one that keeps all pauses.
+func TestMatchesNaiveList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type asked struct {
+		type pauseRequest struct {
 			replica string
 			born    int64
 			end     time.Time
 		}
-		var all []asked
+		var all []pauseRequest
 		l := pause.New()
 		now := start
 		latest := map[string]int64{}
@@ -35,9 +35,9 @@
 			default:
 				d := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "pause")) * time.Millisecond
 				end := l.Add(now, id, latest[id], d, rapid.Float64Range(0, 1).Draw(t, "random"))
-				require.False(t, end.Before(now.Add(min(d, pause.Longest))), "never shorter than asked")
+				require.False(t, end.Before(now.Add(min(d, pause.Longest))), "shorter than requested")
 				require.False(t, end.After(now.Add(pause.Longest+time.Minute)))
-				all = append(all, asked{id, latest[id], end})
+				all = append(all, pauseRequest{id, latest[id], end})
 			}
 			for _, id := range []string{"a", "b"} {
 				var want time.Time
@@ -54,9 +54,9 @@
 	})
 }
 
-// TestInstancesDoNotReturnTogether spreads the ends of the pauses of 95 instances that a
-// replica turned away at the same moment.
-func TestInstancesDoNotReturnTogether(t *testing.T) {
+// TestPauseEndsAreSpread checks that the pauses of 95 instances that a replica rejected
+// at the same moment end at different times.
+func TestPauseEndsAreSpread(t *testing.T) {
 	const instances = 95
 	ends := map[time.Time]bool{}
 	for i := range instances {
--- a/core/retry/backoff.go
+++ b/core/retry/backoff.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Backoff spreads retries with full jitter: the delay before retry n, counted
-// from 0, is uniform in [0, min(Cap, Base*2^n)] (Brooker, "Exponential Backoff
-// And Jitter", 2015). It is a value and safe for concurrent use.
+// Backoff computes retry delays with full jitter: the delay before retry n, counted
+// from 0, is uniform in [0, min(Cap, Base*2^n)] (Brooker, "Exponential Backoff And
+// Jitter", 2015). It is a value and safe for concurrent use.
 type Backoff struct {
-	// Base is the largest delay before the first retry.
+	// Base is the maximum delay before the first retry.
 	Base time.Duration
 	// Cap bounds the delay before any retry.
 	Cap time.Duration
 }
 
-// Delay returns the delay before retry n, counted from 0. random is uniform
-// over all uint64 values. It returns false if the retry could not end by the
-// deadline: the delay is cut to what the expected service time leaves, and
-// nothing is left. A zero deadline means none.
+// Delay returns the delay before retry n, counted from 0. random must be uniform over
+// all uint64 values. The delay leaves at least the expected service time before the
+// deadline; if not even an immediate retry could complete by the deadline, Delay
+// returns false. A zero deadline means none.
 func (b Backoff) Delay(n int, random uint64, now, deadline time.Time, service time.Duration) (time.Duration, bool) {
 	limit := b.limit(n)
 	if !deadline.IsZero() {
@@ -44,7 +44,7 @@
 	return min(base<<n, most)
 }
 
-// scale maps random, uniform over uint64, to a uniform value in [0, limit].
+// scale maps random, uniform over all uint64 values, to a uniform value in [0, limit].
 func scale(limit time.Duration, random uint64) time.Duration {
 	if limit == math.MaxInt64 {
 		limit--
--- a/core/retry/recent.go
+++ b/core/retry/recent.go
@@ -2,30 +2,33 @@
 
 import "time"
 
-// recentParts is the number of parts of a window in which first attempts are counted.
-const recentParts = 10
+// windowBuckets is the number of buckets into which a window is divided.
+const windowBuckets = 10
 
-// recent counts the first attempts of the last window, or of up to a tenth less.
-type recent struct {
-	// counts and starts belong to the parts, in a ring; at is the newest.
-	counts [recentParts]float64
-	starts [recentParts]time.Time
-	at     int
+// windowCounter counts the first attempts of the last window. Because it counts in
+// buckets, it covers up to a tenth of the window less.
+type windowCounter struct {
+	// counts and starts hold the counts and start times of the buckets, as a ring;
+	// newest is the index of the newest one.
+	counts [windowBuckets]float64
+	starts [windowBuckets]time.Time
+	newest int
 }
 
-func (r *recent) add(now time.Time, window time.Duration) {
+func (r *windowCounter) add(now time.Time, window time.Duration) {
 	if window <= 0 {
 		return
 	}
-	if part := window / recentParts; r.starts[r.at].IsZero() || now.Sub(r.starts[r.at]) >= part {
-		r.at = (r.at + 1) % recentParts
-		r.counts[r.at], r.starts[r.at] = 0, now
+	if bucket := window / windowBuckets; r.starts[r.newest].IsZero() || now.Sub(r.starts[r.newest]) >= bucket {
+		r.newest = (r.newest + 1) % windowBuckets
+		r.counts[r.newest], r.starts[r.newest] = 0, now
 	}
-	r.counts[r.at]++
+	r.counts[r.newest]++
 }
 
-// sum leaves out the parts that began before the window.
-func (r *recent) sum(now time.Time, window time.Duration) float64 {
+// sum returns the first attempts of the window. It leaves out buckets that started
+// before the window.
+func (r *windowCounter) sum(now time.Time, window time.Duration) float64 {
 	total := 0.0
 	for i, n := range r.counts {
 		if !r.starts[i].IsZero() && now.Sub(r.starts[i]) < window {
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -25,16 +25,16 @@
 	}
 }
 
-// In every period of any history, the retries exceed the income of the period,
-// Ratio*firsts + MinPerSecond*seconds, by at most Bank. No retry is denied while
-// one is saved.
+// In every period of a random history, the retries exceed the income of the period,
+// ratio*firsts + rate*seconds, by at most the burst. No retry is denied while one is
+// available.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawBudget(t)
 		b := NewBudget(c)
 		now := epoch
 		b.First(now)
-		balance, highest := 0.0, 0.0 // income less retries
+		balance, highest := 0.0, 0.0 // income minus retries
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			pause := time.Duration(rapid.IntRange(-100, 1500).Draw(t, "pause")) * time.Millisecond
 			now = now.Add(max(pause, 0))
@@ -55,9 +55,9 @@
 	})
 }
 
-// When every attempt fails, the load grows by the ratio, the bank and the
-// minimum rate and no more, and the whole ratio may be used.
-func TestTotalFailureMultipliesLoadByRatio(t *testing.T) {
+// If every attempt fails, the load increases by the ratio, the burst and the minimum
+// rate at most, and the whole ratio can be used.
+func TestTotalFailureIncreasesLoadByRatio(t *testing.T) {
 	c := BudgetConfig{Ratio: 0.2, MinPerSecond: 0.5, Bank: 10}
 	b := NewBudget(c)
 	const firsts, seconds, triesEach = 10_000, 100, 5
@@ -77,9 +77,9 @@
 	require.GreaterOrEqual(t, float64(attempts), (1+c.Ratio)*firsts)
 }
 
-// A group without first attempts for long can retry once its minimum rate has
-// paid for it, and a smaller bank takes force at once.
-func TestQuietGroupMayRetry(t *testing.T) {
+// A group that had no first attempts for a long time can retry once the minimum rate
+// has added a retry, and a smaller burst takes effect immediately.
+func TestIdleGroupMayRetry(t *testing.T) {
 	b := NewBudget(BudgetConfig{Ratio: 0.2, MinPerSecond: 0.5, Bank: 3})
 	for range 3 {
 		require.True(t, b.Take(epoch))
@@ -92,8 +92,8 @@
 	require.False(t, b.Take(epoch.Add(2*time.Hour)))
 }
 
-// The delay lies in [0, min(Cap, Base*2^n)], leaves the service time before the
-// deadline, grows in proportion to the random number, and never overflows.
+// The delay is within [0, min(Cap, Base*2^n)], leaves the service time before the
+// deadline, is proportional to the random number, and never overflows.
 func TestBackoffIsFullJitterWithinDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Backoff{
@@ -102,7 +102,7 @@
 		}
 		n := rapid.IntRange(0, 1000).Draw(t, "retry")
 		limit := math.Min(float64(b.Cap), float64(b.Base)*math.Pow(2, float64(n)))
-		// Drawn integers are mostly small; the odd factor spreads them.
+		// Drawn integers are mostly small; multiplying by an odd number spreads them.
 		random := rapid.Uint64().Draw(t, "random") * 0x9e3779b97f4a7c15
 		delay, ok := b.Delay(n, random, epoch, time.Time{}, time.Hour)
 		require.True(t, ok)
@@ -119,9 +119,9 @@
 	})
 }
 
-// TestBudgetOfAWindow compares every window with a count of its own: what the window
-// before paid for may be spent, and nothing older.
-func TestBudgetOfAWindow(t *testing.T) {
+// TestBudgetWithWindow compares the retries of every window with an independent count:
+// the income of the window and of the one before may be spent, and nothing older.
+func TestBudgetWithWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		cfg := BudgetConfig{
@@ -163,9 +163,10 @@
 	})
 }
 
-// TestRetriesAreSavedForALoss replays one of 95 instances: four requests a second, and a
-// replica that dies with five of its streams after a while.
-func TestRetriesAreSavedForALoss(t *testing.T) {
+// TestBudgetCoversReplicaLoss replays one of 95 instances: four requests per second,
+// and after a while a replica crashes with five of its streams, which all may be
+// retried.
+func TestBudgetCoversReplicaLoss(t *testing.T) {
 	const instances = 95
 	cfg := BudgetConfig{Ratio: 0.08, MinPerSecond: 0.1, Bank: 187.0 / instances, Window: 10 * time.Second}
 	b := NewBudget(cfg)
--- a/core/waitlist/waitlist.go
+++ b/core/waitlist/waitlist.go
@@ -1,6 +1,7 @@
-// Package waitlist orders the requests that wait for room on the replicas of a
-// model: urgent ranks first, within a rank those that were refused before, then
-// by arrival. It bounds how long and how many may wait.
+// Package waitlist orders the requests that wait for free capacity on the replicas of a
+// model: by rank, the most urgent first; within a rank, requests that were refused
+// before and retried come first, the rest in order of arrival. It also bounds how long
+// they may wait.
 package waitlist
 
 import (
@@ -10,27 +11,28 @@
 
 // Item is a waiting request.
 type Item struct {
-	// Rank is 0 for the most urgent.
+	// Rank is the priority class; 0 is the most urgent.
 	Rank int
-	// Returned requests were refused before and came back as they were told.
+	// Returned marks a request that was refused before and was retried at the suggested
+	// time.
 	Returned bool
 	Arrival  time.Time
-	// GiveUp is when it is refused if it still waits.
+	// GiveUp is when the request is refused if it still waits.
 	GiveUp time.Time
 
-	order uint64
+	sequence uint64
 }
 
-// List is not safe for concurrent use.
+// List is an ordered list of waiting requests. It is not safe for concurrent use.
 type List struct {
-	items []*Item
-	count uint64
+	items        []*Item
+	lastSequence uint64
 }
 
-// Add puts an item into the list.
+// Add inserts an item.
 func (l *List) Add(it *Item) {
-	l.count++
-	it.order = l.count
+	l.lastSequence++
+	it.sequence = l.lastSequence
 	at := sort.Search(len(l.items), func(i int) bool { return it.before(l.items[i]) })
 	l.items = append(l.items, nil)
 	copy(l.items[at+1:], l.items[at:])
@@ -44,11 +46,11 @@
 	case it.Returned != other.Returned:
 		return it.Returned
 	default:
-		return it.order < other.order
+		return it.sequence < other.sequence
 	}
 }
 
-// Remove takes an item out; it returns false if it is not in the list.
+// Remove removes an item. It returns false if the item is not in the list.
 func (l *List) Remove(it *Item) bool {
 	for i, other := range l.items {
 		if other == it {
@@ -59,7 +61,7 @@
 	return false
 }
 
-// At returns the item with n items before it, or nil.
+// At returns the item at index n, or nil if there is none.
 func (l *List) At(n int) *Item {
 	if n >= len(l.items) {
 		return nil
@@ -70,7 +72,7 @@
 // Len returns the number of items.
 func (l *List) Len() int { return len(l.items) }
 
-// Expired takes out the items whose time to give up has come.
+// Expired removes and returns the items that have waited until their time of refusal.
 func (l *List) Expired(now time.Time) []*Item {
 	var out []*Item
 	kept := l.items[:0]
--- a/core/waitlist/waitlist_test.go
+++ b/core/waitlist/waitlist_test.go
@@ -40,7 +40,7 @@
 	require.Equal(t, 1, l.Len())
 }
 
-// TestMatchesSorting compares with a stable sort by rank and return.
+// TestMatchesSorting compares the list with a stable sort by rank and Returned.
 func TestMatchesSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l waitlist.List
