--- a/core/admission/ahead.go
+++ b/core/admission/ahead.go
@@ -72,7 +72,7 @@
 
 // ahead returns the number and the cost of the flow's requests ahead of r.
 func (f *flow) ahead(r *request) (place int, cost float64) {
-	if !r.returned {
+	if !r.requeued {
 		place, cost = f.queued, f.queuedCost
 		for o := f.last; o != nil; o = o.prev {
 			place--
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	for _, o := range f.returned {
+	for _, o := range f.requeued {
 		if o.seq < r.seq {
 			place++
 			cost += o.cost
--- a/core/admission/configure.go
+++ b/core/admission/configure.go
@@ -11,7 +11,7 @@
 	}
 	for i, r := range q.ranks {
 		r.minShare = 0
-		// Rank 0 has no explicit share: it gets what the other ranks leave.
+		// A share configured for rank 0 is ignored: it gets what the other ranks leave.
 		if i > 0 && i < len(c.Ranks) {
 			r.minShare = c.Ranks[i].MinShare
 		}
--- a/core/admission/deadline.go
+++ b/core/admission/deadline.go
@@ -44,8 +44,8 @@
 	if q.inFlight >= q.slots || f.workspace.atInFlightLimit() {
 		return false
 	}
-	capped := q.inFlight-q.urgentInFlight >= q.slots-q.reserved()
-	if capped && f.rank.index > 0 {
+	onlyReserved := q.inFlight-q.urgentInFlight >= q.slots-q.reserved()
+	if onlyReserved && f.rank.index > 0 {
 		return false
 	}
 	for _, r := range q.ranks {
@@ -106,14 +106,14 @@
 func (q *Queue) sweepFlow(now time.Time, f *flow) int {
 	examined := 0
 	var costAhead float64 // cost of the flow's requests ahead of r
-	for _, r := range f.returned {
+	for _, r := range f.requeued {
 		costAhead += r.cost
 	}
 	for r := f.first; r != nil; {
 		next := r.next
 		examined++
 		wait, known := q.expectedWait(now, f, costAhead)
-		if known && q.missesDeadlineClearly(now, r, wait) {
+		if known && q.missesDeadlineByMargin(now, r, wait) {
 			q.refuse(now, r, ReasonDeadline)
 		} else {
 			costAhead += r.cost
@@ -123,10 +123,10 @@
 	return examined
 }
 
-// missesDeadlineClearly reports whether r misses its deadline by the margin if it waits
+// missesDeadlineByMargin reports whether r misses its deadline by the margin if it waits
 // for wait seconds. The expected wait treats running requests as if they had just
 // started, so the service time of one of them is added to the margin.
-func (q *Queue) missesDeadlineClearly(now time.Time, r *request, wait float64) bool {
+func (q *Queue) missesDeadlineByMargin(now time.Time, r *request, wait float64) bool {
 	if r.deadline.IsZero() {
 		return false
 	}
--- a/core/admission/driver_test.go
+++ b/core/admission/driver_test.go
@@ -12,7 +12,7 @@
 type driver struct {
 	q       Admitter
 	now     time.Time
-	next    int
+	nextID  int
 	waiting map[string]Request
 	running []Request // in order of dispatch
 	actual  func(Request) float64
@@ -46,11 +46,11 @@
 }
 
 func (d *driver) arrive(workspace string, rank int, cost float64, timeout time.Duration) Request {
-	r := Request{ID: fmt.Sprint("r", d.next), Workspace: workspace, Rank: config.Rank(rank), Cost: cost}
+	r := Request{ID: fmt.Sprint("r", d.nextID), Workspace: workspace, Rank: config.Rank(rank), Cost: cost}
 	if timeout > 0 {
 		r.Deadline = d.now.Add(timeout)
 	}
-	d.next++
+	d.nextID++
 	d.waiting[r.ID] = r
 	d.apply(d.q.Arrive(d.now, r))
 	return r
--- a/core/admission/fifo.go
+++ b/core/admission/fifo.go
@@ -45,14 +45,14 @@
 	req.element = f.waiting.PushBack(req)
 	f.cost += r.Cost
 	f.requests[r.ID] = req
-	return f.fill(now)
+	return f.fillSlots(now)
 }
 
 // Capacity sets how many requests may run at once.
 func (f *FIFO) Capacity(now time.Time, slots int) []Effect {
 	f.effects = f.effects[:0]
 	f.slots = max(slots, 0)
-	return f.fill(now)
+	return f.fillSlots(now)
 }
 
 // Done reports that a dispatched request ran to completion.
@@ -65,7 +65,7 @@
 	f.rate.observe(r.Cost, now.Sub(r.dispatchedAt), f.slots)
 	delete(f.requests, id)
 	f.inFlight--
-	return f.fill(now)
+	return f.fillSlots(now)
 }
 
 // Cancel reports that a request ended early.
@@ -82,7 +82,7 @@
 	} else {
 		f.inFlight--
 	}
-	return f.fill(now)
+	return f.fillSlots(now)
 }
 
 // Requeue returns a dispatched request to the front of the queue.
@@ -100,13 +100,13 @@
 func (f *FIFO) Configure(now time.Time, c Config) []Effect {
 	f.effects = f.effects[:0]
 	f.maxQueued = c.MaxQueued
-	return f.fill(now)
+	return f.fillSlots(now)
 }
 
 // Tick dispatches requeued requests.
 func (f *FIFO) Tick(now time.Time) []Effect {
 	f.effects = f.effects[:0]
-	return f.fill(now)
+	return f.fillSlots(now)
 }
 
 // Stats summarizes the queue as a single rank, without workspaces.
@@ -144,7 +144,7 @@
 	return Position{}, false
 }
 
-func (f *FIFO) fill(now time.Time) []Effect {
+func (f *FIFO) fillSlots(now time.Time) []Effect {
 	for f.inFlight < f.slots && f.waiting.Len() > 0 {
 		r := f.waiting.Remove(f.waiting.Front()).(*fifoRequest)
 		r.element = nil
--- a/core/admission/flow.go
+++ b/core/admission/flow.go
@@ -14,8 +14,8 @@
 	seq      uint64 // order of arrival
 
 	running bool
-	// returned marks a request that was dispatched and then requeued.
-	returned     bool
+	// requeued marks a request that was dispatched and then requeued.
+	requeued     bool
 	dispatchedAt time.Time
 	startTag     float64 // assigned at the last dispatch
 	weight       float64 // the workspace's weight at the last dispatch
@@ -23,7 +23,7 @@
 
 	latestStart   time.Time // key in the deadline heap
 	deadlineIndex int       // index in the deadline heap, -1 if not in it
-	returnedIndex int       // index in the flow's heap of returned requests
+	requeuedIndex int       // index in the flow's heap of requeued requests
 	prev, next    *request  // neighbors in the flow's list
 }
 
@@ -56,7 +56,7 @@
 	id        uint64
 
 	first, last *request     // list of requests that were never dispatched, in order of arrival
-	returned    returnedHeap // requeued requests; they come before the list
+	requeued    requeuedHeap // requeued requests; they come before the list
 	queued      int
 	queuedCost  float64
 	inFlight    int
@@ -75,16 +75,16 @@
 
 // head returns the request that the flow serves next, or nil.
 func (f *flow) head() *request {
-	if len(f.returned) > 0 {
-		return f.returned[0]
+	if len(f.requeued) > 0 {
+		return f.requeued[0]
 	}
 	return f.first
 }
 
-// startTag returns the start tag of the head. A returned request keeps its own.
+// startTag returns the start tag of the head. A requeued request keeps its own.
 func (f *flow) startTag() float64 {
-	if len(f.returned) > 0 {
-		return f.returned[0].startTag
+	if len(f.requeued) > 0 {
+		return f.requeued[0].startTag
 	}
 	return max(f.minStartTag, f.finishTag)
 }
@@ -99,14 +99,14 @@
 	return f.startTag() + (f.queuedCost-f.last.cost)/f.workspace.policy.Weight
 }
 
-// add appends a new request, or inserts a returned one in order of arrival.
+// add appends a new request, or inserts a requeued one in order of arrival.
 func (f *flow) add(r *request) {
 	f.queued++
 	f.queuedCost += r.cost
 	f.workspace.queued++
 	f.workspace.queuedCost += r.cost
-	if r.returned {
-		heap.Push(&f.returned, r)
+	if r.requeued {
+		heap.Push(&f.requeued, r)
 		return
 	}
 	r.prev = f.last
@@ -127,8 +127,8 @@
 	if f.queued == 0 {
 		f.queuedCost = 0
 	}
-	if r.returned {
-		heap.Remove(&f.returned, r.returnedIndex)
+	if r.requeued {
+		heap.Remove(&f.requeued, r.requeuedIndex)
 		return
 	}
 	if r.prev != nil {
@@ -144,26 +144,26 @@
 	r.prev, r.next = nil, nil
 }
 
-// returnedHeap orders returned requests by arrival.
-type returnedHeap []*request
+// requeuedHeap orders requeued requests by arrival.
+type requeuedHeap []*request
 
-func (h returnedHeap) Len() int           { return len(h) }
-func (h returnedHeap) Less(i, j int) bool { return h[i].seq < h[j].seq }
+func (h requeuedHeap) Len() int           { return len(h) }
+func (h requeuedHeap) Less(i, j int) bool { return h[i].seq < h[j].seq }
 
-func (h returnedHeap) Swap(i, j int) {
+func (h requeuedHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].returnedIndex, h[j].returnedIndex = i, j
+	h[i].requeuedIndex, h[j].requeuedIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (h *returnedHeap) Push(x any) {
+func (h *requeuedHeap) Push(x any) {
 	r := x.(*request)
-	r.returnedIndex = len(*h)
+	r.requeuedIndex = len(*h)
 	*h = append(*h, r)
 }
 
 // Pop implements heap.Interface.
-func (h *returnedHeap) Pop() any {
+func (h *requeuedHeap) Pop() any {
 	last := len(*h) - 1
 	r := (*h)[last]
 	(*h)[last] = nil
--- a/core/admission/lifecycle_test.go
+++ b/core/admission/lifecycle_test.go
@@ -13,16 +13,16 @@
 type lifecycle struct {
 	*driver
 	q *Queue
-	// dispatches and returns count the dispatches and requeues by request ID.
-	dispatches, returns map[string]int
-	lastFirst           map[string]int // by flow, number of the newest request that was dispatched
+	// dispatches and requeues count the dispatches and requeues by request ID.
+	dispatches, requeues map[string]int
+	lastFirst            map[string]int // by flow, number of the newest request that was dispatched
 }
 
 func newLifecycle(t *rapid.T, c Config) *lifecycle {
 	q := New(c)
 	l := &lifecycle{
 		driver: newDriver(q), q: q,
-		dispatches: map[string]int{}, returns: map[string]int{}, lastFirst: map[string]int{},
+		dispatches: map[string]int{}, requeues: map[string]int{}, lastFirst: map[string]int{},
 	}
 	l.observe = func(r Request) {
 		require.True(t, r.Deadline.IsZero() || r.Deadline.After(l.now), "dispatched after its deadline")
@@ -39,7 +39,7 @@
 	return l
 }
 
-func (l *lifecycle) step(t *rapid.T) (returned bool) {
+func (l *lifecycle) step(t *rapid.T) (requeued bool) {
 	pick := func() int { return rapid.IntRange(0, len(l.running)-1).Draw(t, "running") }
 	switch event := rapid.IntRange(0, 9).Draw(t, "event"); {
 	case event < 5:
@@ -55,7 +55,7 @@
 		r := l.running[i]
 		l.running = append(l.running[:i:i], l.running[i+1:]...)
 		l.waiting[r.ID] = r
-		l.returns[r.ID]++
+		l.requeues[r.ID]++
 		l.apply(l.q.Requeue(l.now, r.ID))
 		return true
 	default:
@@ -74,13 +74,13 @@
 		l := newLifecycle(t, c)
 		for range rapid.IntRange(1, 150).Draw(t, "events") {
 			l.now = l.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond)
-			returned := l.step(t)
+			requeued := l.step(t)
 			require.Len(t, l.q.requests, len(l.waiting)+len(l.running))
-			require.LessOrEqual(t, l.q.queued, c.MaxQueued+len(l.returns))
+			require.LessOrEqual(t, l.q.queued, c.MaxQueued+len(l.requeues))
 			for _, r := range l.waiting {
 				require.False(t, !r.Deadline.IsZero() && r.Deadline.Before(l.now), "waits past its deadline")
 			}
-			if returned {
+			if requeued {
 				continue
 			}
 			usable := l.q.slots - l.q.inFlight
@@ -90,10 +90,10 @@
 			requireNoneReady(t, l.q, 2, usable)
 		}
 		for _, r := range l.running {
-			require.Equal(t, l.returns[r.ID]+1, l.dispatches[r.ID], r.ID)
+			require.Equal(t, l.requeues[r.ID]+1, l.dispatches[r.ID], r.ID)
 		}
 		for _, e := range l.refused {
-			require.Equal(t, l.returns[e.ID], l.dispatches[e.ID], e.ID)
+			require.Equal(t, l.requeues[e.ID], l.dispatches[e.ID], e.ID)
 			require.NotEqual(t, ReasonNone, e.Reason)
 			require.Positive(t, e.RetryAfter)
 		}
--- a/core/admission/naive_test.go
+++ b/core/admission/naive_test.go
@@ -21,7 +21,7 @@
 type naiveRequest struct {
 	Request
 	flow              *naiveFlow
-	running, returned bool
+	running, requeued bool
 	guaranteed        bool
 	startTag, weight  float64
 }
@@ -57,14 +57,14 @@
 
 // queue returns the waiting requests of f, requeued ones first.
 func (n *naiveQueue) queue(f *naiveFlow) []*naiveRequest {
-	returned := n.filter(false, func(r *naiveRequest) bool { return r.flow == f && r.returned })
-	return append(returned, n.filter(false, func(r *naiveRequest) bool { return r.flow == f && !r.returned })...)
+	requeued := n.filter(false, func(r *naiveRequest) bool { return r.flow == f && r.requeued })
+	return append(requeued, n.filter(false, func(r *naiveRequest) bool { return r.flow == f && !r.requeued })...)
 }
 
 // startTag returns the start tag of the first waiting request of f, which must have
 // one.
 func (n *naiveQueue) startTag(f *naiveFlow) float64 {
-	if head := n.queue(f)[0]; head.returned {
+	if head := n.queue(f)[0]; head.requeued {
 		return head.startTag
 	}
 	return max(f.minStartTag, f.finishTag)
@@ -123,42 +123,42 @@
 	}
 }
 
-func (n *naiveQueue) fill() {
+func (n *naiveQueue) fillSlots() {
 	for {
-		f, guaranteed := n.next()
+		f, guaranteed := n.nextDispatch()
 		if f == nil {
 			return
 		}
 		r := n.queue(f)[0]
 		r.guaranteed = guaranteed
 		n.updateCredits(r, r.Cost)
-		if !r.returned {
+		if !r.requeued {
 			r.startTag = n.startTag(f)
 			f.finishTag = r.startTag
 		}
 		r.weight = n.cfg.policy(f.workspace).Weight
 		f.finishTag += r.Cost / r.weight
 		n.virtualTime[f.rank] = max(n.virtualTime[f.rank], r.startTag)
-		r.running, r.returned = true, false
+		r.running, r.requeued = true, false
 		n.out = append(n.out, Effect{Kind: Dispatch, ID: r.ID})
 		n.updateEligibility()
 	}
 }
 
-func (n *naiveQueue) next() (f *naiveFlow, guaranteed bool) {
+func (n *naiveQueue) nextDispatch() (f *naiveFlow, guaranteed bool) {
 	if len(n.filter(true, anyRequest)) >= n.slots {
 		return nil, false
 	}
 	q := Queue{cfg: n.cfg, slots: n.slots, urgentLoad: n.urgentLoad}
 	others := n.filter(true, func(r *naiveRequest) bool { return r.flow.rank > 0 })
-	capped := len(others) >= n.slots-q.reserved()
+	onlyReserved := len(others) >= n.slots-q.reserved()
 	most := 0.0
 	for i, c := range n.credit {
-		if r := n.nextFlow(i); r != nil && c > most && !(capped && c < n.queue(r)[0].Cost) {
+		if r := n.nextFlow(i); r != nil && c > most && !(onlyReserved && c < n.queue(r)[0].Cost) {
 			f, most = r, c
 		}
 	}
-	for i := 0; f == nil && i < len(n.credit) && (i == 0 || !capped); i++ {
+	for i := 0; f == nil && i < len(n.credit) && (i == 0 || !onlyReserved); i++ {
 		f = n.nextFlow(i)
 	}
 	return f, most > 0
@@ -183,7 +183,7 @@
 	var candidateTag float64
 	for _, f := range n.flows {
 		queue := n.queue(f)
-		if len(queue) == 0 || queue[len(queue)-1].returned || !match(queue[0]) {
+		if len(queue) == 0 || queue[len(queue)-1].requeued || !match(queue[0]) {
 			continue
 		}
 		last, tag := queue[len(queue)-1], n.startTag(f)
@@ -222,14 +222,14 @@
 	}
 	n.all = append(n.all, &naiveRequest{Request: r, flow: n.flows[i]})
 	n.updateEligibility()
-	n.fill()
+	n.fillSlots()
 	n.enforceLimits(r.Workspace)
 }
 
 func (n *naiveQueue) configure(c Config) {
 	n.cfg = c
 	n.updateEligibility()
-	n.fill()
+	n.fillSlots()
 	var names []string
 	for _, f := range n.flows {
 		names = append(names, f.workspace)
@@ -243,12 +243,12 @@
 	r.flow.finishTag += (cost - r.Cost) / r.weight
 	n.updateCredits(r, cost-r.Cost)
 	n.remove(r)
-	n.fill()
+	n.fillSlots()
 }
 
 func (n *naiveQueue) requeue(r *naiveRequest) {
 	r.flow.finishTag -= r.Cost / r.weight
 	n.updateCredits(r, -r.Cost)
-	r.running, r.returned = false, true
+	r.running, r.requeued = false, true
 	n.updateEligibility()
 }
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -48,7 +48,7 @@
 	cost := clampCost(r.Cost)
 	if retryAfter, missed := q.missesDeadline(now, f, cost, r.Deadline); missed {
 		q.effects = append(q.effects, Effect{Kind: Refuse, ID: r.ID, Reason: ReasonHopeless, RetryAfter: retryAfter})
-		q.fill(now)
+		q.fillSlots(now)
 		return q.effects
 	}
 	req := q.newRequest()
@@ -58,7 +58,7 @@
 	f.rank.demand.add(now, cost)
 	f.demand.add(now, cost)
 	q.enqueue(req)
-	q.fill(now)
+	q.fillSlots(now)
 	q.enforceWorkspaceLimit(now, f.workspace)
 	q.enforcePoolLimit(now)
 	return q.effects
@@ -68,7 +68,7 @@
 func (q *Queue) Capacity(now time.Time, slots int) []Effect {
 	q.begin(now)
 	q.slots = max(slots, 0)
-	q.fill(now)
+	q.fillSlots(now)
 	return q.effects
 }
 
@@ -79,7 +79,7 @@
 	if r, ok := q.requests[id]; ok && r.running {
 		q.rate.observe(r.cost, now.Sub(r.dispatchedAt), q.slots)
 		q.settle(r, clampCost(cost))
-		q.fill(now)
+		q.fillSlots(now)
 	}
 	return q.effects
 }
@@ -97,7 +97,7 @@
 	} else {
 		q.discard(r)
 	}
-	q.fill(now)
+	q.fillSlots(now)
 	return q.effects
 }
 
@@ -112,7 +112,7 @@
 	q.releaseSlot(r)
 	r.flow.finishTag -= r.cost / r.weight
 	q.updateCredits(r.flow.rank, -r.cost, r.guaranteed)
-	r.returned = true
+	r.requeued = true
 	q.enqueue(r)
 	q.expire(now)
 	return q.effects
@@ -123,7 +123,7 @@
 func (q *Queue) Configure(now time.Time, c Config) []Effect {
 	q.begin(now)
 	q.applyConfig(c)
-	q.fill(now)
+	q.fillSlots(now)
 	for _, f := range q.flows {
 		q.enforceWorkspaceLimit(now, f.workspace)
 	}
@@ -136,7 +136,7 @@
 func (q *Queue) Tick(now time.Time) []Effect {
 	q.begin(now)
 	q.sweep(now)
-	q.fill(now)
+	q.fillSlots(now)
 	return q.effects
 }
 
@@ -152,8 +152,8 @@
 	q.expire(now)
 }
 
-// fill dispatches requests while a slot is free for one that waits.
-func (q *Queue) fill(now time.Time) {
+// fillSlots dispatches requests while a slot is free for one that waits.
+func (q *Queue) fillSlots(now time.Time) {
 	for {
 		r, guaranteed := q.nextRank()
 		if r == nil {
@@ -169,12 +169,12 @@
 	if q.inFlight >= q.slots {
 		return nil, false
 	}
-	capped := q.inFlight-q.urgentInFlight >= q.slots-q.reserved()
-	if owed := q.mostOwedRank(capped); owed != nil {
+	onlyReserved := q.inFlight-q.urgentInFlight >= q.slots-q.reserved()
+	if owed := q.mostOwedRank(onlyReserved); owed != nil {
 		return owed, true
 	}
 	for i, r := range q.ranks {
-		if capped && i > 0 {
+		if onlyReserved && i > 0 {
 			return nil, false
 		}
 		if r.nextFlow() != nil {
@@ -184,14 +184,14 @@
 	return nil, false
 }
 
-// mostOwedRank returns the rank that lags furthest behind its minimum share, or nil.
-// While only reserved slots are free (capped), a rank qualifies once its credit covers
-// its whole next request.
-func (q *Queue) mostOwedRank(capped bool) *rank {
+// mostOwedRank returns the rank that lags furthest behind its minimum share, or nil. If
+// only reserved slots are free, a rank qualifies once its credit covers its whole next
+// request.
+func (q *Queue) mostOwedRank(onlyReserved bool) *rank {
 	var best *rank
 	for _, r := range q.ranks {
 		f := r.nextFlow()
-		if f == nil || r.credit <= 0 || capped && r.credit < f.head().cost {
+		if f == nil || r.credit <= 0 || onlyReserved && r.credit < f.head().cost {
 			continue
 		}
 		if best == nil || r.credit > best.credit {
@@ -206,7 +206,7 @@
 	f := r.nextFlow()
 	req := f.head()
 	q.updateCredits(r, req.cost, guaranteed)
-	if !req.returned {
+	if !req.requeued {
 		req.startTag = f.startTag()
 		f.finishTag = req.startTag
 	}
@@ -214,7 +214,7 @@
 	f.finishTag += req.cost / req.weight
 	r.virtualTime = max(r.virtualTime, req.startTag)
 	q.dequeue(req)
-	req.running, req.returned, req.guaranteed, req.dispatchedAt = true, false, guaranteed, now
+	req.running, req.requeued, req.guaranteed, req.dispatchedAt = true, false, guaranteed, now
 	q.inFlight++
 	q.inFlightCost += req.cost
 	if r.index == 0 {
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -99,12 +99,12 @@
 				}
 			case "capacity":
 				n.slots = rapid.IntRange(0, 9).Draw(t, "slots")
-				n.fill()
+				n.fillSlots()
 				got = q.Capacity(now, n.slots)
 			case "leave":
 				if r := drawHeld(t, n, false); r != nil {
 					n.remove(r)
-					n.fill()
+					n.fillSlots()
 					got = q.Cancel(now, r.ID)
 				}
 			case "requeue":
@@ -116,7 +116,7 @@
 				n.configure(drawConfig(t))
 				got = q.Configure(now, n.cfg)
 			case "tick":
-				n.fill()
+				n.fillSlots()
 				got = q.Tick(now)
 			}
 			checkDecisions(t, n.out, got)
--- a/core/admission/rank.go
+++ b/core/admission/rank.go
@@ -15,7 +15,8 @@
 	// credit is the cost in tokens by which the rank lags behind its minimum share. It
 	// is negative if the rank was served in advance.
 	credit float64
-	// virtualTime is the virtual time: the largest start tag dispatched so far.
+	// virtualTime is the largest start tag dispatched so far, the virtual time of
+	// start-time fair queueing.
 	virtualTime float64
 	weight      float64 // sum over all its flows, including idle ones
 	queued      int
@@ -86,8 +87,8 @@
 
 // updateCredits records that cost tokens of rank served were dispatched. A negative
 // cost reverses an earlier call. Each other rank gains credit in proportion to its
-// minimum share; served itself pays if the dispatch was made to fill its minimum share
-// (guaranteed).
+// minimum share, up to zero if none of its requests may run; served itself pays if the
+// dispatch was made to fill its minimum share (guaranteed).
 func (q *Queue) updateCredits(served *rank, cost float64, guaranteed bool) {
 	for _, r := range q.ranks {
 		switch {
--- a/core/limit/aimd.go
+++ b/core/limit/aimd.go
@@ -15,7 +15,7 @@
 	switch {
 	case w.congested():
 		return limit * aimdDecrease
-	case w.used(limit):
+	case w.limitUsed(limit):
 		return limit + aimdIncrease
 	default:
 		return limit
--- a/core/limit/gradient_test.go
+++ b/core/limit/gradient_test.go
@@ -21,7 +21,7 @@
 		ratio = gradientMinRatio
 	}
 	ratio = min(max(ratio, gradientMinRatio), 1)
-	if ratio == 1 && !w.used(limit) {
+	if ratio == 1 && !w.limitUsed(limit) {
 		return limit
 	}
 	target := limit*ratio + math.Sqrt(limit)
--- a/core/limit/window.go
+++ b/core/limit/window.go
@@ -55,7 +55,7 @@
 	return w.refused || w.waiting || !w.slotsKnown && w.slowdown > maxSlowdown
 }
 
-// used reports whether the limit was nearly reached.
-func (w *window) used(limit float64) bool {
+// limitUsed reports whether the limit was nearly reached.
+func (w *window) limitUsed(limit float64) bool {
 	return float64(w.peakInFlight) >= usedFraction*limit
 }
--- a/core/waitlist/waitlist.go
+++ b/core/waitlist/waitlist.go
@@ -13,10 +13,10 @@
 type Item struct {
 	// Rank is the priority class; 0 is the most urgent.
 	Rank int
-	// Returned marks a request that was refused before and was retried at the suggested
+	// Retried marks a request that was refused before and was retried at the suggested
 	// time.
-	Returned bool
-	Arrival  time.Time
+	Retried bool
+	Arrival time.Time
 	// GiveUp is when the request is refused if it still waits.
 	GiveUp time.Time
 
@@ -43,8 +43,8 @@
 	switch {
 	case it.Rank != other.Rank:
 		return it.Rank < other.Rank
-	case it.Returned != other.Returned:
-		return it.Returned
+	case it.Retried != other.Retried:
+		return it.Retried
 	default:
 		return it.sequence < other.sequence
 	}
--- a/core/waitlist/waitlist_test.go
+++ b/core/waitlist/waitlist_test.go
@@ -16,12 +16,12 @@
 	var l waitlist.List
 	late := &waitlist.Item{Rank: 2}
 	second := &waitlist.Item{Rank: 1}
-	returned := &waitlist.Item{Rank: 1, Returned: true}
+	retried := &waitlist.Item{Rank: 1, Retried: true}
 	urgent := &waitlist.Item{Rank: 0}
-	for _, it := range []*waitlist.Item{late, second, returned, urgent} {
+	for _, it := range []*waitlist.Item{late, second, retried, urgent} {
 		l.Add(it)
 	}
-	for _, want := range []*waitlist.Item{urgent, returned, second, late} {
+	for _, want := range []*waitlist.Item{urgent, retried, second, late} {
 		require.Same(t, want, l.At(0))
 		require.True(t, l.Remove(want))
 	}
@@ -40,20 +40,20 @@
 	require.Equal(t, 1, l.Len())
 }
 
-// TestMatchesSorting compares the list with a stable sort by rank and Returned.
+// TestMatchesSorting compares the list with a stable sort by rank and Retried.
 func TestMatchesSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l waitlist.List
 		var naive []*waitlist.Item
 		for range rapid.IntRange(0, 20).Draw(t, "items") {
-			it := &waitlist.Item{Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Returned: rapid.Bool().Draw(t, "returned")}
+			it := &waitlist.Item{Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Retried: rapid.Bool().Draw(t, "retried")}
 			l.Add(it)
 			naive = append(naive, it)
 		}
 		for rank := range 3 {
-			for _, returned := range []bool{true, false} {
+			for _, retried := range []bool{true, false} {
 				for _, it := range naive {
-					if it.Rank != rank || it.Returned != returned {
+					if it.Rank != rank || it.Retried != retried {
 						continue
 					}
 					require.Same(t, it, l.At(0))
