--- a/core/admission/driver_test.go
+++ b/core/admission/driver_test.go
@@ -7,12 +7,12 @@
 	"masticbank.example/core/config"
 )
 
-// driver carries out the effects of an Admitter in virtual time and keeps
-// account of what it decided.
+// driver carries out the effects of an Admitter in virtual time and records its
+// decisions.
 type driver struct {
 	q       Admitter
 	now     time.Time
-	next    int
+	nextID  int
 	waiting map[string]Request
 	running []Request // in order of dispatch
 	actual  func(Request) float64
@@ -45,12 +45,12 @@
 	}
 }
 
-func (d *driver) arrive(workspace string, rank int, cost float64, patience time.Duration) Request {
-	r := Request{ID: fmt.Sprint("r", d.next), Workspace: workspace, Rank: config.Rank(rank), Cost: cost}
-	if patience > 0 {
-		r.Deadline = d.now.Add(patience)
+func (d *driver) arrive(workspace string, rank int, cost float64, timeout time.Duration) Request {
+	r := Request{ID: fmt.Sprint("r", d.nextID), Workspace: workspace, Rank: config.Rank(rank), Cost: cost}
+	if timeout > 0 {
+		r.Deadline = d.now.Add(timeout)
 	}
-	d.next++
+	d.nextID++
 	d.waiting[r.ID] = r
 	d.apply(d.q.Arrive(d.now, r))
 	return r
@@ -65,7 +65,8 @@
 	d.apply(d.q.Done(d.now, r.ID, d.actual(r)))
 }
 
-// queued counts the waiting requests of a rank, of any workspace if "".
+// queued counts the waiting requests of a rank, of all workspaces if workspace is
+// empty.
 func (d *driver) queued(workspace string, rank int) int {
 	n := 0
 	for _, r := range d.waiting {
@@ -76,7 +77,7 @@
 	return n
 }
 
-// isWaiting tells whether r neither runs nor was refused.
+// isWaiting reports whether r is neither running nor refused.
 func (d *driver) isWaiting(r Request) bool {
 	_, ok := d.waiting[r.ID]
 	return ok
