--- a/cmd/internal/entry/crash_test.go
+++ b/cmd/internal/entry/crash_test.go
@@ -273,7 +273,7 @@
 	}
 	f.eventually(func() bool { return f.send("POST", "/chat/1", "key1", "x").status == 200 }, "a path")
 	crashed := make(chan string, 64)
-	first.Set(platformtest.Behavior{CrashPartOn: crashBody, OnPartCrash: func(address string) {
+	first.Set(platformtest.Behavior{CrashStageOn: crashBody, OnStageCrash: func(address string) {
 		crashed <- address
 		byAddress[address].Crash()
 	}})
--- a/cmd/internal/entry/entry_test.go
+++ b/cmd/internal/entry/entry_test.go
@@ -263,7 +263,7 @@
 // TestStalledStreamsThatTrickleAreMoved has a replica that sends a comment now and then while
 // its stream stalls.
 func TestStalledStreamsThatTrickleAreMoved(t *testing.T) {
-	stalledStreamIsMoved(t, platformtest.Behavior{Trickle: true})
+	stalledStreamIsMoved(t, platformtest.Behavior{SendComments: true})
 }
 
 func stalledStreamIsMoved(t *testing.T, b platformtest.Behavior) {
@@ -277,7 +277,7 @@
 	w.eventually(func() bool {
 		return w.send("POST", "/chat/1", "key1", "prompt").status == 200 && w.store.Calls("/-/log-read") > 3
 	}, "the spare is read")
-	b.StallAfter, b.SilentPart = 2, dead.Address()
+	b.StallAfter, b.UnresponsiveStage = 2, dead.Address()
 	first.Set(b)
 	got := w.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
@@ -373,7 +373,7 @@
 	a := w.replica("i-a")
 	w.put(a, "llm", "ready", 0, 4)
 	w.start()
-	a.Set(platformtest.Behavior{StallAfter: 2, SilentPart: "127.0.0.1:9"})
+	a.Set(platformtest.Behavior{StallAfter: 2, UnresponsiveStage: "127.0.0.1:9"})
 	req, err := platformtest.NewRequest(w.instance.CallersAddr(), "POST", "/chat/1", "stopping", "key1", "prompt")
 	require.NoError(t, err)
 	resp, err := w.client.Do(req)
--- a/cmd/internal/entry/standing_test.go
+++ b/cmd/internal/entry/standing_test.go
@@ -138,7 +138,7 @@
 	w.put(other, "llm", "ready", 0, 4)
 	w.put(part, "llm", "ready", 2, 4)
 	w.start()
-	first.Set(platformtest.Behavior{Reject: true, RejectPart: part.Address(), Pause: fmt.Sprint(pauseSeconds)})
+	first.Set(platformtest.Behavior{Reject: true, RejectStage: part.Address(), Pause: fmt.Sprint(pauseSeconds)})
 	w.eventually(func() bool {
 		w.send("POST", "/chat/1", "key1", "x")
 		return len(first.Arrivals()) > 0
