--- a/cmd/internal/entry/crash_test.go
+++ b/cmd/internal/entry/crash_test.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// crashBody is in the body of requests that crash replicas.
+	// crashBody is contained in the body of requests that crash replicas.
 	crashBody = "crash"
-	// downTime is how long a crashed replica is away.
+	// downTime is how long a crashed replica stays down.
 	downTime = 400 * time.Millisecond
-	// maxCrashes is the number of replicas that one request may take down.
+	// maxCrashes is the maximum number of replicas that one request may crash.
 	maxCrashes = 3
 )
 
-// fleet is a world with several instances, whose replicas crash on crashBody and
-// come back with another start.
+// fleet is an environment with several instances. Its replicas crash on crashBody and
+// restart as a new process with a later start time.
 type fleet struct {
-	*world
+	*environment
 	replicas  []*platformtest.Replica
 	instances []*entry.Instance
 	peerPort  int
 }
 
 func newFleet(t *testing.T, service string, replicas, instances int, layers ...int) *fleet {
-	f := &fleet{world: newWorld(t), peerPort: freePort(t)}
-	f.config(1, "")
+	f := &fleet{environment: newEnvironment(t), peerPort: freePort(t)}
+	f.publishConfig(1, "")
 	for i := range replicas {
-		r := f.replica(fmt.Sprintf("i-%d", i))
+		r := f.newReplica(fmt.Sprintf("i-%d", i))
 		f.replicas = append(f.replicas, r)
 		r.Set(platformtest.Behavior{CrashOn: crashBody})
-		f.entry(r, service, f.born, layers...)
-		r.OnCrash(func() { f.comeBack(r, service, layers...) })
+		f.publishProcess(r, service, f.startTime, layers...)
+		r.OnCrash(func() { f.restartReplica(r, service, layers...) })
 	}
 	for range instances {
 		f.addInstance()
@@ -65,9 +65,9 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// entry writes the entry of a replica.
-func (f *fleet) entry(r *platformtest.Replica, service string, born int64, layers ...int) {
-	e := r.Entry(service, "z", "ready", born, 1)
+// publishProcess publishes the entry of a replica's process that started at startTime.
+func (f *fleet) publishProcess(r *platformtest.Replica, service string, startTime int64, layers ...int) {
+	e := r.Entry(service, "z", "ready", startTime, 1)
 	if len(layers) == 2 {
 		e["routeKind"] = "k"
 		e["layers"] = map[string]int{"from": layers[0], "target": layers[1], "version": 1}
@@ -75,16 +75,18 @@
 	f.store.PutJSON(platform.ReplicaTopic, r.ID, e)
 }
 
-func (f *fleet) comeBack(r *platformtest.Replica, service string, layers ...int) {
+// restartReplica restarts a crashed replica after downTime.
+func (f *fleet) restartReplica(r *platformtest.Replica, service string, layers ...int) {
 	time.Sleep(downTime)
 	if err := r.Restart(); err != nil {
 		f.t.Errorf("restart of %s: %v", r.ID, err)
 		return
 	}
-	f.entry(r, service, f.born+int64(r.Crashes()), layers...)
+	f.publishProcess(r, service, f.startTime+int64(r.Crashes()), layers...)
 }
 
-// addInstance starts one more instance, on a loopback address of its own.
+// addInstance starts another instance at its own loopback address and makes it the one
+// that send uses.
 func (f *fleet) addInstance() {
 	ip := "127.0.0." + strconv.Itoa(len(f.instances)+1)
 	i, err := entry.Start(entry.Options{
@@ -121,20 +123,20 @@
 	return n
 }
 
-// sendCopies sends a request again and again, each time to the next instance and
-// when all replicas are back. It returns the last answer.
-func (f *fleet) sendCopies(n int, method, path, body string) answer {
-	var last answer
+// sendCopies sends n copies of a request to the instances in turn. Before each further
+// copy it waits until all replicas have restarted. It returns the last response.
+func (f *fleet) sendCopies(n int, method, path, body string) response {
+	var last response
 	for k := range n {
 		f.instance = f.instances[k%len(f.instances)]
 		last = f.send(method, path, "key1", body)
-		f.settle()
+		f.waitForReplicas()
 	}
 	return last
 }
 
-// settle waits until the replicas are back and innocent requests are served.
-func (f *fleet) settle() {
+// waitForReplicas waits until all replicas accept connections again.
+func (f *fleet) waitForReplicas() {
 	time.Sleep(downTime)
 	f.eventually(func() bool {
 		for _, r := range f.replicas {
@@ -145,21 +147,22 @@
 			_ = c.Close()
 		}
 		return true
-	}, "all replicas back")
+	}, "all replicas have restarted")
 }
 
-// TestRequestThatCrashesReplicasReachesNoMoreThanThree sends copies of a request
-// that crashes each replica to all instances in turn.
-func TestRequestThatCrashesReplicasReachesNoMoreThanThree(t *testing.T) {
+// TestCrashingRequestReachesAtMostThreeReplicas guards against a request that
+// crashes every replica it reaches: copies sent to all instances in turn must crash at
+// most maxCrashes replicas, after which the request is blocked.
+func TestCrashingRequestReachesAtMostThreeReplicas(t *testing.T) {
 	for name, c := range map[string]struct {
 		method, path, service string
 		layers                []int
 		after                 int // events
 	}{
-		"idempotent":          {"GET", "/look/1", "plain", nil, 0},
-		"non-idempotent":      {"POST", "/order/1", "plain", nil, 0},
-		"stream":              {"POST", "/chat/1", "llm", []int{0, 4}, 0},
-		"stream with a start": {"POST", "/chat/1", "llm", []int{0, 4}, 2},
+		"idempotent":            {"GET", "/look/1", "plain", nil, 0},
+		"non-idempotent":        {"POST", "/order/1", "plain", nil, 0},
+		"stream":                {"POST", "/chat/1", "llm", []int{0, 4}, 0},
+		"stream after 2 events": {"POST", "/chat/1", "llm", []int{0, 4}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -169,7 +172,7 @@
 			}
 			last := f.sendCopies(8, c.method, c.path, crashBody)
 			require.LessOrEqual(t, f.crashes(), maxCrashes)
-			require.Equal(t, 503, last.status, "a copy that is stopped has not run")
+			require.Equal(t, 503, last.status, "a blocked copy was not executed")
 			require.NotEmpty(t, last.header.Get("Retry-After"))
 			f.eventually(func() bool {
 				return f.send(c.method, c.path, "key1", "another").status == 200
@@ -178,9 +181,10 @@
 	}
 }
 
-// TestStoppedRequestStaysStoppedAtNewInstances adds an instance after a request was
-// stopped, and then replaces all instances at the same time.
-func TestStoppedRequestStaysStoppedAtNewInstances(t *testing.T) {
+// TestBlockedRequestStaysBlockedAtNewInstances guards against losing the evidence against
+// a blocked request when instances are replaced: a new instance must block it, also after
+// all instances were replaced at the same time.
+func TestBlockedRequestStaysBlockedAtNewInstances(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 2)
 	f.sendCopies(6, "GET", "/look/1", crashBody)
@@ -188,10 +192,10 @@
 	before := f.crashes()
 
 	f.addInstance()
-	f.eventually(func() bool { return f.instance.Evidence() > 0 }, "the new instance is told")
+	f.eventually(func() bool { return f.instance.Evidence() > 0 }, "the new instance has received the evidence")
 	require.Equal(t, 503, f.send("GET", "/look/1", "key1", crashBody).status)
 
-	f.eventually(func() bool { return f.store.Calls("/-/log-append") > 0 }, "evidence in the store")
+	f.eventually(func() bool { return f.store.Calls("/-/log-append") > 0 }, "the evidence is in the store")
 	for _, i := range f.instances {
 		require.NoError(t, i.Stop())
 	}
@@ -201,9 +205,9 @@
 	require.Equal(t, before, f.crashes())
 }
 
-// TestStoppedRequestIsToldWhileTheStoreIsAway cuts all instances off from the store
-// before the request comes.
-func TestStoppedRequestIsToldWhileTheStoreIsAway(t *testing.T) {
+// TestRequestIsBlockedWhileTheStoreIsUnavailable has the store unavailable to all instances:
+// they must exchange the evidence among themselves.
+func TestRequestIsBlockedWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 3)
 	f.store.Fail(503)
@@ -212,9 +216,10 @@
 	f.store.Fail(0)
 }
 
-// TestLostAnswersDoNotStopARequest loses the answers of replicas that go on, of
-// replicas that hang, and of replicas that stop.
-func TestLostAnswersDoNotStopARequest(t *testing.T) {
+// TestLostResponsesDoNotBlockARequest guards against blocking a request that crashes no
+// replica. Its responses are lost by replicas that keep running, that hang, and that shut
+// down after draining.
+func TestLostResponsesDoNotBlockARequest(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 1)
 	for _, r := range f.replicas {
@@ -230,11 +235,11 @@
 		f.send("GET", "/look/1", "key1", "x")
 	}
 	for _, r := range f.replicas[1:] {
-		f.put(r, "plain", "draining")
+		f.publishEntry(r, "plain", "draining")
 	}
 	f.eventually(func() bool {
 		return f.send("GET", "/open/1", "", "other").status != 0 && f.store.Calls("/-/log-read") > 3
-	}, "the replicas leave")
+	}, "the draining entries are read")
 	for _, r := range f.replicas[1:] {
 		r.Crash()
 	}
@@ -242,9 +247,10 @@
 	f.eventually(func() bool { return f.send("GET", "/look/1", "key1", "x").status == 200 }, "the request is served")
 }
 
-// TestStoppedRequestOfOneCallerLeavesOthersAlone sends the same request with the key of
-// another workspace.
-func TestStoppedRequestOfOneCallerLeavesOthersAlone(t *testing.T) {
+// TestBlockedRequestDoesNotAffectOthers checks that only the blocked request is
+// rejected: the same request of another workspace, and requests of the same workspace with
+// another path or body, are served.
+func TestBlockedRequestDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 1)
 	f.sendCopies(5, "GET", "/look/1", crashBody)
@@ -258,26 +264,26 @@
 	require.Equal(t, 200, f.send("GET", "/look/1", "key1", "y").status, "another body")
 }
 
-// TestStreamThatCrashesPartsIsNotMovedOnAndOn sends streams that crash a later part of
-// their path, and each part that takes its place.
-func TestStreamThatCrashesPartsIsNotMovedOnAndOn(t *testing.T) {
+// TestStreamThatCrashesStagesIsNotMovedEndlessly guards against moving a stream from path to
+// path without end when it crashes a later stage and every stage that replaces it.
+func TestStreamThatCrashesStagesIsNotMovedEndlessly(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "llm", 0, 1)
-	first := f.replica("i-first")
-	f.entry(first, "llm", f.born, 0, 2)
+	first := f.newReplica("i-first")
+	f.publishProcess(first, "llm", f.startTime, 0, 2)
 	byAddress := map[string]*platformtest.Replica{}
 	for i := range 8 {
-		r := f.replica(fmt.Sprintf("i-part-%d", i))
+		r := f.newReplica(fmt.Sprintf("i-part-%d", i))
 		byAddress[r.Address()] = r
-		f.entry(r, "llm", f.born, 2, 4)
+		f.publishProcess(r, "llm", f.startTime, 2, 4)
 	}
-	f.eventually(func() bool { return f.send("POST", "/chat/1", "key1", "x").status == 200 }, "a path")
+	f.eventually(func() bool { return f.send("POST", "/chat/1", "key1", "x").status == 200 }, "a path is available")
 	crashed := make(chan string, 64)
 	first.Set(platformtest.Behavior{CrashStageOn: crashBody, OnStageCrash: func(address string) {
 		crashed <- address
 		byAddress[address].Crash()
 	}})
-	var last answer
+	var last response
 	for range 4 {
 		last = f.send("POST", "/chat/1", "key1", crashBody)
 	}
@@ -285,9 +291,9 @@
 	require.Equal(t, 503, last.status)
 }
 
-// TestStoppedRequestIsReadFromTheStoreByOneThatIsCutOff starts an instance that cannot
-// reach the others.
-func TestStoppedRequestIsReadFromTheStoreByOneThatIsCutOff(t *testing.T) {
+// TestPartitionedInstanceReadsEvidenceFromTheStore has an instance that cannot
+// connect to its peers: it must read the evidence from the store.
+func TestPartitionedInstanceReadsEvidenceFromTheStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 2)
 	f.peerPort = freePort(f.t)
--- a/cmd/internal/entry/endless_test.go
+++ b/cmd/internal/entry/endless_test.go
@@ -8,14 +8,15 @@
 	"masticbank.example/platform/platformtest"
 )
 
-// TestLongAnswersAreNeverCut sends answers that are longer than an instance takes.
-func TestLongAnswersAreNeverCut(t *testing.T) {
+// TestLongResponsesAreNeverTruncated guards against delivering a truncated response: one of the
+// maximum size is delivered whole, a longer one is replaced by an error.
+func TestLongResponsesAreNeverTruncated(t *testing.T) {
 	const longest = 16 << 20
-	w := newWorld(t)
-	w.config(1, "")
-	a, b := w.replica("i-a"), w.replica("i-b")
-	w.put(a, "plain", "ready")
-	w.put(b, "llm", "ready", 0, 4)
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a, b := w.newReplica("i-a"), w.newReplica("i-b")
+	w.publishEntry(a, "plain", "ready")
+	w.publishEntry(b, "llm", "ready", 0, 4)
 	w.start()
 	for size, delivered := range map[int]bool{longest: true, longest + 1: false} {
 		for path, r := range map[string]*platformtest.Replica{"/order/1": a, "/chat/1": b} {
@@ -31,15 +32,16 @@
 	}
 }
 
-// TestStreamsWithoutEndAreBroken sends events for as long as they are taken.
-func TestStreamsWithoutEndAreBroken(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
+// TestEndlessStreamsAreAborted guards against streams that never end: the instance
+// closes the connection, and the client does not see a complete stream.
+func TestEndlessStreamsAreAborted(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
 	a := platformtest.NewReplica("i-a", 1<<30)
 	t.Cleanup(a.Close)
-	w.put(a, "llm", "ready", 0, 4)
+	w.publishEntry(a, "llm", "ready", 0, 4)
 	w.start()
 	got := w.send("POST", "/chat/1", "key1", "prompt")
-	require.Error(t, got.err, "a stream that is cut must not look complete")
+	require.Error(t, got.err, "a truncated stream must not look complete")
 	require.Less(t, len(got.body), 64<<20)
 }
--- a/cmd/internal/entry/entry.go
+++ b/cmd/internal/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry assembles one entry instance on the users' platform.
+// Package entry assembles an entry instance that runs on the users' platform.
 package entry
 
 import (
@@ -29,48 +29,54 @@
 )
 
 const (
-	// idleTimeout closes callers' connections. Operators let callers reuse
-	// connections for less than that.
+	// idleTimeout is the time after which idle client connections are closed. It is
+	// longer than operators let clients reuse a connection.
 	idleTimeout = 60 * time.Second
-	// maxBodyBytes bounds a request's body; the operator's limit is lower.
+	// maxBodyBytes limits the size of a request's body. The operator's limit is lower.
 	maxBodyBytes = 8 << 20
-	// maxRequests bounds the requests handled at once. One takes about 30 KiB.
+	// maxRequests limits the number of concurrent requests. Each uses about 30 KiB of
+	// memory.
 	maxRequests = 3000
-	// reservedDescriptors are not used for callers: files, replicas and the store.
+	// reservedDescriptors is the number of file descriptors that client connections may
+	// not use. They are for files and connections to replicas and the store.
 	reservedDescriptors = 1200
-	// minConnections is the smallest bound on callers' connections.
+	// minConnections is the minimum limit on client connections.
 	minConnections = 256
-	// leaveWatch is how soon the work of a caller that left is ended; the users' rules
-	// allow 0.5 s. idleWatch is for listeners whose answers take no time.
-	leaveWatch = 80 * time.Millisecond
-	idleWatch  = time.Second
-	// smallServer bounds the requests handled at once on the other listeners.
-	smallServer = 64
+	// disconnectCheckInterval is the interval of the checks for disconnected clients,
+	// whose requests the users require to be cancelled within 0.5 s.
+	// auxiliaryCheckInterval is the interval for listeners that respond immediately.
+	disconnectCheckInterval = 80 * time.Millisecond
+	auxiliaryCheckInterval  = time.Second
+	// auxiliaryLimit limits the concurrent requests and the connections of each listener
+	// that is not for clients.
+	auxiliaryLimit = 64
 
-	// replicaDialTimeout bounds a connection to a replica, which is accepted within
-	// milliseconds.
+	// replicaDialTimeout limits the time to connect to a replica, which normally accepts
+	// a connection within milliseconds.
 	replicaDialTimeout = 250 * time.Millisecond
-	// replicaIdleTimeout closes idle connections to replicas that state no time.
+	// replicaIdleTimeout is the maximum idle time of connections to replicas.
 	replicaIdleTimeout = 4 * time.Second
-	// replicaIdleConnections bounds them for each replica.
+	// replicaIdleConnections is the maximum number of idle connections to each replica.
 	replicaIdleConnections = 64
-	// replicaUnacked ends a connection that the other side no longer acknowledges.
-	replicaUnacked = 700 * time.Millisecond
+	// replicaUnackedTimeout is the time after which a connection with unacknowledged data is
+	// closed.
+	replicaUnackedTimeout = 700 * time.Millisecond
 
-	// drainNotice is how long new requests are expected after SIGTERM: the platform
-	// asks for readiness each second and acts on the second miss.
+	// drainNotice is how long new requests may still arrive after SIGTERM. The platform
+	// checks readiness every second and stops routing after the second failed check.
 	drainNotice = 3 * time.Second
-	// stopMargin is kept free before the platform kills the process.
+	// stopMargin is the part of the grace period that is left unused before the platform
+	// kills the process.
 	stopMargin = 500 * time.Millisecond
-	// drainPoll is the time between two looks at the requests in progress.
-	drainPoll = 50 * time.Millisecond
-	// memoryShare is the part of the machine's memory from which on the collector
-	// works harder; the rest is for stacks of threads and what the kernel holds.
-	memoryShare = 0.7
-	// answerShare is the part for plain answers that are read.
-	answerShare = 0.125
-	bytesPerMB  = 1e6
-	// reloadInterval is the time between two looks at the settings file.
+	// drainPollInterval is how often Stop checks whether requests are still in progress.
+	drainPollInterval = 50 * time.Millisecond
+	// memoryLimitFraction is the fraction of the instance's memory that is set as the garbage
+	// collector's memory limit. The rest is for thread stacks and kernel memory.
+	memoryLimitFraction = 0.7
+	// responseMemoryFraction is the fraction for buffering plain responses of replicas.
+	responseMemoryFraction = 0.125
+	bytesPerMB             = 1e6
+	// reloadInterval is the interval of the checks for a changed settings file.
 	reloadInterval = time.Second
 )
 
@@ -78,41 +84,41 @@
 type Options struct {
 	SettingsPath string
 	Settings     *platform.Settings
-	// MetricsPort is the port for metrics on the machine's address; 0 for none.
+	// MetricsPort is the port for metrics at the instance's IP address; 0 disables them.
 	MetricsPort int
 	Version     string
 	Logger      *zap.Logger
-	// DrainNotice is how long new requests are expected after Stop; 0 means the
-	// time in which the platform notices that an instance is not ready.
+	// DrainNotice is how long new requests may still arrive after Stop is called. 0 means
+	// the time within which the platform detects that an instance is not ready.
 	DrainNotice time.Duration
 }
 
 // Instance is a running entry instance.
 type Instance struct {
-	opts     Options
-	log      *zap.Logger
-	settings atomic.Pointer[platform.Settings]
-	store    *platform.Store
-	replicas *platform.Replicas
-	client   *exchange.Client
-	gateway  *gateway.Gateway
-	metrics  *gateway.Metrics
-	control  *control.Control
-	mesh     *mesh.Mesh
-	member   string
-	callers  *httpserver.Server
-	ready    *httpserver.Server
-	metric   *httpserver.Server
-	leaving  atomic.Bool
-	cancel   context.CancelFunc
-	group    *errgroup.Group
+	opts          Options
+	log           *zap.Logger
+	settings      atomic.Pointer[platform.Settings]
+	store         *platform.Store
+	replicas      *platform.Replicas
+	client        *exchange.Client
+	gateway       *gateway.Gateway
+	metrics       *gateway.Metrics
+	control       *control.Control
+	mesh          *mesh.Mesh
+	member        string
+	clientServer  *httpserver.Server
+	readyServer   *httpserver.Server
+	metricsServer *httpserver.Server
+	leaving       atomic.Bool
+	cancel        context.CancelFunc
+	group         *errgroup.Group
 
-	// stop runs stopOnce, whose result is stopped.
+	// stop runs stopOnce once; stopErr is its result.
 	stop    sync.Once
-	stopped error
+	stopErr error
 }
 
-// Start assembles and starts an instance.
+// Start creates an instance and starts serving.
 func Start(o Options) (*Instance, error) {
 	s := o.Settings
 	if o.DrainNotice <= 0 {
@@ -128,12 +134,12 @@
 			DialTimeout:    replicaDialTimeout,
 			IdleTimeout:    replicaIdleTimeout,
 			IdlePerAddress: replicaIdleConnections,
-			UnackedTimeout: replicaUnacked,
+			UnackedTimeout: replicaUnackedTimeout,
 		}),
 	}
 	i.settings.Store(s)
-	// The name is new for each process: one that starts again has nothing of the
-	// duties that it held before.
+	// The name is unique for each process: a restarted process must not inherit the
+	// leader task that its predecessor held.
 	i.member = s.Instance + "@" + s.IP + "@" + uuid.NewString()
 	i.gateway = gateway.New(gateway.Options{
 		Codec:   platform.Codec{},
@@ -142,8 +148,8 @@
 		Logger:  i.log,
 		Metrics: i.metrics,
 		Zone:    s.Zone,
-		// Most of the memory is for requests that wait or stream.
-		AnswerBytes: int64(float64(s.MemoryMB) * answerShare * bytesPerMB),
+		// Most of the memory is for requests that are queued or streaming.
+		AnswerBytes: int64(float64(s.MemoryMB) * responseMemoryFraction * bytesPerMB),
 
 		Retries: retryBound(s),
 		OnSilent: func(replica string) {
@@ -197,7 +203,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * bytesPerMB))
+		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryLimitFraction * bytesPerMB))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	i.cancel = cancel
@@ -216,41 +222,43 @@
 	return i, nil
 }
 
-// setMembers takes the names of all instances: instance@IP@process.
+// setMembers sets the peers from the names of all group members. The format of a name
+// is instance@IP@process.
 func (i *Instance) setMembers(names []string) {
 	addresses := make(map[string]string, len(names))
 	for _, name := range names {
-		if parts := strings.Split(name, "@"); len(parts) == memberParts {
+		if parts := strings.Split(name, "@"); len(parts) == memberFields {
 			addresses[name] = parts[1]
 		}
 	}
 	i.mesh.SetMembers(addresses)
 }
 
-// memberParts is the number of parts of a member's name.
-const memberParts = 3
+// memberFields is the number of fields in a member's name.
+const memberFields = 3
 
 func retryBound(s *platform.Settings) gateway.RetryBound {
 	return gateway.RetryBound{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow}
 }
 
+// listen starts the listeners for clients, readiness checks and, if enabled, metrics.
 func (i *Instance) listen() error {
 	s := i.opts.Settings
 	var err error
-	i.callers, err = httpserver.Start(httpserver.Options{
+	i.clientServer, err = httpserver.Start(httpserver.Options{
 		Address:        s.CallersAddress,
 		MaxBodyBytes:   maxBodyBytes,
 		MaxConnections: max(minConnections, s.MaxDescriptors-reservedDescriptors),
 		MaxRequests:    maxRequests,
 		IdleTimeout:    idleTimeout,
-		WatchPeriod:    leaveWatch,
+		WatchPeriod:    disconnectCheckInterval,
 		Handler:        i.gateway,
-		Malformed:      malformed,
+		Malformed:      malformedBody,
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	i.ready, err = i.small(s.ReadyAddress, http.HandlerFunc(i.answerReady))
+	i.readyServer, err = i.startAuxiliary(s.ReadyAddress, http.HandlerFunc(i.handleReady))
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -258,28 +266,29 @@
 		return nil
 	}
 	expvar.Publish("masticbank", i.metrics)
-	i.metric, err = i.small(net.JoinHostPort(s.IP, strconv.Itoa(i.opts.MetricsPort)), expvar.Handler())
+	i.metricsServer, err = i.startAuxiliary(net.JoinHostPort(s.IP, strconv.Itoa(i.opts.MetricsPort)), expvar.Handler())
 	return trace.Wrap(err)
 }
 
-func (i *Instance) small(address string, h http.Handler) (*httpserver.Server, error) {
+// startAuxiliary starts a server with low limits for a listener that is not for clients.
+func (i *Instance) startAuxiliary(address string, h http.Handler) (*httpserver.Server, error) {
 	return httpserver.Start(httpserver.Options{
 		Address:        address,
 		MaxBodyBytes:   maxBodyBytes,
-		MaxConnections: smallServer,
-		MaxRequests:    smallServer,
+		MaxConnections: auxiliaryLimit,
+		MaxRequests:    auxiliaryLimit,
 		IdleTimeout:    idleTimeout,
-		WatchPeriod:    idleWatch,
+		WatchPeriod:    auxiliaryCheckInterval,
 		Handler:        h,
-		Malformed:      malformed,
+		Malformed:      malformedBody,
 	})
 }
 
-// malformed is the body of answers to what is no request.
-func malformed(int) []byte { return []byte("{\"error\":\"malformed request\"}\n") }
+// malformedBody returns the response body for input that is not a valid HTTP request.
+func malformedBody(int) []byte { return []byte("{\"error\":\"malformed request\"}\n") }
 
-// answerReady answers the platform's question for readiness.
-func (i *Instance) answerReady(w http.ResponseWriter, _ *http.Request) {
+// handleReady handles the platform's readiness checks.
+func (i *Instance) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if i.leaving.Load() || !i.control.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -287,22 +296,23 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Reload reads the settings file again. A file that cannot be used leaves the
-// present settings in force.
+// Reload reads the settings file again and applies changes. If the file is invalid the
+// current settings stay in effect.
 func (i *Instance) Reload(why string) {
 	next, err := platform.LoadSettings(i.opts.SettingsPath)
 	if err != nil {
 		i.log.Warn("settings not reloaded", zap.String("why", why), zap.Error(err))
 		return
 	}
-	if was := i.settings.Swap(next); *was == *next {
+	if previous := i.settings.Swap(next); *previous == *next {
 		return
 	}
 	i.gateway.SetRetryBound(retryBound(next))
 	i.log.Info("settings reloaded", zap.String("why", why), zap.Any("settings", next))
 }
 
-// watchSettings finds changes of the settings file that no signal tells.
+// watchSettings reloads the settings file periodically, so that changes take effect
+// without a signal.
 func (i *Instance) watchSettings(ctx context.Context) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -316,12 +326,12 @@
 	}
 }
 
-// Stop reports not ready, serves until no more requests are expected and those
-// in progress are answered, and ends the instance within the platform's time.
-// Later calls return the result of the first.
+// Stop shuts the instance down gracefully: it reports not ready, serves until no more
+// new requests are expected and those in progress have completed, and ends the instance
+// within the platform's grace period. Later calls return the result of the first.
 func (i *Instance) Stop() error {
-	i.stop.Do(func() { i.stopped = i.stopOnce() })
-	return i.stopped
+	i.stop.Do(func() { i.stopErr = i.stopOnce() })
+	return i.stopErr
 }
 
 func (i *Instance) stopOnce() error {
@@ -331,23 +341,23 @@
 	i.log.Info("stopping", zap.Int("in_flight", i.metrics.InFlight()), zap.Duration("within", s.Bounds.Shutdown))
 	i.leaving.Store(true)
 	i.control.Retire()
-	i.callers.Drain()
+	i.clientServer.Drain()
 	notice := start.Add(i.opts.DrainNotice)
 	i.gateway.Drain(notice)
 	i.waitIdle(notice, end)
 	ctx, cancel := context.WithDeadline(context.Background(), end.Add(stopMargin/2))
 	defer cancel()
-	err := trace.NewAggregate(i.callers.Shutdown(ctx), i.close(ctx))
+	err := trace.NewAggregate(i.clientServer.Shutdown(ctx), i.close(ctx))
 	i.log.Info("stopped", zap.Duration("took", time.Since(start)), zap.Int("in_flight", i.metrics.InFlight()), zap.Error(err))
 	return trace.Wrap(err)
 }
 
-// close ends what serves no callers.
+// close stops everything except the listener for clients.
 func (i *Instance) close(ctx context.Context) error {
 	i.cancel()
-	errs := []error{i.group.Wait(), i.mesh.Close(ctx), i.ready.Shutdown(ctx)}
-	if i.metric != nil {
-		errs = append(errs, i.metric.Shutdown(ctx))
+	errs := []error{i.group.Wait(), i.mesh.Close(ctx), i.readyServer.Shutdown(ctx)}
+	if i.metricsServer != nil {
+		errs = append(errs, i.metricsServer.Shutdown(ctx))
 	}
 	i.client.Close()
 	i.replicas.Close()
@@ -355,21 +365,23 @@
 	return trace.NewAggregate(errs...)
 }
 
-// CallersAddr returns the address that callers connect to.
-func (i *Instance) CallersAddr() string { return i.callers.Addr() }
+// CallersAddr returns the address that clients connect to.
+func (i *Instance) CallersAddr() string { return i.clientServer.Addr() }
 
-// Instances returns the number of entry instances, 0 while it is not known.
+// Instances returns the number of entry instances, or 0 while it is unknown.
 func (i *Instance) Instances() int { return i.gateway.Instances() }
 
-// Evidence returns the number of crashes under requests that are known here.
+// Evidence returns the number of replica crashes known to this instance that happened
+// while a request was running.
 func (i *Instance) Evidence() int { return len(i.gateway.Evidence().Crashes) }
 
-// ReadyAddr returns the address that is asked for readiness.
-func (i *Instance) ReadyAddr() string { return i.ready.Addr() }
+// ReadyAddr returns the address for readiness checks.
+func (i *Instance) ReadyAddr() string { return i.readyServer.Addr() }
 
-// waitIdle waits until no request is in progress after notice, or until end.
+// waitIdle waits until notice has passed and no request is in progress, but at most until
+// end.
 func (i *Instance) waitIdle(notice, end time.Time) {
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for now := range ticker.C {
 		if now.After(end) || (now.After(notice) && i.metrics.InFlight() == 0) {
--- a/cmd/internal/entry/entry_test.go
+++ b/cmd/internal/entry/entry_test.go
@@ -20,29 +20,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds waits for something that is to happen; it is no expectation of
+// waitTimeout is the maximum wait for an expected condition. It is not a requirement on
 // speed.
-const patience = 20 * time.Second
-
-// world is a store, replicas and one instance.
-type world struct {
-	t        *testing.T
-	store    *platformtest.Store
-	instance *entry.Instance
-	client   *http.Client
-	born     int64
-	beats    map[string]int64
-	requests int
+const waitTimeout = 20 * time.Second
+
+// environment is the system under test: a store, replicas and one instance.
+type environment struct {
+	t         *testing.T
+	store     *platformtest.Store
+	instance  *entry.Instance
+	client    *http.Client
+	startTime int64
+	sequences map[string]int64
+	requests  int
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: platformtest.NewStore(), born: 1000, beats: map[string]int64{}, client: &http.Client{Transport: &http.Transport{}}}
+func newEnvironment(t *testing.T) *environment {
+	w := &environment{t: t, store: platformtest.NewStore(), startTime: 1000, sequences: map[string]int64{}, client: &http.Client{Transport: &http.Transport{}}}
 	t.Cleanup(w.store.Close)
 	t.Cleanup(w.client.CloseIdleConnections)
 	return w
 }
 
-func (w *world) config(version int, extra string) {
+// publishConfig publishes a version of the configuration. extra is appended to its routes.
+func (w *environment) publishConfig(version int, extra string) {
 	w.store.Put(platform.OperatorTopic, "config", fmt.Appendf(nil, `{"version":%d,"routes":[
 	{"name":"chat","host":"h.example","pathPrefix":"/chat/","routeKind":"streaming","timeoutMs":20000,"targetLatencyMs":500,"maxAttempts":2,"resumable":true,"service":"llm"},
 	{"name":"order","host":"h.example","pathPrefix":"/order/","routeKind":"non_idempotent","timeoutMs":5000,"maxAttempts":1,"service":"plain"},
@@ -54,9 +55,11 @@
 	"tenants":[{"name":"w1","apiKeys":["key1"]},{"name":"w2","apiKeys":["key2"]}]}`, version, extra))
 }
 
-func (w *world) put(r *platformtest.Replica, service, state string, layers ...int) {
-	w.beats[r.ID]++
-	e := r.Entry(service, "z", state, w.born, w.beats[r.ID])
+// publishEntry publishes the entry of a replica that, if layers has two elements, holds the
+// layers in this half-open range.
+func (w *environment) publishEntry(r *platformtest.Replica, service, state string, layers ...int) {
+	w.sequences[r.ID]++
+	e := r.Entry(service, "z", state, w.startTime, w.sequences[r.ID])
 	if len(layers) == 2 {
 		e["routeKind"] = "k"
 		e["layers"] = map[string]int{"from": layers[0], "target": layers[1], "version": 1}
@@ -64,15 +67,15 @@
 	w.store.PutJSON(platform.ReplicaTopic, r.ID, e)
 }
 
-func (w *world) replica(id string) *platformtest.Replica {
+func (w *environment) newReplica(id string) *platformtest.Replica {
 	r := platformtest.NewReplica(id, 6)
 	w.t.Cleanup(r.Close)
 	return r
 }
 
-// start runs the instance until the test ends.
-func (w *world) start() {
-	w.instance = w.launch()
+// start runs the instance until the test ends, and waits until it is ready.
+func (w *environment) start() {
+	w.instance = w.launchInstance()
 	w.t.Cleanup(func() { require.NoError(w.t, w.instance.Stop()) })
 	w.eventually(func() bool {
 		resp, err := w.client.Get("http://" + w.instance.ReadyAddr() + "/-/ready")
@@ -82,11 +85,12 @@
 		defer resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	}, "ready")
-	// Before that it retries only what its own requests pay for.
+	// Before it knows this number, its retry budget depends only on its own requests.
 	w.eventually(func() bool { return w.instance.Instances() > 0 }, "the number of instances")
 }
 
-func (w *world) launch() *entry.Instance {
+// launchInstance starts an instance without waiting until it is ready.
+func (w *environment) launchInstance() *entry.Instance {
 	i, err := entry.Start(entry.Options{
 		Settings: &platform.Settings{
 			Instance: "edge-1", Zone: "z", IP: "127.0.0.1", CallersAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
@@ -103,33 +107,33 @@
 	return i
 }
 
-func (w *world) eventually(ok func() bool, what string) {
+func (w *environment) eventually(ok func() bool, what string) {
 	w.t.Helper()
-	require.Eventually(w.t, ok, patience, 10*time.Millisecond, what)
+	require.Eventually(w.t, ok, waitTimeout, 10*time.Millisecond, what)
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (w *world) send(method, path, key, body string) answer {
+func (w *environment) send(method, path, key, body string) response {
 	w.requests++
 	req, err := platformtest.NewRequest(w.instance.CallersAddr(), method, path, fmt.Sprintf("id-%d", w.requests), key, body)
 	require.NoError(w.t, err)
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// wholeStream is what a caller gets of a stream of six events.
-func wholeStream() string {
+// completeStream returns the body of a complete stream of six events.
+func completeStream() string {
 	var b strings.Builder
 	for n := 1; n <= 6; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", n, n)
@@ -138,10 +142,10 @@
 }
 
 func TestPlainRequests(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a := w.replica("i-a")
-	w.put(a, "plain", "ready")
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a := w.newReplica("i-a")
+	w.publishEntry(a, "plain", "ready")
 	w.start()
 
 	got := w.send("POST", "/order/7?x=%2F", "key1", "two boards")
@@ -163,12 +167,12 @@
 	require.Len(t, a.Runs(), 2)
 }
 
-func TestOrdersRunOnce(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a, b := w.replica("i-a"), w.replica("i-b")
-	w.put(a, "plain", "ready")
-	w.put(b, "plain", "ready")
+func TestOrdersAreExecutedOnce(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a, b := w.newReplica("i-a"), w.newReplica("i-b")
+	w.publishEntry(a, "plain", "ready")
+	w.publishEntry(b, "plain", "ready")
 	w.start()
 
 	a.Set(platformtest.Behavior{Lose: true})
@@ -179,7 +183,7 @@
 
 	a.Set(platformtest.Behavior{Reject: true})
 	b.Set(platformtest.Behavior{})
-	require.Equal(t, 200, w.send("POST", "/order/2", "key1", "x").status, "one that was rejected goes to another replica")
+	require.Equal(t, 200, w.send("POST", "/order/2", "key1", "x").status, "a rejected order is sent to another replica")
 
 	b.Set(platformtest.Behavior{Reject: true})
 	got = w.send("POST", "/order/3", "key1", "x")
@@ -188,11 +192,11 @@
 
 	a.Set(platformtest.Behavior{OtherID: true})
 	got = w.send("POST", "/order/4", "key1", "x")
-	require.Equal(t, 502, got.status, "an answer to another request is no answer")
+	require.Equal(t, 502, got.status, "a response to another request is not accepted")
 
 	a.Set(platformtest.Behavior{Unsigned: true})
 	got = w.send("POST", "/order/5", "key1", "x")
-	require.Equal(t, 502, got.status, "a success without a signature is no answer")
+	require.Equal(t, 502, got.status, "a success without a signature is not accepted")
 
 	runs := len(a.Runs())
 	got = w.send("POST", "/order/6", "key1", strings.Repeat("x", 70_000))
@@ -200,12 +204,12 @@
 	require.Len(t, a.Runs(), runs)
 }
 
-func TestLookupsAreRepeated(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a, b := w.replica("i-a"), w.replica("i-b")
-	w.put(a, "plain", "ready")
-	w.put(b, "plain", "ready")
+func TestLookupsAreRetried(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a, b := w.newReplica("i-a"), w.newReplica("i-b")
+	w.publishEntry(a, "plain", "ready")
+	w.publishEntry(b, "plain", "ready")
 	w.start()
 	a.Set(platformtest.Behavior{Lose: true})
 	for range 4 {
@@ -214,32 +218,32 @@
 	a.Set(platformtest.Behavior{Status: 500})
 	b.Set(platformtest.Behavior{Status: 500})
 	got := w.send("GET", "/look/1", "key1", "")
-	require.Equal(t, 500, got.status, "the replica's own failure is passed on")
+	require.Equal(t, 500, got.status, "the replica's own error is forwarded")
 	require.NotEmpty(t, platformtest.Signature(got.header))
 }
 
 func TestStreams(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	first, second := w.replica("i-1"), w.replica("i-2")
-	w.put(first, "llm", "ready", 0, 2)
-	w.put(second, "llm", "ready", 2, 4)
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	first, second := w.newReplica("i-1"), w.newReplica("i-2")
+	w.publishEntry(first, "llm", "ready", 0, 2)
+	w.publishEntry(second, "llm", "ready", 2, 4)
 	w.start()
 	got := w.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
 	require.Equal(t, 200, got.status)
-	require.Equal(t, wholeStream(), got.body)
+	require.Equal(t, completeStream(), got.body)
 	run := first.Runs()[0]
 	require.Equal(t, first.Address()+"=0-2,"+second.Address()+"=2-4", run.Path())
 	require.Empty(t, second.Runs())
 }
 
-func TestBrokenStreamsGoOnElsewhere(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a, b := w.replica("i-a"), w.replica("i-b")
-	w.put(a, "llm", "ready", 0, 4)
-	w.put(b, "llm", "ready", 0, 4)
+func TestBrokenStreamsAreResumedElsewhere(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a, b := w.newReplica("i-a"), w.newReplica("i-b")
+	w.publishEntry(a, "llm", "ready", 0, 4)
+	w.publishEntry(b, "llm", "ready", 0, 4)
 	w.start()
 	for i, set := range []platformtest.Behavior{{BreakAfter: 3}, {Lose: true}, {Reject: true}} {
 		a.Set(set)
@@ -247,41 +251,41 @@
 		for range 3 {
 			got := w.send("POST", "/chat/1", "key1", "prompt")
 			require.NoError(t, got.err, "case %d", i)
-			require.Equal(t, wholeStream(), got.body, "case %d", i)
+			require.Equal(t, completeStream(), got.body, "case %d", i)
 		}
 	}
 	a.Set(platformtest.Behavior{BreakAfter: 2})
 	b.Set(platformtest.Behavior{BreakAfter: 2})
 	got := w.send("POST", "/chat/1", "key1", "prompt")
-	require.Error(t, got.err, "a stream that cannot go on must not look complete")
+	require.Error(t, got.err, "a stream that cannot be resumed must not look complete")
 }
 
 func TestStalledStreamsAreMovedToAnotherPath(t *testing.T) {
 	stalledStreamIsMoved(t, platformtest.Behavior{})
 }
 
-// TestStalledStreamsThatTrickleAreMoved has a replica that sends a comment now and then while
-// its stream stalls.
-func TestStalledStreamsThatTrickleAreMoved(t *testing.T) {
+// TestStalledStreamsWithCommentsAreMoved guards against comments that hide a stall: the
+// replica sends them at regular intervals while its stream is stalled.
+func TestStalledStreamsWithCommentsAreMoved(t *testing.T) {
 	stalledStreamIsMoved(t, platformtest.Behavior{SendComments: true})
 }
 
 func stalledStreamIsMoved(t *testing.T, b platformtest.Behavior) {
-	w := newWorld(t)
-	w.config(1, "")
-	first, dead, spare := w.replica("i-1"), w.replica("i-2"), w.replica("i-3")
-	w.put(first, "llm", "ready", 0, 2)
-	w.put(dead, "llm", "ready", 2, 4)
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	first, dead, spare := w.newReplica("i-1"), w.newReplica("i-2"), w.newReplica("i-3")
+	w.publishEntry(first, "llm", "ready", 0, 2)
+	w.publishEntry(dead, "llm", "ready", 2, 4)
 	w.start()
-	w.put(spare, "llm", "ready", 2, 4)
+	w.publishEntry(spare, "llm", "ready", 2, 4)
 	w.eventually(func() bool {
 		return w.send("POST", "/chat/1", "key1", "prompt").status == 200 && w.store.Calls("/-/log-read") > 3
-	}, "the spare is read")
+	}, "the entry of the spare replica is read")
 	b.StallAfter, b.UnresponsiveStage = 2, dead.Address()
 	first.Set(b)
 	got := w.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
-	require.Equal(t, wholeStream(), strings.ReplaceAll(got.body, ": still here\n\n", ""))
+	require.Equal(t, completeStream(), strings.ReplaceAll(got.body, ": still here\n\n", ""))
 	found := false
 	for _, o := range first.Orders() {
 		found = found || (strings.Contains(o, "repath") && strings.Contains(o, spare.Address()+"=2-4"))
@@ -289,76 +293,77 @@
 	require.True(t, found, "orders: %v", first.Orders())
 }
 
-// TestSlowButSoundStreamsAreNotCut has a replica with pauses of more than three times the gap
-// after which it is asked, which says that nothing stalls.
-func TestSlowButSoundStreamsAreNotCut(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a := w.replica("i-1")
-	w.put(a, "llm", "ready", 0, 4)
+// TestSlowStreamsAreNotAborted guards against aborting or moving a slow stream. Its
+// replica pauses for more than three times the gap after which it is asked for a report,
+// and reports no stalled request.
+func TestSlowStreamsAreNotAborted(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a := w.newReplica("i-1")
+	w.publishEntry(a, "llm", "ready", 0, 4)
 	w.start()
 	a.Set(platformtest.Behavior{EventPause: time.Second})
 	got := w.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
-	require.Equal(t, wholeStream(), got.body)
+	require.Equal(t, completeStream(), got.body)
 	require.Len(t, a.Runs(), 1)
 	require.Empty(t, a.Orders())
 }
 
-func TestLayersAreOrdered(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a := w.replica("i-a")
-	e := a.Entry("llm", "z", "ready", w.born, 1)
+func TestLayersAreAssigned(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a := w.newReplica("i-a")
+	e := a.Entry("llm", "z", "ready", w.startTime, 1)
 	e["routeKind"], e["layers"] = "k", nil
 	w.store.PutJSON(platform.ReplicaTopic, a.ID, e)
 	w.start()
-	w.eventually(func() bool { return len(a.Orders()) > 0 }, "an order")
+	w.eventually(func() bool { return len(a.Orders()) > 0 }, "an order is received")
 	require.Contains(t, a.Orders()[0], `"from":0`)
 	require.Contains(t, a.Orders()[0], `"target":4`)
 }
 
 func TestConfigurationChanges(t *testing.T) {
-	w := newWorld(t)
-	w.config(5, "")
-	a := w.replica("i-a")
-	w.put(a, "plain", "ready")
+	w := newEnvironment(t)
+	w.publishConfig(5, "")
+	a := w.newReplica("i-a")
+	w.publishEntry(a, "plain", "ready")
 	w.start()
 	require.Equal(t, 404, w.send("GET", "/new/", "key1", "").status)
 	extra := `,{"name":"new","host":"h.example","pathPrefix":"/new/","routeKind":"idempotent","timeoutMs":5000,"maxAttempts":2,"service":"plain"}`
-	w.config(9, extra)
+	w.publishConfig(9, extra)
 	w.eventually(func() bool { return w.send("GET", "/new/", "key1", "").status == 200 }, "the new route")
-	w.config(7, "")
+	w.publishConfig(7, "")
 	w.store.Put(platform.OperatorTopic, "config", []byte("{"))
-	w.config(11, extra+`,{"name":"last","host":"h.example","pathPrefix":"/last/","routeKind":"idempotent","service":"plain"}`)
+	w.publishConfig(11, extra+`,{"name":"last","host":"h.example","pathPrefix":"/last/","routeKind":"idempotent","service":"plain"}`)
 	w.eventually(func() bool {
 		require.Equal(t, 200, w.send("GET", "/new/", "key1", "").status, "an older or unreadable version changes nothing")
 		return w.send("GET", "/last/", "key1", "").status == 200
 	}, "the last route")
 }
 
-func TestLeavingReplicasGetNothingNew(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a, b := w.replica("i-a"), w.replica("i-b")
-	w.put(a, "plain", "ready")
-	w.put(b, "plain", "ready")
+func TestDrainingReplicasGetNoNewRequests(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a, b := w.newReplica("i-a"), w.newReplica("i-b")
+	w.publishEntry(a, "plain", "ready")
+	w.publishEntry(b, "plain", "ready")
 	w.start()
-	w.put(a, "plain", "draining")
+	w.publishEntry(a, "plain", "draining")
 	w.eventually(func() bool {
 		before := len(a.Runs())
 		for range 6 {
 			w.send("GET", "/look/1", "key1", "")
 		}
 		return len(a.Runs()) == before
-	}, "nothing new for the replica that leaves")
+	}, "no new requests for the leaving replica")
 }
 
-func TestServesWhileTheStoreIsAway(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a := w.replica("i-a")
-	w.put(a, "plain", "ready")
+func TestServesWhileTheStoreIsUnavailable(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a := w.newReplica("i-a")
+	w.publishEntry(a, "plain", "ready")
 	w.start()
 	w.store.Fail(503)
 	calls := w.store.Calls("/-/log-read")
@@ -367,11 +372,11 @@
 	w.store.Fail(0)
 }
 
-func TestStreamsEndBeforeTheInstanceStops(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a := w.replica("i-a")
-	w.put(a, "llm", "ready", 0, 4)
+func TestStreamsCompleteBeforeTheInstanceStops(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a := w.newReplica("i-a")
+	w.publishEntry(a, "llm", "ready", 0, 4)
 	w.start()
 	a.Set(platformtest.Behavior{StallAfter: 2, UnresponsiveStage: "127.0.0.1:9"})
 	req, err := platformtest.NewRequest(w.instance.CallersAddr(), "POST", "/chat/1", "stopping", "key1", "prompt")
@@ -394,28 +399,30 @@
 	}, "not ready")
 	rest, err := io.ReadAll(lines)
 	require.NoError(t, err)
-	require.Equal(t, wholeStream(), head+string(rest))
+	require.Equal(t, completeStream(), head+string(rest))
 	require.NoError(t, <-stopped)
 }
 
-// TestRequestsJustAfterTheStartAreServed sends a request before the instance has read
-// anything: its caller's connection broke with the process before.
+// TestRequestsJustAfterTheStartAreServed guards against rejecting requests that arrive
+// before the instance has read anything from the store, such as those of clients that
+// reconnect after the previous process ended.
 func TestRequestsJustAfterTheStartAreServed(t *testing.T) {
 	for range 5 {
-		w := newWorld(t)
-		w.config(1, "")
-		w.put(w.replica("i-a"), "plain", "ready")
-		w.instance = w.launch()
+		w := newEnvironment(t)
+		w.publishConfig(1, "")
+		w.publishEntry(w.newReplica("i-a"), "plain", "ready")
+		w.instance = w.launchInstance()
 		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
 		require.NoError(t, w.instance.Stop())
 	}
 }
 
-// TestWaitForTheStoreIsBounded has a store that does not answer after the start.
+// TestWaitForTheStoreIsBounded has a store that is unavailable from the start on: requests
+// must get a response instead of waiting forever.
 func TestWaitForTheStoreIsBounded(t *testing.T) {
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.store.Fail(http.StatusServiceUnavailable)
-	w.instance = w.launch()
+	w.instance = w.launchInstance()
 	t.Cleanup(func() { require.NoError(t, w.instance.Stop()) })
 	got := w.send("GET", "/look/1", "key1", "")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
--- a/cmd/internal/entry/standing_test.go
+++ b/cmd/internal/entry/replica_status_test.go
@@ -13,10 +13,10 @@
 	"masticbank.example/platform/platformtest"
 )
 
-// pauseSeconds is what replicas of these tests ask for.
+// pauseSeconds is the Retry-After time of the replicas in these tests.
 const pauseSeconds = 1.5
 
-// arrivedAfter counts the requests that came to a replica later than at.
+// arrivedAfter returns the number of requests that arrived at a replica after at.
 func arrivedAfter(r *platformtest.Replica, at time.Time) int {
 	n := 0
 	for _, a := range r.Arrivals() {
@@ -27,23 +27,24 @@
 	return n
 }
 
-// TestReplicaThatSaysItLeavesGetsNothingMore has a plain replica that says so in its
-// answers while its entry stays ready, also after an outage of the store in which the
-// entry was removed and came back.
-func TestReplicaThatSaysItLeavesGetsNothingMore(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a, b := w.replica("i-a"), w.replica("i-b")
-	w.put(a, "plain", "ready")
-	w.put(b, "plain", "ready")
+// TestLeavingReplicaGetsNoMoreRequests guards against sending requests to a plain
+// replica that states in its responses that it is leaving while its entry stays ready. The
+// statement must stay in effect after an outage of the store during which the entry was
+// removed and added again.
+func TestLeavingReplicaGetsNoMoreRequests(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a, b := w.newReplica("i-a"), w.newReplica("i-b")
+	w.publishEntry(a, "plain", "ready")
+	w.publishEntry(b, "plain", "ready")
 	w.start()
 	a.Set(platformtest.Behavior{Leaving: true})
 	before := len(a.Runs())
 	w.eventually(func() bool {
 		w.send("GET", "/look/1", "key1", "")
 		return len(a.Runs()) > before
-	}, "one answer says that the replica leaves")
-	told := time.Now()
+	}, "one response states that the replica is leaving")
+	stated := time.Now()
 	for range 20 {
 		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
 	}
@@ -52,25 +53,25 @@
 	w.store.Put(platform.ReplicaTopic, a.ID, nil)
 	w.store.Fail(0)
 	time.Sleep(300 * time.Millisecond)
-	w.put(a, "plain", "ready")
+	w.publishEntry(a, "plain", "ready")
 	time.Sleep(1200 * time.Millisecond)
 	for range 20 {
 		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
 	}
-	require.Zero(t, arrivedAfter(a, told))
+	require.Zero(t, arrivedAfter(a, stated))
 
-	w.born++
+	w.startTime++
 	a.Set(platformtest.Behavior{})
-	w.put(a, "plain", "ready")
+	w.publishEntry(a, "plain", "ready")
 	w.eventually(func() bool {
 		w.send("GET", "/look/1", "key1", "")
-		return arrivedAfter(a, told) > 0
-	}, "a later process of the replica is used")
+		return arrivedAfter(a, stated) > 0
+	}, "a new process of the replica is used")
 }
 
-// TestPartThatSaysItLeavesGetsNothingMore has the first replica of a path say it: streams
-// that run there end whole, the other instance is told.
-func TestPartThatSaysItLeavesGetsNothingMore(t *testing.T) {
+// TestLeavingStageGetsNoMoreRequests does the same for the first stage of a path:
+// streams that run there complete, and the other instance stops sending requests too.
+func TestLeavingStageGetsNoMoreRequests(t *testing.T) {
 	f := newFleet(t, "llm", 2, 2, 0, 4)
 	a, b := f.replicas[0], f.replicas[1]
 	f.eventually(func() bool {
@@ -83,31 +84,32 @@
 	f.eventually(func() bool {
 		got := f.send("POST", "/chat/1", "key1", "x")
 		return got.status == http.StatusOK && len(a.Runs()) > before
-	}, "a stream ends whole on the replica that leaves")
-	told := time.Now()
+	}, "a stream completes on the leaving replica")
+	stated := time.Now()
 	b.Set(platformtest.Behavior{})
 	time.Sleep(500 * time.Millisecond)
 	for k := range 20 {
 		f.instance = f.instances[k%2]
 		f.eventually(func() bool { return f.send("POST", "/chat/1", "key1", "x").status == http.StatusOK }, "served")
 	}
-	require.Zero(t, arrivedAfter(a, told))
+	require.Zero(t, arrivedAfter(a, stated))
 }
 
-// TestReplicaThatAsksForAPauseGetsNothing has plain replicas that turn requests away.
-func TestReplicaThatAsksForAPauseGetsNothing(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	a, b := w.replica("i-a"), w.replica("i-b")
-	w.put(a, "plain", "ready")
-	w.put(b, "plain", "ready")
+// TestPausedReplicaGetsNoRequests guards against sending requests to plain
+// replicas that reject requests and ask for a pause with Retry-After.
+func TestPausedReplicaGetsNoRequests(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	a, b := w.newReplica("i-a"), w.newReplica("i-b")
+	w.publishEntry(a, "plain", "ready")
+	w.publishEntry(b, "plain", "ready")
 	w.start()
 	asks := platformtest.Behavior{Reject: true, Pause: fmt.Sprint(pauseSeconds)}
 	a.Set(asks)
 	w.eventually(func() bool {
 		w.send("GET", "/look/1", "key1", "")
 		return len(a.Arrivals()) > 0
-	}, "the replica is asked")
+	}, "a request reaches the replica")
 	asked := a.Arrivals()[0]
 	for time.Since(asked) < time.Second {
 		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
@@ -115,7 +117,7 @@
 	}
 	require.Len(t, a.Arrivals(), 1)
 
-	// All of them ask: the caller learns the shortest time left, at once.
+	// All replicas ask for a pause: the client gets the shortest remaining time at once.
 	b.Set(asks)
 	w.send("GET", "/look/1", "key1", "")
 	began := time.Now()
@@ -124,25 +126,25 @@
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	left := asked.Add(time.Duration(pauseSeconds * float64(time.Second))).Sub(began).Seconds()
-	require.InDelta(t, left, wait, 0.25, "the rest of the first pause, and a random tenth of it")
-	require.Zero(t, arrivedAfter(b, began), "known to be paused, so that it was not asked")
+	require.InDelta(t, left, wait, 0.25, "the rest of the first pause plus a random tenth")
+	require.Zero(t, arrivedAfter(b, began), "the replica is known to be paused and gets no request")
 }
 
-// TestPartThatAsksForAPauseGetsNothing has the second part of a path turn requests away;
+// TestPausedStageGetsNoRequests does the same for the second stage of a path;
 // another replica holds the same layers.
-func TestPartThatAsksForAPauseGetsNothing(t *testing.T) {
-	w := newWorld(t)
-	w.config(1, "")
-	first, other, part := w.replica("i-0"), w.replica("i-1"), w.replica("i-2")
-	w.put(first, "llm", "ready", 0, 4)
-	w.put(other, "llm", "ready", 0, 4)
-	w.put(part, "llm", "ready", 2, 4)
+func TestPausedStageGetsNoRequests(t *testing.T) {
+	w := newEnvironment(t)
+	w.publishConfig(1, "")
+	first, other, part := w.newReplica("i-0"), w.newReplica("i-1"), w.newReplica("i-2")
+	w.publishEntry(first, "llm", "ready", 0, 4)
+	w.publishEntry(other, "llm", "ready", 0, 4)
+	w.publishEntry(part, "llm", "ready", 2, 4)
 	w.start()
 	first.Set(platformtest.Behavior{Reject: true, RejectStage: part.Address(), Pause: fmt.Sprint(pauseSeconds)})
 	w.eventually(func() bool {
 		w.send("POST", "/chat/1", "key1", "x")
 		return len(first.Arrivals()) > 0
-	}, "the replica is asked")
+	}, "a request reaches the replica")
 	asked := first.Arrivals()[0]
 	for time.Since(asked) < time.Second {
 		require.Equal(t, http.StatusOK, w.send("POST", "/chat/1", "key1", "x").status)
