--- a/cmd/internal/entry/entry.go
+++ b/cmd/internal/entry/entry.go
@@ -153,13 +153,13 @@
 
 		Retries: retryBound(s),
 		OnSilent: func(replica string) {
-			i.mesh.Silent(replica)
+			i.mesh.ReportUnresponsive(replica)
 			i.control.Suspect(replica)
 		},
 		OnLeaving:  func(p roster.Process) { i.control.ReplicaLeaves(p) },
-		OnRejected: func(replica string, count int) { i.mesh.Rejected(replica, count) },
+		OnRejected: func(replica string, count int) { i.mesh.ReportRejection(replica, count) },
 		OnEvidence: func(news poison.State, recurring []poison.Crash) {
-			i.mesh.Evidence(news)
+			i.mesh.PublishEvidence(news)
 			i.control.KeepEvidence(recurring)
 		},
 	})
@@ -174,30 +174,30 @@
 		Logger:     i.log,
 		LeastTTL:   s.Store.LeastMembership,
 		OnMembers:  i.setMembers,
-		OnLeaving:  func(p roster.Process) { i.mesh.Leaving(p) },
-		OnRemoved:  func(replica string) { i.mesh.Removed(replica) },
+		OnLeaving:  func(p roster.Process) { i.mesh.ReportLeaving(p) },
+		OnRemoved:  func(replica string) { i.mesh.ReportRemoved(replica) },
 		OnConfig:   func(version int64, content []byte) { i.mesh.SetConfig(version, content) },
-		OnUpdates:  func(u roster.Updates) { i.mesh.Updates(u) },
+		OnUpdates:  func(u roster.Updates) { i.mesh.ForwardUpdates(u) },
 		Peers:      func() int { return i.mesh.Peers() },
-		Reads:      func() bool { return i.mesh.Reads() },
+		Reads:      func() bool { return i.mesh.IsConfigReader() },
 	})
 	var err error
 	i.mesh, err = mesh.Start(mesh.Options{
-		Member:    i.member,
-		Zone:      s.Zone,
-		Listen:    net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)),
-		Cluster:   s.Store.Address,
-		Gateway:   i.gateway,
-		OnLeaving: func(p roster.Process) { i.control.Leaving(p) },
-		OnRemoved: func(replica string) { i.control.Removed(replica) },
-		StoreAway: func() bool { return i.control.StoreAway() },
-		Departed:  func() []roster.Process { return i.control.Departed() },
-		OnSilent:  func(replica string) { i.control.Suspect(replica) },
-		OnConfig:  func(content []byte) { i.control.TakeConfig(content) },
-		OnUpdates: func(u roster.Updates) { i.control.TakeUpdates(u) },
-		Duty:      func() int64 { return i.control.DutyGeneration() },
-		OnDuty:    func(generation int64) { i.control.OtherDuty(generation) },
-		Logger:    i.log,
+		Member:             i.member,
+		Zone:               s.Zone,
+		Listen:             net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)),
+		Cluster:            s.Store.Address,
+		Gateway:            i.gateway,
+		OnLeaving:          func(p roster.Process) { i.control.Leaving(p) },
+		OnRemoved:          func(replica string) { i.control.Removed(replica) },
+		StoreUnavailable:   func() bool { return i.control.StoreAway() },
+		Departed:           func() []roster.Process { return i.control.Departed() },
+		OnUnresponsive:     func(replica string) { i.control.Suspect(replica) },
+		OnConfig:           func(content []byte) { i.control.TakeConfig(content) },
+		OnUpdates:          func(u roster.Updates) { i.control.TakeUpdates(u) },
+		LeaderGeneration:   func() int64 { return i.control.DutyGeneration() },
+		OnLeaderGeneration: func(generation int64) { i.control.OtherDuty(generation) },
+		Logger:             i.log,
 	})
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -216,7 +216,7 @@
 	i.group.Go(func() error { i.gateway.Run(ctx); return nil })
 	i.group.Go(func() error { i.watchSettings(ctx); return nil })
 	i.group.Go(func() error { i.mesh.Run(ctx); return nil })
-	i.group.Go(func() error { i.gateway.Survey(ctx, i.control.Duty, i.mesh.Deputy, i.mesh.Observed); return nil })
+	i.group.Go(func() error { i.gateway.Survey(ctx, i.control.Duty, i.mesh.Standby, i.mesh.SendStates); return nil })
 	i.log.Info("started", zap.String("version", o.Version), zap.String("zone", s.Zone), zap.String("callers", s.CallersAddress),
 		zap.String("ready", s.ReadyAddress), zap.String("store", s.Store.Address), zap.Int("metrics_port", o.MetricsPort))
 	return i, nil
--- a/node/mesh/evidence.go
+++ b/node/mesh/evidence.go
@@ -11,34 +11,37 @@
 )
 
 const (
-	// settleTime is how long two instances must know different evidence, without news,
-	// before they tell each other all of it. News reach all within some 100 ms.
+	// settleTime is how long the evidence of two instances must differ, with neither
+	// digest changing, before they send each other all of it. New evidence reaches all
+	// instances within about 100 ms.
 	settleTime = 700 * time.Millisecond
-	// firstPause is the time until all is told again to a peer that still differs; it
-	// doubles up to longestPause. Instances that know more than one message holds may
-	// differ for long.
-	firstPause   = time.Second
-	longestPause = 30 * time.Second
+	// firstResendInterval is the time until all evidence is sent again to a peer whose
+	// evidence still differs. It doubles up to maxResendInterval, since instances with
+	// more evidence than fits in one message may differ for a long time.
+	firstResendInterval = time.Second
+	maxResendInterval   = 30 * time.Second
 )
 
-// difference is what is known of a peer with other evidence.
-type difference struct {
-	own, peer uint64
-	// since is when either digest changed last.
-	since time.Time
-	// due is when all evidence may be told next, after pause.
-	due   time.Time
-	pause time.Duration
+// evidenceState is the state of the comparison of evidence with one peer: the digests of
+// this instance and of the peer, and when to send all evidence.
+type evidenceState struct {
+	ownDigest, peerDigest uint64
+	// changedAt is when either digest last changed.
+	changedAt time.Time
+	// nextSend is the earliest time to send all evidence again, resendInterval after
+	// the last time.
+	nextSend       time.Time
+	resendInterval time.Duration
 }
 
-// Evidence tells the peers what is new about requests that crash replicas.
-func (m *Mesh) Evidence(news poison.State) { m.broadcast(peer.EncodeEvidence(news, time.Now())) }
+// PublishEvidence publishes new evidence on requests that crash replicas to the peers.
+func (m *Mesh) PublishEvidence(news poison.State) { m.broadcast(peer.EncodeEvidence(news, time.Now())) }
 
-// compareEvidence tells all evidence to a peer that knows something else, at once after
-// a new session. The peer does the same, so that both know what either knew.
+// compareEvidence sends all evidence to a peer whose digest differs, immediately if the
+// session is new. The peer does the same, so that both then have the union.
 func (m *Mesh) compareEvidence(from string, digest uint64) {
 	own := m.opts.Gateway.EvidenceDigest()
-	if !m.differs(from, own, digest, time.Now()) {
+	if !m.shouldSendEvidence(from, own, digest, time.Now()) {
 		return
 	}
 	all := m.opts.Gateway.Evidence()
@@ -46,28 +49,29 @@
 		return
 	}
 	if err := m.node.Send(from, peer.EncodeEvidence(all, time.Now())); err != nil {
-		m.opts.Logger.Info("evidence not sent", zap.String("peer", from), zap.Error(err))
+		m.opts.Logger.Info("failed to send evidence to a peer", zap.String("peer", from), zap.Error(err))
 	}
 }
 
-// differs tells whether all evidence is to be told to a peer now.
-func (m *Mesh) differs(from string, own, digest uint64, now time.Time) bool {
+// shouldSendEvidence records the digests of this instance and of a peer and reports whether
+// to send all evidence to the peer now.
+func (m *Mesh) shouldSendEvidence(from string, own, digest uint64, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d, known := m.differing[from]
+	d, known := m.evidenceStates[from]
 	if own == digest {
-		m.differing[from] = difference{own: own, peer: digest, since: now}
+		m.evidenceStates[from] = evidenceState{ownDigest: own, peerDigest: digest, changedAt: now}
 		return false
 	}
-	if d.own != own || d.peer != digest {
-		d.own, d.peer, d.since = own, digest, now
+	if d.ownDigest != own || d.peerDigest != digest {
+		d.ownDigest, d.peerDigest, d.changedAt = own, digest, now
 	}
-	due := !known || now.Sub(d.since) >= settleTime && !now.Before(d.due)
+	due := !known || now.Sub(d.changedAt) >= settleTime && !now.Before(d.nextSend)
 	if due {
-		d.pause = min(max(2*d.pause, firstPause), longestPause)
-		d.due = now.Add(d.pause)
+		d.resendInterval = min(max(2*d.resendInterval, firstResendInterval), maxResendInterval)
+		d.nextSend = now.Add(d.resendInterval)
 	}
-	m.differing[from] = d
+	m.evidenceStates[from] = d
 	return due
 }
 
--- a/node/mesh/loads.go
+++ b/node/mesh/loads.go
@@ -14,104 +14,108 @@
 )
 
 const (
-	// tellPeriod is the shortest time between two messages about load. A usual request
-	// lasts several seconds.
-	tellPeriod = 200 * time.Millisecond
-	// periodForPeer lengthens it with the number of instances that tell each other their
-	// load, so that what an instance receives is bounded.
-	periodForPeer = 10 * time.Millisecond
-	// statusPeriod is the time between two messages to instances of other zones, which
-	// hold no load where the zones have relays.
+	// minLoadPeriod is the minimum time between two load messages. A typical request takes
+	// several seconds.
+	minLoadPeriod = 200 * time.Millisecond
+	// loadPeriodPerPeer, multiplied by the number of receiving peers, is also a minimum
+	// time between two load messages. It bounds the rate of messages that an instance
+	// receives.
+	loadPeriodPerPeer = 10 * time.Millisecond
+	// statusPeriod is the time between two messages to instances of other zones. These
+	// messages contain no load, which is sent by the relays of the zones.
 	statusPeriod = time.Second
-	// staleAfter is the time after which the load of a silent peer is dropped.
+	// staleAfter is the time after which the last load received from a peer expires.
 	staleAfter = 4 * time.Second
 )
 
-// Run tells and takes loads until ctx ends.
+// Run periodically publishes the load of this instance and updates the gateway with that
+// of the others, until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	var statusAt time.Time
 	for {
-		r := m.roles()
-		t := time.NewTimer(max(tellPeriod, time.Duration(len(r.near))*periodForPeer))
+		r := m.currentRoles()
+		t := time.NewTimer(max(minLoadPeriod, time.Duration(len(r.near))*loadPeriodPerPeer))
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return
 		case now := <-t.C:
-			m.tell(r, now.Sub(statusAt) >= statusPeriod)
+			m.publish(r, now.Sub(statusAt) >= statusPeriod)
 			if now.Sub(statusAt) >= statusPeriod {
 				statusAt = now
 			}
-			m.take(now, r)
+			m.updateRemoteLoads(now, r)
 		}
 	}
 }
 
-// roles tells who tells whom, as this instance sees it.
+// roles lists the recipients of this instance's messages, according to its own view of
+// the system.
 type roles struct {
-	// near are the peers that this instance tells its load, far the others.
+	// near are the peers to which this instance sends its load, far the others.
 	near, far []string
-	// relay is true if this instance is the relay of its zone, for relays, those of the
-	// other zones.
-	relay  bool
-	relays []string
+	// isRelay is true if this instance is the relay of its zone, which sends the zone's
+	// load to otherRelays, the relays of the other zones.
+	isRelay     bool
+	otherRelays []string
 }
 
-// roles splits the peers by zone if there are many. The relay of a zone is chosen by rank
-// among the instances there that are connected.
-func (m *Mesh) roles() roles {
+// currentRoles divides the peers by zone if there are many. The relay of a zone is chosen
+// by rank among the zone's connected instances.
+func (m *Mesh) currentRoles() roles {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var r roles
 	zones := map[string][]string{}
 	for id, c := range m.connected {
-		if len(m.connected) < fewPeers || c.zone == m.opts.Zone {
+		if len(m.connected) < minPeersToDivide || c.zone == m.opts.Zone {
 			r.near = append(r.near, id)
 			continue
 		}
 		r.far = append(r.far, id)
 		zones[c.zone] = append(zones[c.zone], id)
 	}
-	r.relay = len(r.far) > 0 && readers.Among(m.opts.Member, r.near, 1)
+	r.isRelay = len(r.far) > 0 && readers.Among(m.opts.Member, r.near, 1)
 	for _, list := range zones {
-		r.relays = append(r.relays, readers.First(list))
+		r.otherRelays = append(r.otherRelays, readers.First(list))
 	}
 	return r
 }
 
-// tell sends the work of this instance to the peers nearby, the rest of its state to all,
-// and what a relay adds.
-func (m *Mesh) tell(r roles, status bool) {
+// publish sends this instance's load and status to the near peers and, if status is set, its
+// status to the far ones. A relay also sends the load of its zone to the other relays and
+// the load of the other zones to the near peers.
+func (m *Mesh) publish(r roles, status bool) {
 	message := &peerpb.UpstreamLoads{
 		Evidence:  m.opts.Gateway.EvidenceDigest(),
-		StoreAway: m.opts.StoreAway != nil && m.opts.StoreAway(),
+		StoreAway: m.opts.StoreUnavailable != nil && m.opts.StoreUnavailable(),
 	}
-	if m.opts.Duty != nil {
-		message.DutyGeneration = uint64(m.opts.Duty())
+	if m.opts.LeaderGeneration != nil {
+		message.DutyGeneration = uint64(m.opts.LeaderGeneration())
 	}
 	if status {
 		m.send(r.far, message)
 	}
-	own := m.own()
+	own := m.ownLoads()
 	full := proto.Clone(message).(*peerpb.UpstreamLoads)
 	full.Loads, full.Links = encodeLoads(own)
 	m.send(r.near, full)
-	if !r.relay {
+	if !r.isRelay {
 		return
 	}
 	m.mu.Lock()
 	zone, others := m.sums.OwnZone(own), m.sums.OtherZones()
 	m.mu.Unlock()
-	m.send(r.relays, encodeZone(m.opts.Zone, zone))
+	m.send(r.otherRelays, encodeZone(m.opts.Zone, zone))
 	m.send(r.near, encodeZone("", others))
 }
 
-// own returns the work of this instance.
-func (m *Mesh) own() zoneload.Loads {
+// ownLoads returns the load of this instance.
+func (m *Mesh) ownLoads() zoneload.Loads {
 	out := zoneload.New()
 	for _, loads := range m.opts.Gateway.Loads() {
 		for id, l := range loads {
-			out.Upstreams[key(id)] = l
+			out.Upstreams[replicaKey(id)] = l
 		}
 	}
 	for link, rate := range m.opts.Gateway.Links() {
@@ -120,23 +124,24 @@
 	return out
 }
 
-// take hands the load of all others to the gateway.
-func (m *Mesh) take(now time.Time, r roles) {
+// updateRemoteLoads passes the total load of all other instances to the gateway.
+func (m *Mesh) updateRemoteLoads(now time.Time, r roles) {
 	m.mu.Lock()
 	m.sums.Expire(now.Add(-staleAfter))
-	foreign := m.sums.Foreign(r.relay)
+	remote := m.sums.Foreign(r.isRelay)
 	m.mu.Unlock()
 	m.opts.Gateway.SetForeign(
-		func(replica string) pipeline.Load { return foreign.Upstreams[key(replica)] },
-		func(link pipeline.Link) float64 { return foreign.Links[linkKey(link)] },
+		func(replica string) pipeline.Load { return remote.Upstreams[replicaKey(replica)] },
+		func(link pipeline.Link) float64 { return remote.Links[linkKey(link)] },
 	)
 }
 
-// send sends a message to some peers; what is told again soon may be lost.
+// send sends a message to peers. Errors are only logged because the message is repeated
+// soon.
 func (m *Mesh) send(to []string, message proto.Message) {
 	for _, id := range to {
 		if err := m.node.Send(id, message); err != nil {
-			m.opts.Logger.Debug("load not told", zap.String("peer", id), zap.Error(err))
+			m.opts.Logger.Debug("failed to send load to a peer", zap.String("peer", id), zap.Error(err))
 		}
 	}
 }
@@ -144,12 +149,12 @@
 func encodeLoads(l zoneload.Loads) ([]*peerpb.UpstreamLoad, []*peerpb.LinkLoad) {
 	var loads []*peerpb.UpstreamLoad
 	var links []*peerpb.LinkLoad
-	for id, one := range l.Upstreams {
+	for id, load := range l.Upstreams {
 		loads = append(loads, &peerpb.UpstreamLoad{
 			Upstream:  id,
-			Sequences: uint32(one.Sequences),
-			Reserved:  uint32(one.Reserved / unit),
-			Reading:   uint32(one.Reading / unit),
+			Sequences: uint32(load.Sequences),
+			Reserved:  uint32(load.Reserved / tokenUnit),
+			Reading:   uint32(load.Reading / tokenUnit),
 		})
 	}
 	for link, rate := range l.Links {
@@ -158,6 +163,7 @@
 	return loads, links
 }
 
+// encodeZone encodes the load of a zone, or of all other zones if zone is empty.
 func encodeZone(zone string, l zoneload.Loads) *peerpb.ZoneLoads {
 	loads, links := encodeLoads(l)
 	return &peerpb.ZoneLoads{Zone: zone, Loads: loads, Links: links}
@@ -168,8 +174,8 @@
 	for _, l := range loads {
 		out.Upstreams[l.GetUpstream()] = pipeline.Load{
 			Sequences: float64(l.GetSequences()),
-			Reserved:  float64(l.GetReserved()) * unit,
-			Reading:   float64(l.GetReading()) * unit,
+			Reserved:  float64(l.GetReserved()) * tokenUnit,
+			Reading:   float64(l.GetReading()) * tokenUnit,
 		}
 	}
 	for _, l := range links {
@@ -180,8 +186,8 @@
 
 // UpstreamLoads implements peer.Handler.
 func (h *handler) UpstreamLoads(from string, loads *peerpb.UpstreamLoads) {
-	if n := loads.GetDutyGeneration(); n > 0 && h.mesh.opts.OnDuty != nil {
-		h.mesh.opts.OnDuty(int64(n))
+	if n := loads.GetDutyGeneration(); n > 0 && h.mesh.opts.OnLeaderGeneration != nil {
+		h.mesh.opts.OnLeaderGeneration(int64(n))
 	}
 	h.mesh.compareEvidence(from, loads.GetEvidence())
 	h.mesh.mu.Lock()
@@ -190,7 +196,7 @@
 	if !ok {
 		return
 	}
-	c.away = loads.GetStoreAway()
+	c.storeUnavailable = loads.GetStoreAway()
 	h.mesh.connected[from] = c
 	h.mesh.sums.Peer(time.Now(), from, c.zone, decodeLoads(loads.GetLoads(), loads.GetLinks()))
 }
--- a/node/mesh/loads_test.go
+++ b/node/mesh/loads_test.go
@@ -13,20 +13,21 @@
 	"masticbank.example/node/mesh"
 )
 
-// TestZonesTellEachOtherOverRelays has more instances than tell each other everything: each
-// knows the load of all others, also after the relay of a zone has ended.
-func TestZonesTellEachOtherOverRelays(t *testing.T) {
+// TestZonesExchangeLoadOverRelays has so many instances that load is exchanged between
+// zones by relays only: each instance must know the total load of all others, also after the
+// relay of a zone has ended.
+func TestZonesExchangeLoadOverRelays(t *testing.T) {
 	const instances, zones = 24, 3
 	port := freePort(t)
 	members := map[string]string{}
 	byZone := map[string][]string{}
-	fakes := map[string]*fake{}
+	fakes := map[string]*fakeGateway{}
 	all := map[string]*mesh.Mesh{}
 	for i := range instances {
 		id, ip, zone := fmt.Sprintf("m%d", i), fmt.Sprintf("127.0.0.%d", i+1), fmt.Sprintf("z%d", i%zones)
 		members[id] = ip
 		byZone[zone] = append(byZone[zone], id)
-		f := newFake()
+		f := newFakeGateway()
 		f.own["r1"] = pipeline.Load{Reserved: 3000, Sequences: 1, Reading: 1000}
 		fakes[id] = f
 		all[id] = start(t, id, net.JoinHostPort(ip, port), f, mesh.Options{Zone: zone})
@@ -40,7 +41,7 @@
 			for id := range all {
 				f := fakes[id]
 				f.mu.Lock()
-				ok := f.foreign != nil && f.foreign("r1") == want
+				ok := f.remoteLoad != nil && f.remoteLoad("r1") == want
 				f.mu.Unlock()
 				if !ok {
 					return false
@@ -49,16 +50,16 @@
 			return true
 		}
 	}
-	require.Eventually(t, known(instances-1), patience, 20*time.Millisecond)
+	require.Eventually(t, known(instances-1), waitTimeout, 20*time.Millisecond)
 	relay := readers.First(byZone["z0"])
 	require.NoError(t, all[relay].Close(t.Context()))
 	delete(all, relay)
-	require.Eventually(t, known(instances-2), patience, 20*time.Millisecond, "another relay of the zone")
+	require.Eventually(t, known(instances-2), waitTimeout, 20*time.Millisecond, "another instance replaces the relay of the zone")
 	reading := 0
 	for _, m := range all {
-		if m.Reads() {
+		if m.IsConfigReader() {
 			reading++
 		}
 	}
-	require.Equal(t, 6, reading, "few follow the configuration")
+	require.Equal(t, 6, reading, "only the designated readers follow the configuration")
 }
--- a/node/mesh/mesh.go
+++ b/node/mesh/mesh.go
@@ -1,7 +1,8 @@
-// Package mesh tells the other entry instances what this one has on the replicas,
-// which replicas it found silent, which are leaving, and what it read from the
-// platform's store, and hands on what they tell. Everything may be lost: choices get
-// worse, and instances read the store themselves.
+// Package mesh exchanges state between the entry instances: their load on the replicas,
+// which replicas are unresponsive or leaving, evidence on requests that crash replicas, and
+// what was read from the platform's store. Received messages are passed to the gateway and
+// to callbacks. Any message may be lost: routing decisions are then less accurate, and
+// instances read the store themselves.
 package mesh
 
 import (
@@ -26,44 +27,49 @@
 )
 
 const (
-	// pullDelay is how long a version that a peer has in force may take to come from
-	// the store. It usually comes within milliseconds.
+	// pullDelay is how long to wait for a configuration version that a peer announces to
+	// arrive from the store, before it is requested from the peer. It usually arrives
+	// within milliseconds.
 	pullDelay = 400 * time.Millisecond
-	// unit is what reserved and reading figures are told in.
-	unit = 1000
-	// configReaders is the number of instances that follow the configuration for all. All
-	// of them are turned away by the store at once, in an outage for a third of the
-	// machines, once in 700 times; others take over within seconds then.
+	// tokenUnit is the number of tokens that a count of 1 stands for on the wire.
+	tokenUnit = 1000
+	// configReaders is the number of designated readers, the instances that follow the
+	// configuration in the store on behalf of all. In an outage of the store for a third
+	// of the instances, the probability that it rejects all of them is 1 in 700; other
+	// instances take over within seconds then.
 	configReaders = 6
-	// deputies is the number of instances that step in for the one with the duty.
-	deputies = 2
-	// fewPeers is the number of peers below which each instance follows it.
-	fewPeers = 20
-	// paceUnit is what a pace of 1 is told as.
-	paceUnit = 100
+	// standbyReportReaders is the number of instances that read the replicas' reports if
+	// the leader does not publish them.
+	standbyReportReaders = 2
+	// minPeersToDivide is the minimum number of peers for dividing work among instances.
+	// With fewer peers every instance follows the configuration and publishes its load to
+	// all peers.
+	minPeersToDivide = 20
+	// stepTimeRatioUnit is the encoding on the wire of a step time ratio of 1.
+	stepTimeRatioUnit = 100
 )
 
-// Gateway is the part of the gateway that is needed.
+// Gateway is the interface to the gateway of this instance.
 type Gateway interface {
-	// Loads returns the work of this instance by service and replica.
+	// Loads returns the load of this instance by service and replica.
 	Loads() map[string]map[string]pipeline.Load
-	// Links returns what this instance sends between zones, in prompt tokens a
-	// second.
+	// Links returns the rates at which this instance's requests transfer data between
+	// zones, in prompt tokens per second.
 	Links() map[pipeline.Link]float64
-	// SetForeign takes the work of all other instances by replica and by link.
+	// SetForeign sets the total load of all other instances by replica and by link.
 	SetForeign(of func(replica string) pipeline.Load, link func(pipeline.Link) float64)
-	// Rejected takes a replica out of use that rejected a request of another instance
-	// for the count-th time in a row.
+	// Rejected stops the use of a replica that has rejected count consecutive requests of
+	// another instance.
 	Rejected(replica string, count int)
-	// Observe takes what another instance has read from the replicas.
+	// Observe records the states of replicas that another instance has read.
 	Observe(of func(replica string) (pipeline.Observed, bool))
-	// Suspect takes a replica that another instance found silent out of use.
+	// Suspect stops the use of a replica that another instance found unresponsive.
 	Suspect(replica string)
-	// LearnEvidence takes what another instance knows about requests that crash
+	// LearnEvidence merges the evidence of another instance on requests that crash
 	// replicas.
 	LearnEvidence(poison.State)
-	// Evidence returns what this instance knows about them, EvidenceDigest a value that
-	// differs if another instance knows something else.
+	// Evidence returns the evidence of this instance. EvidenceDigest returns a digest of
+	// it, which differs from that of an instance with other evidence.
 	Evidence() poison.State
 	EvidenceDigest() uint64
 }
@@ -73,34 +79,37 @@
 	// Member is the unique name of this process.
 	Member string
 	Zone   string
-	// Listen is the address for peers.
+	// Listen is the listen address for peers.
 	Listen string
-	// Cluster is what all instances have in common; the key by which peers know
-	// each other is made from it.
+	// Cluster is a value that all instances share. The key with which peers authenticate
+	// each other is derived from it.
 	Cluster string
 	Gateway Gateway
-	// OnLeaving is called with a process of a replica that leaves by its own word,
-	// OnRemoved with the ID of a replica whose entry is gone.
+	// OnLeaving is called with a process of a replica that has announced that it is
+	// leaving, OnRemoved with the ID of a replica whose entry was removed.
 	OnLeaving func(roster.Process)
 	OnRemoved func(replica string)
-	// Departed, if set, returns the processes that leave or have left, for new peers.
+	// Departed, if set, returns the processes that are leaving or have left. They are sent
+	// to new peers.
 	Departed func() []roster.Process
-	// OnSilent is called with the ID of a replica that a peer found silent.
-	OnSilent func(replica string)
-	// Duty returns the generation under which this instance holds the duty, or 0.
-	Duty func() int64
-	// OnConfig is called with a configuration that a peer has in force.
+	// OnUnresponsive is called with the ID of a replica that a peer found unresponsive.
+	OnUnresponsive func(replica string)
+	// LeaderGeneration, if set, returns the generation in which this instance is the
+	// leader, or 0 if it is not.
+	LeaderGeneration func() int64
+	// OnConfig is called with the configuration that a peer uses.
 	OnConfig func(content []byte)
-	// OnUpdates is called with what the peer with the duty has read of the replicas.
+	// OnUpdates is called with the updates of replicas' entries that the leader has read.
 	OnUpdates func(roster.Updates)
-	// StoreAway, if set, tells whether the platform's store does not answer this instance.
-	StoreAway func() bool
-	// OnDuty is called with the generation under which a peer holds it.
-	OnDuty func(generation int64)
-	Logger *zap.Logger
+	// StoreUnavailable, if set, reports whether the platform's store is unavailable to this
+	// instance.
+	StoreUnavailable func() bool
+	// OnLeaderGeneration is called with the generation in which a peer is the leader.
+	OnLeaderGeneration func(generation int64)
+	Logger             *zap.Logger
 }
 
-// Mesh is safe for concurrent use.
+// Mesh exchanges state with the other entry instances. It is safe for concurrent use.
 type Mesh struct {
 	opts Options
 	node *peer.Node
@@ -108,27 +117,28 @@
 	mu    sync.Mutex
 	peers int
 	sums  *zoneload.Sums
-	// connected holds the peers with a session.
-	connected map[string]connected
-	// differing holds the peers that know other evidence than this instance.
-	differing map[string]difference
+	// connected holds the peers with a session by name.
+	connected map[string]peerState
+	// evidenceStates holds the comparison of evidence with each peer by name.
+	evidenceStates map[string]evidenceState
 }
 
-// connected is a peer with a session.
-type connected struct {
+// peerState is the state of a peer with a session.
+type peerState struct {
 	zone string
-	// away is true if the platform's store does not answer it.
-	away bool
+	// storeUnavailable is true if the platform's store is unavailable to the peer.
+	storeUnavailable bool
 }
 
-// Start listens for peers.
+// Start creates a Mesh and starts listening for peers.
 func Start(o Options) (*Mesh, error) {
 	key := sha256.Sum256([]byte("masticbank peers of " + o.Cluster))
-	m := &Mesh{opts: o, sums: zoneload.NewSums(o.Zone), connected: map[string]connected{}, differing: map[string]difference{}}
+	m := &Mesh{opts: o, sums: zoneload.NewSums(o.Zone), connected: map[string]peerState{}, evidenceStates: map[string]evidenceState{}}
 	node, err := peer.New(peer.Options{
 		ID: o.Member,
-		// The name is new for each process, so that one incarnation is enough. The
-		// time of day would not do: it may step back.
+		// The member name is unique for each process, so that the incarnation may be
+		// constant. The wall clock is unsuitable as an incarnation because it may be set
+		// back.
 		Incarnation: 1,
 		Zone:        o.Zone,
 		Listen:      o.Listen,
@@ -147,12 +157,12 @@
 	return m, nil
 }
 
-// SetMembers replaces the set of peers: the names and IP addresses of all
-// members, this one included. All listen on the same port.
+// SetMembers replaces the set of peers. addresses holds the IP addresses of all members
+// by name, this one included. All listen on the same port.
 func (m *Mesh) SetMembers(addresses map[string]string) {
 	_, port, err := net.SplitHostPort(m.opts.Listen)
 	if err != nil {
-		m.opts.Logger.Error("address for peers", zap.Error(err))
+		m.opts.Logger.Error("invalid listen address for peers", zap.Error(err))
 		return
 	}
 	var peers []peer.Peer
@@ -165,82 +175,84 @@
 	m.node.SetPeers(peers)
 }
 
-// Close ends the sessions.
+// Close closes all sessions.
 func (m *Mesh) Close(ctx context.Context) error { return trace.Wrap(m.node.Close(ctx)) }
 
-// Silent tells the peers of a replica that gives no sign of life.
-func (m *Mesh) Silent(replica string) {
+// ReportUnresponsive reports an unresponsive replica to the peers.
+func (m *Mesh) ReportUnresponsive(replica string) {
 	m.broadcast(&peerpb.Suspicion{Upstream: replica})
 }
 
-// Rejected tells the peers of a replica that rejected a request though it has room, for
-// the count-th time in a row.
-func (m *Mesh) Rejected(replica string, count int) {
+// ReportRejection reports to the peers that a replica has rejected count consecutive
+// requests although it has free capacity.
+func (m *Mesh) ReportRejection(replica string, count int) {
 	m.broadcast(&peerpb.Rejection{Upstream: replica, Count: uint32(count)})
 }
 
-// Leaving tells the peers of a process of a replica that leaves by its own word.
-func (m *Mesh) Leaving(p roster.Process) {
+// ReportLeaving reports to the peers that a process of a replica has announced that it is
+// leaving.
+func (m *Mesh) ReportLeaving(p roster.Process) {
 	m.broadcast(encodeDepartures([]roster.Process{p}))
 }
 
-// Removed tells the peers of a replica whose entry is gone.
-func (m *Mesh) Removed(replica string) {
+// ReportRemoved reports to the peers that the entry of a replica was removed.
+func (m *Mesh) ReportRemoved(replica string) {
 	m.broadcast(&peerpb.Leaving{Upstream: replica})
 }
 
-// SetConfig tells the peers which version is in force here; those that do not get it
-// from the store ask for the content.
+// SetConfig announces to the peers the configuration version that this instance uses.
+// Peers that do not receive the version from the store request the content.
 func (m *Mesh) SetConfig(version int64, content []byte) {
-	packed, err := pack(content)
+	compressed, err := compress(content)
 	if err != nil {
-		m.opts.Logger.Error("configuration for peers", zap.Int64("version", version), zap.Error(err))
+		m.opts.Logger.Error("failed to compress the configuration for peers", zap.Int64("version", version), zap.Error(err))
 		return
 	}
-	m.node.SetConfigState(&peerpb.ConfigState{Revision: uint64(version), Content: packed})
+	m.node.SetConfigState(&peerpb.ConfigState{Revision: uint64(version), Content: compressed})
 }
 
 // Peers returns the number of instances that this one is connected to.
 func (m *Mesh) Peers() int { return m.node.Sessions() }
 
-// Reads tells whether this instance is one of those that follow the configuration in the
-// store for all. With few peers each of them does.
-func (m *Mesh) Reads() bool {
+// IsConfigReader reports whether this instance is a designated reader, which follows the
+// configuration in the store on behalf of all. With few peers every instance is one.
+func (m *Mesh) IsConfigReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.connected) < fewPeers {
+	if len(m.connected) < minPeersToDivide {
 		return true
 	}
-	served := make([]string, 0, len(m.connected))
+	candidates := make([]string, 0, len(m.connected))
 	for id, c := range m.connected {
-		if !c.away {
-			served = append(served, id)
+		if !c.storeUnavailable {
+			candidates = append(candidates, id)
 		}
 	}
-	return readers.Among(m.opts.Member, served, configReaders)
+	return readers.Among(m.opts.Member, candidates, configReaders)
 }
 
-// Deputy tells whether this instance is one of the few that step in for the one with the
-// duty: by rank among those that are connected.
-func (m *Mesh) Deputy() bool {
+// Standby reports whether this instance is one of the few that read the
+// replicas' reports if the leader does not publish them. They are chosen by rank among the
+// connected instances.
+func (m *Mesh) Standby() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	others := make([]string, 0, len(m.connected))
 	for id := range m.connected {
 		others = append(others, id)
 	}
-	return readers.Among(m.opts.Member, others, deputies)
+	return readers.Among(m.opts.Member, others, standbyReportReaders)
 }
 
-// Observed tells the peers what replicas reported.
-func (m *Mesh) Observed(states map[string]pipeline.Observed) {
+// SendStates sends the reported states of replicas to the peers.
+func (m *Mesh) SendStates(states map[string]pipeline.Observed) {
 	message := &peerpb.UpstreamStates{}
 	for id, o := range states {
 		message.States = append(message.States, &peerpb.UpstreamState{
-			Upstream: key(id),
-			Pace:     uint32(o.Pace * paceUnit),
-			Used:     uint32(o.Used / unit),
-			Room:     uint32(o.Room / unit),
+			Upstream: replicaKey(id),
+			Pace:     uint32(o.Pace * stepTimeRatioUnit),
+			Used:     uint32(o.Used / tokenUnit),
+			Room:     uint32(o.Room / tokenUnit),
 
 			HasLayers:  o.HasLayers,
 			LayersFrom: uint32(o.From),
@@ -250,18 +262,19 @@
 	m.broadcast(message)
 }
 
-// key shortens the ID of a replica.
-func key(replica string) uint32 { return uint32(xxhash.Sum64String(replica)) }
+// replicaKey returns the 32-bit hash that identifies a replica on the wire.
+func replicaKey(replica string) uint32 { return uint32(xxhash.Sum64String(replica)) }
 
-func linkKey(p pipeline.Link) uint32 { return key(p.A + " " + p.B) }
+// linkKey returns the 32-bit hash that identifies a link on the wire.
+func linkKey(p pipeline.Link) uint32 { return replicaKey(p.A + " " + p.B) }
 
 func (m *Mesh) broadcast(message proto.Message) {
 	if _, err := m.node.Broadcast(message); err != nil {
-		m.opts.Logger.Error("message to peers", zap.Error(err))
+		m.opts.Logger.Error("failed to broadcast a message to peers", zap.Error(err))
 	}
 }
 
-// handler takes what peers send.
+// handler processes the messages of peers.
 type handler struct {
 	peer.NopHandler
 	mesh *Mesh
@@ -271,19 +284,19 @@
 func (h *handler) PeerUp(info peer.Info) {
 	h.mesh.opts.Logger.Info("peer connected", zap.String("peer", info.ID), zap.String("zone", info.Zone))
 	h.mesh.mu.Lock()
-	h.mesh.connected[info.ID] = connected{zone: info.Zone}
+	h.mesh.connected[info.ID] = peerState{zone: info.Zone}
 	h.mesh.mu.Unlock()
-	h.mesh.tellDeparted(info.ID)
+	h.mesh.sendDeparted(info.ID)
 }
 
-// PeerDown implements peer.Handler. The load of the peer counts until it is
-// stale: its requests go on if only the session broke.
+// PeerDown implements peer.Handler. The load of the peer still counts until it is stale,
+// because the peer's requests continue if only the session was lost.
 func (h *handler) PeerDown(info peer.Info) {
 	h.mesh.mu.Lock()
-	delete(h.mesh.differing, info.ID)
+	delete(h.mesh.evidenceStates, info.ID)
 	delete(h.mesh.connected, info.ID)
 	h.mesh.mu.Unlock()
-	h.mesh.opts.Logger.Info("peer lost", zap.String("peer", info.ID))
+	h.mesh.opts.Logger.Info("peer disconnected", zap.String("peer", info.ID))
 }
 
 // UpstreamStates implements peer.Handler.
@@ -291,9 +304,9 @@
 	states := make(map[uint32]pipeline.Observed, len(m.GetStates()))
 	for _, s := range m.GetStates() {
 		states[s.GetUpstream()] = pipeline.Observed{
-			Pace: float64(s.GetPace()) / paceUnit,
-			Used: float64(s.GetUsed()) * unit,
-			Room: float64(s.GetRoom()) * unit,
+			Pace: float64(s.GetPace()) / stepTimeRatioUnit,
+			Used: float64(s.GetUsed()) * tokenUnit,
+			Room: float64(s.GetRoom()) * tokenUnit,
 
 			HasLayers: s.GetHasLayers(),
 			From:      int(s.GetLayersFrom()),
@@ -301,7 +314,7 @@
 		}
 	}
 	h.mesh.opts.Gateway.Observe(func(replica string) (pipeline.Observed, bool) {
-		o, ok := states[key(replica)]
+		o, ok := states[replicaKey(replica)]
 		return o, ok
 	})
 }
@@ -309,8 +322,8 @@
 // Suspicion implements peer.Handler.
 func (h *handler) Suspicion(_ string, s *peerpb.Suspicion) {
 	h.mesh.opts.Gateway.Suspect(s.GetUpstream())
-	if h.mesh.opts.OnSilent != nil {
-		h.mesh.opts.OnSilent(s.GetUpstream())
+	if h.mesh.opts.OnUnresponsive != nil {
+		h.mesh.opts.OnUnresponsive(s.GetUpstream())
 	}
 }
 
@@ -321,9 +334,9 @@
 
 // ConfigState implements peer.Handler.
 func (h *handler) ConfigState(_ string, state *peerpb.ConfigState) {
-	content, err := unpack(state.GetContent())
+	content, err := decompress(state.GetContent())
 	if err != nil {
-		h.mesh.opts.Logger.Warn("configuration of another instance not unpacked", zap.Uint64("version", state.GetRevision()), zap.Error(err))
+		h.mesh.opts.Logger.Warn("failed to decompress the configuration of a peer", zap.Uint64("version", state.GetRevision()), zap.Error(err))
 		return
 	}
 	if h.mesh.opts.OnConfig != nil {
--- a/node/mesh/mesh_test.go
+++ b/node/mesh/mesh_test.go
@@ -20,47 +20,47 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds waits for what is to happen.
-const patience = 20 * time.Second
+// waitTimeout is the maximum wait for an expected condition.
+const waitTimeout = 20 * time.Second
 
-// fake is the gateway of one instance.
-type fake struct {
-	mu       sync.Mutex
-	own      map[string]pipeline.Load
-	links    map[pipeline.Link]float64
-	foreign  func(string) pipeline.Load
-	link     func(pipeline.Link) float64
-	suspects map[string]bool
-	avoided  map[string]int
-	observed map[string]pipeline.Observed
-	evidence *poison.Ledger
+// fakeGateway is the gateway of one instance and records the calls that it receives.
+type fakeGateway struct {
+	mu           sync.Mutex
+	own          map[string]pipeline.Load
+	links        map[pipeline.Link]float64
+	remoteLoad   func(string) pipeline.Load
+	remoteLink   func(pipeline.Link) float64
+	unresponsive map[string]bool
+	rejections   map[string]int
+	observed     map[string]pipeline.Observed
+	evidence     *poison.Ledger
 }
 
-func (f *fake) Loads() map[string]map[string]pipeline.Load {
+func (f *fakeGateway) Loads() map[string]map[string]pipeline.Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return map[string]map[string]pipeline.Load{"s": maps.Clone(f.own)}
 }
 
-func (f *fake) Links() map[pipeline.Link]float64 {
+func (f *fakeGateway) Links() map[pipeline.Link]float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.links)
 }
 
-func (f *fake) SetForeign(of func(string) pipeline.Load, link func(pipeline.Link) float64) {
+func (f *fakeGateway) SetForeign(of func(string) pipeline.Load, link func(pipeline.Link) float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.foreign, f.link = of, link
+	f.remoteLoad, f.remoteLink = of, link
 }
 
-func (f *fake) Rejected(id string, count int) {
+func (f *fakeGateway) Rejected(id string, count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.avoided[id] = count
+	f.rejections[id] = count
 }
 
-func (f *fake) Observe(of func(string) (pipeline.Observed, bool)) {
+func (f *fakeGateway) Observe(of func(string) (pipeline.Observed, bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range []string{"r1", "r2"} {
@@ -70,31 +70,32 @@
 	}
 }
 
-func (f *fake) Suspect(id string) {
+func (f *fakeGateway) Suspect(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.suspects[id] = true
+	f.unresponsive[id] = true
 }
 
-func (f *fake) LearnEvidence(s poison.State) {
+func (f *fakeGateway) LearnEvidence(s poison.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.evidence.Learn(time.Now(), s)
 }
 
-func (f *fake) Evidence() poison.State {
+func (f *fakeGateway) Evidence() poison.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.evidence.State()
 }
 
-func (f *fake) EvidenceDigest() uint64 {
+func (f *fakeGateway) EvidenceDigest() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.evidence.Digest()
 }
 
-func (f *fake) see(check func() bool) func() bool {
+// locked returns a function that calls check while holding the lock.
+func (f *fakeGateway) locked(check func() bool) func() bool {
 	return func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -102,15 +103,16 @@
 	}
 }
 
-func newFake() *fake {
-	return &fake{
-		own: map[string]pipeline.Load{}, links: map[pipeline.Link]float64{}, suspects: map[string]bool{},
-		avoided: map[string]int{}, observed: map[string]pipeline.Observed{}, evidence: poison.NewLedger(time.Minute),
+func newFakeGateway() *fakeGateway {
+	return &fakeGateway{
+		own: map[string]pipeline.Load{}, links: map[pipeline.Link]float64{}, unresponsive: map[string]bool{},
+		rejections: map[string]int{}, observed: map[string]pipeline.Observed{}, evidence: poison.NewLedger(time.Minute),
 	}
 }
 
-// start runs a mesh on an address of its own, as the port is the same everywhere.
-func start(t *testing.T, name, address string, f *fake, o mesh.Options) *mesh.Mesh {
+// start runs a mesh until the test ends. Each mesh has an IP address of its own because all
+// listen on the same port.
+func start(t *testing.T, name, address string, f *fakeGateway, o mesh.Options) *mesh.Mesh {
 	o.Member, o.Listen, o.Cluster, o.Gateway, o.Logger = name, address, "cluster", f, zap.NewNop()
 	if o.Zone == "" {
 		o.Zone = "z"
@@ -131,7 +133,8 @@
 	return m
 }
 
-// freePort returns a port that is free on both addresses.
+// freePort returns a port that is free on 127.0.0.1. It is assumed to be free on the other
+// loopback addresses too.
 func freePort(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -141,14 +144,14 @@
 	return port
 }
 
-func TestInstancesTellEachOther(t *testing.T) {
+func TestInstancesExchangeState(t *testing.T) {
 	port := freePort(t)
-	a, b := newFake(), newFake()
+	a, b := newFakeGateway(), newFakeGateway()
 	var mu sync.Mutex
 	var leaving roster.Process
-	var removed, silent string
-	var duty int64
-	ma := start(t, "a", net.JoinHostPort("127.0.0.1", port), a, mesh.Options{Duty: func() int64 { return 42 }})
+	var removed, unresponsive string
+	var leaderGeneration int64
+	ma := start(t, "a", net.JoinHostPort("127.0.0.1", port), a, mesh.Options{LeaderGeneration: func() int64 { return 42 }})
 	mb := start(t, "b", net.JoinHostPort("127.0.0.2", port), b, mesh.Options{
 		OnLeaving: func(p roster.Process) {
 			mu.Lock()
@@ -160,15 +163,15 @@
 			defer mu.Unlock()
 			removed = id
 		},
-		OnSilent: func(id string) {
+		OnUnresponsive: func(id string) {
 			mu.Lock()
 			defer mu.Unlock()
-			silent = id
+			unresponsive = id
 		},
-		OnDuty: func(generation int64) {
+		OnLeaderGeneration: func(generation int64) {
 			mu.Lock()
 			defer mu.Unlock()
-			duty = generation
+			leaderGeneration = generation
 		},
 	})
 	members := map[string]string{"a": "127.0.0.1", "b": "127.0.0.2"}
@@ -179,45 +182,45 @@
 	a.links[pipeline.LinkBetween("x", "y")] = 700
 	a.mu.Unlock()
 
-	require.Eventually(t, b.see(func() bool {
-		return b.foreign != nil && b.foreign("r1") == pipeline.Load{Reserved: 12_000, Sequences: 3, Reading: 5_000} &&
-			b.link(pipeline.LinkBetween("y", "x")) == 700
-	}), patience, time.Millisecond)
+	require.Eventually(t, b.locked(func() bool {
+		return b.remoteLoad != nil && b.remoteLoad("r1") == pipeline.Load{Reserved: 12_000, Sequences: 3, Reading: 5_000} &&
+			b.remoteLink(pipeline.LinkBetween("y", "x")) == 700
+	}), waitTimeout, time.Millisecond)
 
 	a.mu.Lock()
 	a.own = map[string]pipeline.Load{}
 	a.mu.Unlock()
-	require.Eventually(t, b.see(func() bool { return b.foreign("r1") == pipeline.Load{} }), patience, time.Millisecond)
+	require.Eventually(t, b.locked(func() bool { return b.remoteLoad("r1") == pipeline.Load{} }), waitTimeout, time.Millisecond)
 
 	require.Eventually(t, func() bool {
-		ma.Silent("r1")
-		ma.Leaving(roster.Process{ID: "r2", Born: 7})
-		ma.Removed("r3")
-		ma.Rejected("r2", 3)
-		ma.Observed(map[string]pipeline.Observed{"r1": {Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}})
+		ma.ReportUnresponsive("r1")
+		ma.ReportLeaving(roster.Process{ID: "r2", Born: 7})
+		ma.ReportRemoved("r3")
+		ma.ReportRejection("r2", 3)
+		ma.SendStates(map[string]pipeline.Observed{"r1": {Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}})
 		mu.Lock()
-		told := leaving == roster.Process{ID: "r2", Born: 7} && removed == "r3" && silent == "r1" && duty == 42
+		received := leaving == roster.Process{ID: "r2", Born: 7} && removed == "r3" && unresponsive == "r1" && leaderGeneration == 42
 		mu.Unlock()
-		return told && b.see(func() bool {
-			return b.suspects["r1"] && b.avoided["r2"] == 3 && b.avoided["r1"] == 0 && b.observed["r1"] == pipeline.Observed{Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}
+		return received && b.locked(func() bool {
+			return b.unresponsive["r1"] && b.rejections["r2"] == 3 && b.rejections["r1"] == 0 && b.observed["r1"] == pipeline.Observed{Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}
 		})()
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 }
 
-// pair starts two meshes that know each other.
+// pair starts two meshes that are peers of each other.
 func pair(t *testing.T, oa, ob mesh.Options) (a, b *mesh.Mesh) {
 	port := freePort(t)
-	a = start(t, "a", net.JoinHostPort("127.0.0.1", port), newFake(), oa)
-	b = start(t, "b", net.JoinHostPort("127.0.0.2", port), newFake(), ob)
+	a = start(t, "a", net.JoinHostPort("127.0.0.1", port), newFakeGateway(), oa)
+	b = start(t, "b", net.JoinHostPort("127.0.0.2", port), newFakeGateway(), ob)
 	members := map[string]string{"a": "127.0.0.1", "b": "127.0.0.2"}
 	a.SetMembers(members)
 	b.SetMembers(members)
 	return a, b
 }
 
-// TestNewPeerLearnsWhoLeaves has a replica that said that it leaves before the other
-// instance started.
-func TestNewPeerLearnsWhoLeaves(t *testing.T) {
+// TestNewPeerReceivesDepartures guards against new peers that miss earlier departures: the
+// replica announced that it is leaving before the other instance started.
+func TestNewPeerReceivesDepartures(t *testing.T) {
 	got := make(chan roster.Process, 10)
 	left := roster.Process{ID: "r", Born: 5}
 	pair(t, mesh.Options{Departed: func() []roster.Process { return []roster.Process{left} }},
@@ -225,8 +228,8 @@
 	select {
 	case p := <-got:
 		require.Equal(t, left, p)
-	case <-time.After(patience):
-		require.Fail(t, "a new peer is not told")
+	case <-time.After(waitTimeout):
+		require.Fail(t, "the new peer was not sent the departed processes")
 	}
 }
 
@@ -239,10 +242,10 @@
 	require.Equal(t, 1, a.Peers())
 }
 
-func TestUpdatesArePassedOn(t *testing.T) {
+func TestUpdatesAreForwarded(t *testing.T) {
 	got := make(chan roster.Updates, 1000)
 	a, _ := pair(t, mesh.Options{}, mesh.Options{OnUpdates: func(u roster.Updates) { got <- u }})
-	require.Eventually(t, func() bool { return a.Peers() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return a.Peers() == 1 }, waitTimeout, time.Millisecond)
 	u := roster.Updates{From: 3, To: 9, List: []roster.Update{
 		{ID: "gone", Offset: 4},
 		{ID: "plain", Offset: 5, Entry: &roster.Entry{
@@ -253,6 +256,6 @@
 			Layers: &roster.Layers{From: 3, To: 9, Version: 1},
 		}},
 	}}
-	a.Updates(u)
+	a.ForwardUpdates(u)
 	require.Equal(t, u, <-got)
 }
--- a/node/mesh/updates.go
+++ b/node/mesh/updates.go
@@ -7,12 +7,13 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// Updates passes on what this instance read in the platform's list of replicas.
-func (m *Mesh) Updates(u roster.Updates) { m.broadcast(encodeUpdates(u)) }
+// ForwardUpdates forwards the updates of replicas' entries that this instance read from the
+// platform's store to the peers.
+func (m *Mesh) ForwardUpdates(u roster.Updates) { m.broadcast(encodeUpdates(u)) }
 
-// tellDeparted tells a new peer which processes of replicas leave or have left: it may
-// have started anew, and the store need not say so.
-func (m *Mesh) tellDeparted(to string) {
+// sendDeparted sends the processes of replicas that are leaving or have left to a new
+// peer. The peer may have restarted, and the entries in the store need not show this.
+func (m *Mesh) sendDeparted(to string) {
 	if m.opts.Departed == nil {
 		return
 	}
@@ -21,7 +22,7 @@
 		return
 	}
 	if err := m.node.Send(to, encodeDepartures(list)); err != nil {
-		m.opts.Logger.Info("leaving replicas not told", zap.String("peer", to), zap.Error(err))
+		m.opts.Logger.Info("failed to send departed replicas to a peer", zap.String("peer", to), zap.Error(err))
 	}
 }
 
@@ -35,11 +36,11 @@
 
 func encodeUpdates(u roster.Updates) *peerpb.UpstreamChanges {
 	out := &peerpb.UpstreamChanges{FromOffset: uint64(u.From), ToOffset: uint64(u.To)}
-	for _, one := range u.List {
+	for _, update := range u.List {
 		out.Changes = append(out.Changes, &peerpb.UpstreamChange{
-			Upstream: one.ID,
-			Offset:   uint64(one.Offset),
-			Entry:    encodeEntry(one.Entry),
+			Upstream: update.ID,
+			Offset:   uint64(update.Offset),
+			Entry:    encodeEntry(update.Entry),
 		})
 	}
 	return out
