--- a/node/exchange/endless_test.go
+++ b/node/exchange/endless_test.go
@@ -12,12 +12,13 @@
 	"masticbank.example/node/exchange"
 )
 
-// TestHeadsWithoutEndAreGivenUp has no deadline: only a bound ends the call.
-func TestHeadsWithoutEndAreGivenUp(t *testing.T) {
-	for name, answer := range boundedtest.Heads {
+// TestEndlessHeadsAreErrors guards against reading an endless head forever. The call has
+// no deadline: only the size limit ends it.
+func TestEndlessHeadsAreErrors(t *testing.T) {
+	for name, response := range boundedtest.Heads {
 		t.Run(name, func(t *testing.T) {
-			s := boundedtest.Start(t, answer)
-			_, err := client(t).Do(context.Background(), s.Address(), get("/"))
+			s := boundedtest.Start(t, response)
+			_, err := newClient(t).Do(context.Background(), s.Address(), getRequest("/"))
 			var ee *exchange.Error
 			require.ErrorAs(t, err, &ee)
 			require.True(t, ee.Sent)
@@ -26,12 +27,14 @@
 	}
 }
 
-func TestBodiesWithoutEndAreNeverWhole(t *testing.T) {
+// TestEndlessBodiesAreErrors guards against an endless body that is taken for a
+// complete one.
+func TestEndlessBodiesAreErrors(t *testing.T) {
 	const limit = 1 << 20
-	for name, answer := range boundedtest.Bodies {
+	for name, response := range boundedtest.Bodies {
 		t.Run(name, func(t *testing.T) {
-			s := boundedtest.Start(t, answer)
-			resp, err := client(t).Do(context.Background(), s.Address(), get("/"))
+			s := boundedtest.Start(t, response)
+			resp, err := newClient(t).Do(context.Background(), s.Address(), getRequest("/"))
 			require.NoError(t, err)
 			defer resp.Close()
 			_, err = bounded.NewMemory(64<<20).Hold().ReadAll(resp.Body, limit)
--- a/node/exchange/exchange.go
+++ b/node/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange sends one HTTP/1.1 request to a replica and reads its answer,
-// with a pool of connections.
+// Package exchange implements an HTTP/1.1 client with a connection pool for requests to
+// replicas.
 //
-// It is used in place of net/http's transport where the router has to know
-// whether anything was sent, must never send a request twice by itself, passes
-// the request target on byte for byte, and must not take bytes that belong to an
-// earlier request for an answer. Messages are parsed by net/http.
+// It replaces net/http's transport because the router must know whether any part of a
+// request was sent, must never retry a request implicitly, must forward the request
+// target byte for byte, and must not mistake bytes that belong to an earlier request for
+// a response. Messages are parsed by net/http.
 package exchange
 
 import (
@@ -26,50 +26,51 @@
 	"masticbank.example/node/bounded"
 )
 
-// Request is one request. The body is sent with its length.
+// Request is one request. Its body is sent with a Content-Length.
 type Request struct {
 	Method string
-	// Target is the request target as the caller sent it.
+	// Target is the request target exactly as the client sent it.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a connection that was used just now, or a new one, since the
-	// request cannot be repeated.
+	// Fresh requires a new or very recently used connection. It is set for requests that
+	// must not be retried.
 	Fresh bool
 }
 
-// Error is a request without a usable answer.
+// Error is the error of a request without a usable response.
 type Error struct {
-	// Sent is true when the replica may have read the request.
+	// Sent is true if the replica may have received the request.
 	Sent bool
-	// Timeout is true when the deadline passed first.
+	// Timeout is true if a timeout expired or the context ended.
 	Timeout bool
 	Err     error
 }
 
-// Error returns the cause.
+// Error implements error.
 func (e *Error) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Response is the head of an answer and its body. Close must be called once.
+// Response is the head of a response and a reader of its body. Close must be called once.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Reused is true when the connection had served a request before.
+	// Reused is true if the connection was used by an earlier request.
 	Reused bool
 
-	conn   *conn
-	client *Client
-	stop   func() bool
-	ended  bool
-	broken bool
+	conn             *conn
+	client           *Client
+	stopCancellation func() bool
+	complete         bool
+	notReusable      bool
 }
 
-// Client keeps connections to replicas. It is safe for concurrent use.
+// Client sends requests to replicas and keeps idle connections for reuse. It is safe for
+// concurrent use.
 type Client struct {
 	opts Options
 	mu   sync.Mutex
@@ -78,83 +79,87 @@
 
 // Options configures a Client.
 type Options struct {
-	// DialTimeout bounds a new connection.
+	// DialTimeout limits the time to establish a connection.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that the replica states no time for.
+	// IdleTimeout is the maximum idle time of a connection. It is shorter if the replica
+	// announces a shorter one.
 	IdleTimeout time.Duration
-	// IdlePerAddress bounds the idle connections to one replica.
+	// IdlePerAddress is the maximum number of idle connections to one replica.
 	IdlePerAddress int
-	// UnackedTimeout ends a connection whose data is not acknowledged; 0 leaves
-	// the system's default.
+	// UnackedTimeout is the time after which a connection with unacknowledged data is
+	// closed; 0 means the system's default.
 	UnackedTimeout time.Duration
 }
 
 const (
-	// keepAliveMargin is subtracted from the idle time that a replica states, for
-	// the way there.
+	// keepAliveMargin is subtracted from the idle timeout that a replica announces, to
+	// allow for network latency.
 	keepAliveMargin = 500 * time.Millisecond
-	// freshAge is the age of the last answer up to which a connection is good
-	// enough for a request that cannot be repeated.
-	freshAge = 400 * time.Millisecond
-	// readBuffer is the size of the buffer of a connection, in bytes.
-	readBuffer = 4096
+	// maxFreshIdleTime is the maximum idle time of a connection that is used for a request
+	// that must not be retried.
+	maxFreshIdleTime = 400 * time.Millisecond
+	// readBufferBytes is the size of the read buffer of a connection in bytes.
+	readBufferBytes = 4096
 )
 
+// conn is a connection to a replica.
 type conn struct {
 	net.Conn
 	address  string
 	reader   *bufio.Reader
-	meter    *meter
+	limiter  *headLimiter
 	lastUsed time.Time
-	// idleLimit is the idle time after which the replica closes it.
-	idleLimit time.Duration
-	used      bool
+	// announcedIdleTimeout is the idle timeout that the replica announced, or 0.
+	announcedIdleTimeout time.Duration
+	reused               bool
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(o Options) *Client {
 	return &Client{opts: o, idle: map[string][]*conn{}}
 }
 
-// Do sends a request to address (IP:port) and returns when the head of the answer
-// is there. The error is an *Error. ctx bounds the whole exchange, the body too.
+// Do sends a request to address (IP:port) and returns when the head of the response was
+// received. The error is an *Error. The end of ctx aborts the whole exchange, including
+// reading the body.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
-	cn, err := c.get(ctx, address, r.Fresh)
+	cn, err := c.acquire(ctx, address, r.Fresh)
 	if err != nil {
 		return nil, &Error{Timeout: timedOut(ctx, err), Err: err}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
-	resp, err := c.exchange(cn, r)
+	resp, err := c.roundTrip(cn, r)
 	if err != nil {
 		stop()
-		c.drop(cn)
+		c.discard(cn)
 		return nil, &Error{Sent: true, Timeout: timedOut(ctx, err), Err: err}
 	}
-	resp.stop = stop
+	resp.stopCancellation = stop
 	return resp, nil
 }
 
-func (c *Client) exchange(cn *conn, r *Request) (*Response, error) {
+// roundTrip sends a request on a connection and reads the head of the response.
+func (c *Client) roundTrip(cn *conn, r *Request) (*Response, error) {
 	if _, err := cn.Write(encode(r)); err != nil {
-		return nil, trace.Wrap(err, "sending to %s", cn.address)
+		return nil, trace.Wrap(err, "sending request to %s", cn.address)
 	}
-	cn.meter.limit(bounded.HeadBytes)
+	cn.limiter.setLimit(bounded.HeadBytes)
 	resp, err := readHead(cn.reader, r.Method)
-	if cn.meter.exceeded {
-		return nil, trace.Wrap(ErrHeadTooLarge, "answer of %s", cn.address)
+	if cn.limiter.exceeded {
+		return nil, trace.Wrap(ErrHeadTooLarge, "response from %s", cn.address)
 	}
-	cn.meter.limit(unlimited)
+	cn.limiter.setLimit(unlimited)
 	if err != nil {
-		return nil, trace.Wrap(err, "answer of %s", cn.address)
+		return nil, trace.Wrap(err, "response from %s", cn.address)
 	}
-	out := &Response{Status: resp.StatusCode, Header: resp.Header, Reused: cn.used, conn: cn, client: c}
-	out.Body = &body{response: out, reader: resp.Body}
-	out.broken = resp.Close
-	cn.idleLimit = keepAlive(resp.Header)
+	out := &Response{Status: resp.StatusCode, Header: resp.Header, Reused: cn.reused, conn: cn, client: c}
+	out.Body = &bodyReader{response: out, reader: resp.Body}
+	out.notReusable = resp.Close
+	cn.announcedIdleTimeout = keepAliveTimeout(resp.Header)
 	return out, nil
 }
 
-// readHead reads heads until one is final.
+// readHead reads response heads until the final one and skips interim ones.
 func readHead(r *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(r, &http.Request{Method: method})
@@ -165,13 +170,13 @@
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, trace.BadParameter("status 101 was not asked for")
+			return nil, trace.BadParameter("unexpected status 101: no protocol switch was requested")
 		}
 	}
 }
 
-// encode writes the head and body of a request. Headers have been checked by the
-// server that parsed them.
+// encode encodes the head and body of a request. The headers need no validation because
+// the server that parsed them has validated them.
 func encode(r *Request) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method)
@@ -180,7 +185,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	_ = r.Header.Write(&b) // a bytes.Buffer does not fail
+	_ = r.Header.Write(&b) // writing to a bytes.Buffer never fails
 	if len(r.Body) > 0 || (r.Method != http.MethodGet && r.Method != http.MethodHead) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
@@ -191,8 +196,8 @@
 	return b.Bytes()
 }
 
-// keepAlive returns the idle time that a replica states, or 0.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout in the Keep-Alive header, or 0 if there is none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	const prefix = "timeout="
 	for _, part := range bytes.Split([]byte(h.Get("Keep-Alive")), []byte(",")) {
 		value, ok := bytes.CutPrefix(bytes.TrimSpace(part), []byte(prefix))
@@ -206,54 +211,56 @@
 	return 0
 }
 
-// body notes the end of the answer.
-type body struct {
+// bodyReader reads the body of a response and records whether it was complete.
+type bodyReader struct {
 	response *Response
 	reader   io.Reader
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *bodyReader) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	switch {
 	case errors.Is(err, io.EOF):
-		b.response.ended = true
+		b.response.complete = true
 	case err != nil:
-		b.response.broken = true
+		b.response.notReusable = true
 	}
 	return n, err
 }
 
-// Close gives the connection back if the whole answer was read and nothing
-// follows it, else closes it. Closing tells the replica to stop.
+// Close returns the connection to the pool if the whole response was read and no further
+// bytes follow it. Otherwise it closes the connection, which makes the replica cancel the
+// request.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
 	}
 	cn := r.conn
 	r.conn = nil
-	// stop returns false when the context ended and the deadline of the
-	// connection was moved to the past.
-	intact := r.stop()
-	if !intact || !r.ended || r.broken || cn.reader.Buffered() > 0 {
-		r.client.drop(cn)
+	// stopCancellation returns false if the context has ended, so that the connection's
+	// deadline is in the past.
+	stopped := r.stopCancellation()
+	if !stopped || !r.complete || r.notReusable || cn.reader.Buffered() > 0 {
+		r.client.discard(cn)
 		return
 	}
-	r.client.put(cn)
+	r.client.release(cn)
 }
 
-// Discard marks the connection as unusable, so that Close closes it.
-func (r *Response) Discard() { r.broken = true }
+// Discard marks the connection as not reusable, so that Close closes it.
+func (r *Response) Discard() { r.notReusable = true }
 
-func (c *Client) get(ctx context.Context, address string, fresh bool) (*conn, error) {
+// acquire returns a usable idle connection or establishes a new one.
+func (c *Client) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
 	for {
-		cn := c.take(address)
+		cn := c.popIdle(address)
 		if cn == nil {
 			return c.dial(ctx, address)
 		}
 		age := time.Since(cn.lastUsed)
-		if age > c.limit(cn) || (fresh && age > freshAge) || !quiet(cn) {
-			c.drop(cn)
+		if age > c.maxIdleTime(cn) || (fresh && age > maxFreshIdleTime) || !isReusable(cn) {
+			c.discard(cn)
 			continue
 		}
 		_ = cn.SetDeadline(time.Time{})
@@ -261,16 +268,17 @@
 	}
 }
 
-// limit is how long the connection may be idle.
-func (c *Client) limit(cn *conn) time.Duration {
-	if cn.idleLimit > 0 {
-		return min(cn.idleLimit-keepAliveMargin, c.opts.IdleTimeout)
+// maxIdleTime returns the maximum idle time of a connection.
+func (c *Client) maxIdleTime(cn *conn) time.Duration {
+	if cn.announcedIdleTimeout > 0 {
+		return min(cn.announcedIdleTimeout-keepAliveMargin, c.opts.IdleTimeout)
 	}
 	return c.opts.IdleTimeout
 }
 
-// take returns the connection used last, or nil.
-func (c *Client) take(address string) *conn {
+// popIdle removes the most recently used idle connection from the pool and returns it, or
+// nil if there is none.
+func (c *Client) popIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
@@ -282,8 +290,9 @@
 	return cn
 }
 
-func (c *Client) put(cn *conn) {
-	cn.used = true
+// release returns a connection to the pool, or closes it if the pool is full.
+func (c *Client) release(cn *conn) {
+	cn.reused = true
 	cn.lastUsed = time.Now()
 	c.mu.Lock()
 	list := c.idle[cn.address]
@@ -293,7 +302,7 @@
 		return
 	}
 	c.mu.Unlock()
-	c.drop(cn)
+	c.discard(cn)
 }
 
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
@@ -306,11 +315,12 @@
 		nc.Close()
 		return nil, trace.Wrap(err, "connection to %s", address)
 	}
-	m := &meter{source: nc}
-	return &conn{Conn: nc, address: address, meter: m, reader: bufio.NewReaderSize(m, readBuffer)}, nil
+	m := &headLimiter{source: nc}
+	return &conn{Conn: nc, address: address, limiter: m, reader: bufio.NewReaderSize(m, readBufferBytes)}, nil
 }
 
-// Refused tells whether address refuses a new connection: nothing listens there.
+// Refused reports whether a new connection to address is refused, which means that no
+// process listens there.
 func (c *Client) Refused(ctx context.Context, address string) bool {
 	d := &net.Dialer{Timeout: c.opts.DialTimeout, KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", address)
@@ -321,17 +331,17 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-func (c *Client) drop(cn *conn) { cn.Close() }
+func (c *Client) discard(cn *conn) { cn.Close() }
 
-// Prune closes the connections that were idle for too long.
+// Prune closes the connections that exceeded their maximum idle time.
 func (c *Client) Prune() {
 	c.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for address, list := range c.idle {
 		kept := list[:0]
 		for _, cn := range list {
-			if time.Since(cn.lastUsed) > c.limit(cn) {
-				old = append(old, cn)
+			if time.Since(cn.lastUsed) > c.maxIdleTime(cn) {
+				expired = append(expired, cn)
 				continue
 			}
 			kept = append(kept, cn)
@@ -343,8 +353,8 @@
 		c.idle[address] = kept
 	}
 	c.mu.Unlock()
-	for _, cn := range old {
-		c.drop(cn)
+	for _, cn := range expired {
+		c.discard(cn)
 	}
 }
 
@@ -356,11 +366,12 @@
 	c.mu.Unlock()
 	for _, list := range idle {
 		for _, cn := range list {
-			c.drop(cn)
+			c.discard(cn)
 		}
 	}
 }
 
+// timedOut reports whether err was caused by a timeout or the end of ctx.
 func timedOut(ctx context.Context, err error) bool {
 	return ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded)
 }
--- a/node/exchange/exchange_test.go
+++ b/node/exchange/exchange_test.go
@@ -18,21 +18,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds waits for what is to happen.
-const patience = 20 * time.Second
+// waitTimeout is the maximum wait for an expected condition.
+const waitTimeout = 20 * time.Second
 
-// server answers each connection by a script.
-type server struct {
+// scriptedServer runs a script on each connection. heads receives the heads of the
+// requests that it has read.
+type scriptedServer struct {
 	listener net.Listener
 	accepted chan net.Conn
 	heads    chan string
 }
 
-// serve runs script for each connection; it returns the address.
-func serve(t *testing.T, script func(s *server, c net.Conn, r *bufio.Reader)) *server {
+// startServer starts a server that runs script on each connection.
+func startServer(t *testing.T, script func(s *scriptedServer, c net.Conn, r *bufio.Reader)) *scriptedServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &server{listener: l, accepted: make(chan net.Conn, 16), heads: make(chan string, 16)}
+	s := &scriptedServer{listener: l, accepted: make(chan net.Conn, 16), heads: make(chan string, 16)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -55,8 +56,8 @@
 	return s
 }
 
-// head reads the head of a request.
-func (s *server) head(r *bufio.Reader) bool {
+// readHead reads the head of a request. It returns false if the connection ended.
+func (s *scriptedServer) readHead(r *bufio.Reader) bool {
 	var text string
 	for {
 		line, err := r.ReadString('\n')
@@ -71,121 +72,122 @@
 	}
 }
 
-func (s *server) address() string { return s.listener.Addr().String() }
+func (s *scriptedServer) address() string { return s.listener.Addr().String() }
 
-func client(t *testing.T) *exchange.Client {
+func newClient(t *testing.T) *exchange.Client {
 	c := exchange.New(exchange.Options{DialTimeout: time.Second, IdleTimeout: time.Minute, IdlePerAddress: 4, UnackedTimeout: time.Second})
 	t.Cleanup(c.Close)
 	return c
 }
 
-func get(target string) *exchange.Request {
+func getRequest(target string) *exchange.Request {
 	return &exchange.Request{Method: http.MethodGet, Target: target, Host: "h.example", Header: http.Header{"X-A": {"1"}}}
 }
 
-func body(t *testing.T, r *exchange.Response) string {
+func readBody(t *testing.T, r *exchange.Response) string {
 	data, err := io.ReadAll(r.Body)
 	require.NoError(t, err)
 	r.Close()
 	return string(data)
 }
 
-const hello = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+const helloResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
-func always(answer string) func(*server, net.Conn, *bufio.Reader) {
-	return func(s *server, c net.Conn, r *bufio.Reader) {
-		for s.head(r) {
-			_, _ = io.WriteString(c, answer)
+// respondAlways returns a script that sends the same response to every request.
+func respondAlways(response string) func(*scriptedServer, net.Conn, *bufio.Reader) {
+	return func(s *scriptedServer, c net.Conn, r *bufio.Reader) {
+		for s.readHead(r) {
+			_, _ = io.WriteString(c, response)
 		}
 	}
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	s := serve(t, always(hello))
-	c := client(t)
+func TestConnectionsAreReused(t *testing.T) {
+	s := startServer(t, respondAlways(helloResponse))
+	c := newClient(t)
 	for i := range 3 {
-		resp, err := c.Do(context.Background(), s.address(), get("http://x//a?b=%2F"))
+		resp, err := c.Do(context.Background(), s.address(), getRequest("http://x//a?b=%2F"))
 		require.NoError(t, err)
 		require.Equal(t, i > 0, resp.Reused)
-		require.Equal(t, "hello", body(t, resp))
+		require.Equal(t, "hello", readBody(t, resp))
 		require.Equal(t, "GET http://x//a?b=%2F HTTP/1.1\r\nHost: h.example\r\nX-A: 1\r\n", <-s.heads)
 	}
 	require.Len(t, s.accepted, 1)
 }
 
-// TestExtraBytesAreNotTheNextAnswer sends a second answer after the first: the
-// connection must not be used again.
-func TestExtraBytesAreNotTheNextAnswer(t *testing.T) {
-	s := serve(t, always(hello+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"))
-	c := client(t)
+// TestExtraBytesAreNotTheNextResponse guards against bytes after a response that are taken
+// for the response to the next request: the connection must not be reused.
+func TestExtraBytesAreNotTheNextResponse(t *testing.T) {
+	s := startServer(t, respondAlways(helloResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"))
+	c := newClient(t)
 	for range 3 {
-		resp, err := c.Do(context.Background(), s.address(), get("/"))
+		resp, err := c.Do(context.Background(), s.address(), getRequest("/"))
 		require.NoError(t, err)
 		require.False(t, resp.Reused)
-		require.Equal(t, "hello", body(t, resp))
+		require.Equal(t, "hello", readBody(t, resp))
 	}
 }
 
-func TestClosedIdleConnectionsAreNotUsed(t *testing.T) {
-	s := serve(t, func(s *server, c net.Conn, r *bufio.Reader) {
-		if s.head(r) {
-			_, _ = io.WriteString(c, hello)
+func TestClosedIdleConnectionsAreNotReused(t *testing.T) {
+	s := startServer(t, func(s *scriptedServer, c net.Conn, r *bufio.Reader) {
+		if s.readHead(r) {
+			_, _ = io.WriteString(c, helloResponse)
 		}
 	})
-	c := client(t)
+	c := newClient(t)
 	for range 3 {
-		resp, err := c.Do(context.Background(), s.address(), get("/"))
+		resp, err := c.Do(context.Background(), s.address(), getRequest("/"))
 		require.NoError(t, err)
-		require.Equal(t, "hello", body(t, resp))
+		require.Equal(t, "hello", readBody(t, resp))
 		conn := <-s.accepted
 		require.Eventually(t, func() bool {
-			// A read of a connection that was closed here fails.
+			// The write fails once the server's script has closed the connection.
 			_, err := conn.Write(nil)
 			return errors.Is(err, net.ErrClosed)
-		}, patience, time.Millisecond)
+		}, waitTimeout, time.Millisecond)
 	}
 }
 
-func TestTruncatedAnswersAreErrors(t *testing.T) {
-	s := serve(t, func(s *server, c net.Conn, r *bufio.Reader) {
-		if s.head(r) {
+func TestTruncatedResponsesAreErrors(t *testing.T) {
+	s := startServer(t, func(s *scriptedServer, c net.Conn, r *bufio.Reader) {
+		if s.readHead(r) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello")
 		}
 	})
-	resp, err := client(t).Do(context.Background(), s.address(), get("/"))
+	resp, err := newClient(t).Do(context.Background(), s.address(), getRequest("/"))
 	require.NoError(t, err)
 	defer resp.Close()
 	_, err = io.ReadAll(resp.Body)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestErrorsTellWhetherTheRequestWasSent(t *testing.T) {
+func TestErrorsReportWhetherTheRequestWasSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	free := l.Addr().String()
+	unusedAddress := l.Addr().String()
 	require.NoError(t, l.Close())
 	var ee *exchange.Error
-	_, err = client(t).Do(context.Background(), free, get("/"))
+	_, err = newClient(t).Do(context.Background(), unusedAddress, getRequest("/"))
 	require.ErrorAs(t, err, &ee)
 	require.False(t, ee.Sent)
 
-	s := serve(t, func(s *server, _ net.Conn, r *bufio.Reader) { s.head(r) })
-	_, err = client(t).Do(context.Background(), s.address(), get("/"))
+	s := startServer(t, func(s *scriptedServer, _ net.Conn, r *bufio.Reader) { s.readHead(r) })
+	_, err = newClient(t).Do(context.Background(), s.address(), getRequest("/"))
 	require.ErrorAs(t, err, &ee)
 	require.True(t, ee.Sent)
 
-	garbage := serve(t, always("no answer at all\r\n\r\n"))
-	_, err = client(t).Do(context.Background(), garbage.address(), get("/"))
+	garbage := startServer(t, respondAlways("no answer at all\r\n\r\n"))
+	_, err = newClient(t).Do(context.Background(), garbage.address(), getRequest("/"))
 	require.ErrorAs(t, err, &ee)
 	require.True(t, ee.Sent)
 }
 
-// TestLeavingCallerEndsTheRun cancels a request: the replica must see its
-// connection end.
-func TestLeavingCallerEndsTheRun(t *testing.T) {
+// TestCancelledRequestClosesTheConnection guards against a replica that keeps running a
+// cancelled request: cancelling it must close the connection to the replica.
+func TestCancelledRequestClosesTheConnection(t *testing.T) {
 	ended := make(chan struct{})
-	s := serve(t, func(s *server, _ net.Conn, r *bufio.Reader) {
-		s.head(r)
+	s := startServer(t, func(s *scriptedServer, _ net.Conn, r *bufio.Reader) {
+		s.readHead(r)
 		_, _ = r.ReadByte()
 		close(ended)
 	})
@@ -194,22 +196,22 @@
 		<-s.heads
 		cancel()
 	}()
-	_, err := client(t).Do(ctx, s.address(), get("/"))
+	_, err := newClient(t).Do(ctx, s.address(), getRequest("/"))
 	var ee *exchange.Error
 	require.ErrorAs(t, err, &ee)
 	require.True(t, ee.Sent)
 	require.True(t, ee.Timeout)
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		require.Fail(t, "the connection stays open")
+	case <-time.After(waitTimeout):
+		require.Fail(t, "the connection was not closed")
 	}
 }
 
-func TestInterimAnswersAreSkipped(t *testing.T) {
-	s := serve(t, always("HTTP/1.1 100 Continue\r\n\r\n"+hello))
-	resp, err := client(t).Do(context.Background(), s.address(), get("/"))
+func TestInterimResponsesAreSkipped(t *testing.T) {
+	s := startServer(t, respondAlways("HTTP/1.1 100 Continue\r\n\r\n"+helloResponse))
+	resp, err := newClient(t).Do(context.Background(), s.address(), getRequest("/"))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.Status)
-	require.Equal(t, "hello", body(t, resp))
+	require.Equal(t, "hello", readBody(t, resp))
 }
--- a/node/exchange/socket.go
+++ b/node/exchange/socket.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUnackedTimeout ends the connection when data that was sent is not
+// setUnackedTimeout makes the system close the connection if sent data is not
 // acknowledged within d.
 func setUnackedTimeout(c net.Conn, d time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
@@ -29,9 +29,9 @@
 	return set
 }
 
-// quiet tells whether an idle connection has neither been closed by its peer nor
-// received bytes, which would belong to an earlier request.
-func quiet(cn *conn) bool {
+// isReusable reports whether an idle connection can be reused: its peer has not closed it,
+// and no bytes, which would belong to an earlier request, were received on it.
+func isReusable(cn *conn) bool {
 	if cn.reader.Buffered() > 0 {
 		return false
 	}
