--- a/cmd/internal/entry/crash_test.go
+++ b/cmd/internal/entry/crash_test.go
@@ -49,7 +49,7 @@
 	}
 	f.eventually(func() bool {
 		for _, i := range f.instances {
-			if i.Instances() < instances {
+			if i.InstanceCount() < instances {
 				return false
 			}
 		}
@@ -192,7 +192,7 @@
 	before := f.crashes()
 
 	f.addInstance()
-	f.eventually(func() bool { return f.instance.Evidence() > 0 }, "the new instance has received the evidence")
+	f.eventually(func() bool { return f.instance.EvidenceCount() > 0 }, "the new instance has received the evidence")
 	require.Equal(t, 503, f.send("GET", "/look/1", "key1", crashBody).status)
 
 	f.eventually(func() bool { return f.store.Calls("/-/log-append") > 0 }, "the evidence is in the store")
@@ -200,13 +200,13 @@
 		require.NoError(t, i.Stop())
 	}
 	f.addInstance()
-	f.eventually(func() bool { return f.instance.Evidence() > 0 }, "the evidence is read")
+	f.eventually(func() bool { return f.instance.EvidenceCount() > 0 }, "the evidence is read")
 	require.Equal(t, 503, f.send("GET", "/look/1", "key1", crashBody).status)
 	require.Equal(t, before, f.crashes())
 }
 
-// TestRequestIsBlockedWhileTheStoreIsUnavailable has the store unavailable to all instances:
-// they must exchange the evidence among themselves.
+// TestRequestIsBlockedWhileTheStoreIsUnavailable has the store unavailable to all
+// instances: they must exchange the evidence among themselves.
 func TestRequestIsBlockedWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 3)
@@ -264,8 +264,8 @@
 	require.Equal(t, 200, f.send("GET", "/look/1", "key1", "y").status, "another body")
 }
 
-// TestStreamThatCrashesStagesIsNotMovedEndlessly guards against moving a stream from path to
-// path without end when it crashes a later stage and every stage that replaces it.
+// TestStreamThatCrashesStagesIsNotMovedEndlessly guards against moving a stream from path
+// to path without end when it crashes a later stage and every stage that replaces it.
 func TestStreamThatCrashesStagesIsNotMovedEndlessly(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "llm", 0, 1)
@@ -300,7 +300,7 @@
 	f.addInstance()
 	alone := f.instance
 	f.sendCopies(6, "GET", "/look/1", crashBody)
-	f.eventually(func() bool { return alone.Evidence() >= maxCrashes }, "the evidence is read")
+	f.eventually(func() bool { return alone.EvidenceCount() >= maxCrashes }, "the evidence is read")
 	before := f.crashes()
 	f.instance = alone
 	require.Equal(t, 503, f.send("GET", "/look/1", "key1", crashBody).status)
--- a/cmd/internal/entry/endless_test.go
+++ b/cmd/internal/entry/endless_test.go
@@ -8,8 +8,8 @@
 	"masticbank.example/platform/platformtest"
 )
 
-// TestLongResponsesAreNeverTruncated guards against delivering a truncated response: one of the
-// maximum size is delivered whole, a longer one is replaced by an error.
+// TestLongResponsesAreNeverTruncated guards against delivering a truncated response: one
+// of the maximum size is delivered whole, a longer one is replaced by an error.
 func TestLongResponsesAreNeverTruncated(t *testing.T) {
 	const longest = 16 << 20
 	w := newEnvironment(t)
--- a/cmd/internal/entry/entry.go
+++ b/cmd/internal/entry/entry.go
@@ -58,8 +58,8 @@
 	replicaIdleTimeout = 4 * time.Second
 	// replicaIdleConnections is the maximum number of idle connections to each replica.
 	replicaIdleConnections = 64
-	// replicaUnackedTimeout is the time after which a connection with unacknowledged data is
-	// closed.
+	// replicaUnackedTimeout is the time after which a connection with unacknowledged data
+	// is closed.
 	replicaUnackedTimeout = 700 * time.Millisecond
 
 	// drainNotice is how long new requests may still arrive after SIGTERM. The platform
@@ -70,8 +70,8 @@
 	stopMargin = 500 * time.Millisecond
 	// drainPollInterval is how often Stop checks whether requests are still in progress.
 	drainPollInterval = 50 * time.Millisecond
-	// memoryLimitFraction is the fraction of the instance's memory that is set as the garbage
-	// collector's memory limit. The rest is for thread stacks and kernel memory.
+	// memoryLimitFraction is the fraction of the instance's memory that is set as the
+	// garbage collector's memory limit. The rest is for thread stacks and kernel memory.
 	memoryLimitFraction = 0.7
 	// responseMemoryFraction is the fraction for buffering plain responses of replicas.
 	responseMemoryFraction = 0.125
@@ -365,15 +365,15 @@
 	return trace.NewAggregate(errs...)
 }
 
-// CallersAddr returns the address that clients connect to.
-func (i *Instance) CallersAddr() string { return i.clientServer.Addr() }
+// ClientAddr returns the address that clients connect to.
+func (i *Instance) ClientAddr() string { return i.clientServer.Addr() }
 
-// Instances returns the number of entry instances, or 0 while it is unknown.
-func (i *Instance) Instances() int { return i.gateway.Instances() }
+// InstanceCount returns the number of entry instances, or 0 while it is unknown.
+func (i *Instance) InstanceCount() int { return i.gateway.Instances() }
 
-// Evidence returns the number of replica crashes known to this instance that happened
+// EvidenceCount returns the number of replica crashes known to this instance that happened
 // while a request was running.
-func (i *Instance) Evidence() int { return len(i.gateway.Evidence().Crashes) }
+func (i *Instance) EvidenceCount() int { return len(i.gateway.Evidence().Crashes) }
 
 // ReadyAddr returns the address for readiness checks.
 func (i *Instance) ReadyAddr() string { return i.readyServer.Addr() }
--- a/cmd/internal/entry/entry_test.go
+++ b/cmd/internal/entry/entry_test.go
@@ -55,8 +55,8 @@
 	"tenants":[{"name":"w1","apiKeys":["key1"]},{"name":"w2","apiKeys":["key2"]}]}`, version, extra))
 }
 
-// publishEntry publishes the entry of a replica that, if layers has two elements, holds the
-// layers in this half-open range.
+// publishEntry publishes the entry of a replica that, if layers has two elements, holds
+// the layers in this half-open range.
 func (w *environment) publishEntry(r *platformtest.Replica, service, state string, layers ...int) {
 	w.sequences[r.ID]++
 	e := r.Entry(service, "z", state, w.startTime, w.sequences[r.ID])
@@ -86,7 +86,7 @@
 		return resp.StatusCode == http.StatusOK
 	}, "ready")
 	// Before it knows this number, its retry budget depends only on its own requests.
-	w.eventually(func() bool { return w.instance.Instances() > 0 }, "the number of instances")
+	w.eventually(func() bool { return w.instance.InstanceCount() > 0 }, "the number of instances")
 }
 
 // launchInstance starts an instance without waiting until it is ready.
@@ -121,7 +121,7 @@
 
 func (w *environment) send(method, path, key, body string) response {
 	w.requests++
-	req, err := platformtest.NewRequest(w.instance.CallersAddr(), method, path, fmt.Sprintf("id-%d", w.requests), key, body)
+	req, err := platformtest.NewRequest(w.instance.ClientAddr(), method, path, fmt.Sprintf("id-%d", w.requests), key, body)
 	require.NoError(w.t, err)
 	resp, err := w.client.Do(req)
 	if err != nil {
@@ -379,7 +379,7 @@
 	w.publishEntry(a, "llm", "ready", 0, 4)
 	w.start()
 	a.Set(platformtest.Behavior{StallAfter: 2, UnresponsiveStage: "127.0.0.1:9"})
-	req, err := platformtest.NewRequest(w.instance.CallersAddr(), "POST", "/chat/1", "stopping", "key1", "prompt")
+	req, err := platformtest.NewRequest(w.instance.ClientAddr(), "POST", "/chat/1", "stopping", "key1", "prompt")
 	require.NoError(t, err)
 	resp, err := w.client.Do(req)
 	require.NoError(t, err)
--- a/cmd/internal/entry/replica_status_test.go
+++ b/cmd/internal/entry/replica_status_test.go
@@ -135,12 +135,12 @@
 func TestPausedStageGetsNoRequests(t *testing.T) {
 	w := newEnvironment(t)
 	w.publishConfig(1, "")
-	first, other, part := w.newReplica("i-0"), w.newReplica("i-1"), w.newReplica("i-2")
+	first, other, stage := w.newReplica("i-0"), w.newReplica("i-1"), w.newReplica("i-2")
 	w.publishEntry(first, "llm", "ready", 0, 4)
 	w.publishEntry(other, "llm", "ready", 0, 4)
-	w.publishEntry(part, "llm", "ready", 2, 4)
+	w.publishEntry(stage, "llm", "ready", 2, 4)
 	w.start()
-	first.Set(platformtest.Behavior{Reject: true, RejectStage: part.Address(), Pause: fmt.Sprint(pauseSeconds)})
+	first.Set(platformtest.Behavior{Reject: true, RejectStage: stage.Address(), Pause: fmt.Sprint(pauseSeconds)})
 	w.eventually(func() bool {
 		w.send("POST", "/chat/1", "key1", "x")
 		return len(first.Arrivals()) > 0
@@ -152,6 +152,6 @@
 	}
 	require.Len(t, first.Arrivals(), 1)
 	for _, run := range other.Runs() {
-		require.NotContains(t, run.Path(), part.Address())
+		require.NotContains(t, run.Path(), stage.Address())
 	}
 }
--- a/node/exchange/exchange.go
+++ b/node/exchange/exchange.go
@@ -196,7 +196,8 @@
 	return b.Bytes()
 }
 
-// keepAliveTimeout returns the idle timeout in the Keep-Alive header, or 0 if there is none.
+// keepAliveTimeout returns the idle timeout in the Keep-Alive header, or 0 if there is
+// none.
 func keepAliveTimeout(h http.Header) time.Duration {
 	const prefix = "timeout="
 	for _, part := range bytes.Split([]byte(h.Get("Keep-Alive")), []byte(",")) {
--- a/node/mesh/compress.go
+++ b/node/mesh/compress.go
@@ -13,9 +13,9 @@
 // store's records are smaller.
 const maxConfigBytes = 8 << 20
 
-// compress compresses a configuration. Many similar routes compress to a tenth of their size,
-// which matters on the links of small instances when all instances fetch the configuration
-// from a few.
+// compress compresses a configuration. Many similar routes compress to a tenth of their
+// size, which matters on the links of small instances when all instances fetch the
+// configuration from a few.
 func compress(content []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
--- a/node/mesh/evidence.go
+++ b/node/mesh/evidence.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// shouldSendEvidence records the digests of this instance and of a peer and reports whether
-// to send all evidence to the peer now.
+// shouldSendEvidence records the digests of this instance and of a peer and reports
+// whether to send all evidence to the peer now.
 func (m *Mesh) shouldSendEvidence(from string, own, digest uint64, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/mesh/loads.go
+++ b/node/mesh/loads.go
@@ -82,9 +82,9 @@
 	return r
 }
 
-// publish sends this instance's load and status to the near peers and, if status is set, its
-// status to the far ones. A relay also sends the load of its zone to the other relays and
-// the load of the other zones to the near peers.
+// publish sends this instance's load and status to the near peers and, if status is set,
+// its status to the far ones. A relay also sends the load of its zone to the other relays
+// and the load of the other zones to the near peers.
 func (m *Mesh) publish(r roles, status bool) {
 	message := &peerpb.UpstreamLoads{
 		Evidence:  m.opts.Gateway.EvidenceDigest(),
--- a/node/mesh/loads_test.go
+++ b/node/mesh/loads_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestZonesExchangeLoadOverRelays has so many instances that load is exchanged between
-// zones by relays only: each instance must know the total load of all others, also after the
-// relay of a zone has ended.
+// zones by relays only: each instance must know the total load of all others, also after
+// the relay of a zone has ended.
 func TestZonesExchangeLoadOverRelays(t *testing.T) {
 	const instances, zones = 24, 3
 	port := freePort(t)
--- a/node/mesh/mesh.go
+++ b/node/mesh/mesh.go
@@ -1,8 +1,8 @@
 // Package mesh exchanges state between the entry instances: their load on the replicas,
-// which replicas are unresponsive or leaving, evidence on requests that crash replicas, and
-// what was read from the platform's store. Received messages are passed to the gateway and
-// to callbacks. Any message may be lost: routing decisions are then less accurate, and
-// instances read the store themselves.
+// which replicas are unresponsive or leaving, evidence on requests that crash replicas,
+// and what was read from the platform's store. Received messages are passed to the
+// gateway and to callbacks. Any message may be lost: routing decisions are then less
+// accurate, and instances read the store themselves.
 package mesh
 
 import (
@@ -101,8 +101,8 @@
 	OnConfig func(content []byte)
 	// OnUpdates is called with the updates of replicas' entries that the leader has read.
 	OnUpdates func(roster.Updates)
-	// StoreUnavailable, if set, reports whether the platform's store is unavailable to this
-	// instance.
+	// StoreUnavailable, if set, reports whether the platform's store is unavailable to
+	// this instance.
 	StoreUnavailable func() bool
 	// OnLeaderGeneration is called with the generation in which a peer is the leader.
 	OnLeaderGeneration func(generation int64)
--- a/node/mesh/mesh_test.go
+++ b/node/mesh/mesh_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// start runs a mesh until the test ends. Each mesh has an IP address of its own because all
-// listen on the same port.
+// start runs a mesh until the test ends. Each mesh has an IP address of its own because
+// all listen on the same port.
 func start(t *testing.T, name, address string, f *fakeGateway, o mesh.Options) *mesh.Mesh {
 	o.Member, o.Listen, o.Cluster, o.Gateway, o.Logger = name, address, "cluster", f, zap.NewNop()
 	if o.Zone == "" {
--- a/node/mesh/updates.go
+++ b/node/mesh/updates.go
@@ -7,8 +7,8 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// ForwardUpdates forwards the updates of replicas' entries that this instance read from the
-// platform's store to the peers.
+// ForwardUpdates forwards the updates of replicas' entries that this instance read from
+// the platform's store to the peers.
 func (m *Mesh) ForwardUpdates(u roster.Updates) { m.broadcast(encodeUpdates(u)) }
 
 // sendDeparted sends the processes of replicas that are leaving or have left to a new
