--- a/core/poison/bench_test.go
+++ b/core/poison/bench_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// outage returns a tracker after an outage of 100 replicas with 16 suspects each,
-// and the suspects of the last.
+// outage returns a tracker after an outage of 100 replicas with 16 candidates each, and the
+// candidates of the last crash.
 func outage() (*Tracker, []Fingerprint) {
 	tr := NewTracker(retention)
-	suspects := make([]Fingerprint, 16)
+	candidates := make([]Fingerprint, 16)
 	for i := range 100 {
-		for j := range suspects {
-			suspects[j] = print(fmt.Sprint(i, j))
+		for j := range candidates {
+			candidates[j] = print(fmt.Sprint(i, j))
 		}
-		tr.Crash(start, fmt.Sprint(i), suspects...)
+		tr.Crash(start, fmt.Sprint(i), candidates...)
 	}
-	return tr, suspects
+	return tr, candidates
 }
 
 func BenchmarkBlocked(b *testing.B) {
-	tr, suspects := outage()
-	for name, f := range map[string]Fingerprint{"stranger": print("x"), "suspect": suspects[0]} {
+	tr, candidates := outage()
+	for name, f := range map[string]Fingerprint{"unknown": print("x"), "candidate": candidates[0]} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -32,9 +32,9 @@
 }
 
 func BenchmarkCrash(b *testing.B) {
-	tr, suspects := outage()
+	tr, candidates := outage()
 	b.ReportAllocs()
 	for b.Loop() {
-		tr.Crash(start, "0", suspects...)
+		tr.Crash(start, "0", candidates...)
 	}
 }
--- a/core/poison/blocks.go
+++ b/core/poison/blocks.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// boundShare is the part of a full map that is dropped at once.
-const boundShare = 8
+// evictionFraction is the divisor for the number of entries that are evicted from a full
+// map at once: 1/8 of them.
+const evictionFraction = 8
 
-// bound makes room in a map that is too large: the entries that expire first go.
-func bound(entries map[Fingerprint]time.Time) {
+// evictExcess evicts the entries that expire first from a map that exceeds maxBlocks.
+func evictExcess(entries map[Fingerprint]time.Time) {
 	if len(entries) <= maxBlocks {
 		return
 	}
@@ -20,7 +21,7 @@
 		blocks = append(blocks, Block{Fingerprint: f, Expiry: expiry})
 	}
 	slices.SortFunc(blocks, compareBlocks)
-	for _, b := range blocks[maxBlocks-maxBlocks/boundShare:] {
+	for _, b := range blocks[maxBlocks-maxBlocks/evictionFraction:] {
 		delete(entries, b.Fingerprint)
 	}
 }
@@ -36,7 +37,7 @@
 	return b
 }
 
-// compareBlocks sorts by expiry, latest first, then by fingerprint.
+// compareBlocks orders blocks by expiry, latest first, then by fingerprint.
 func compareBlocks(a, b Block) int {
 	if c := b.Expiry.Compare(a.Expiry); c != 0 {
 		return c
--- a/core/poison/evidence.go
+++ b/core/poison/evidence.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// score returns the number of different replicas whose crashes count against f.
+// score returns the number of different replicas whose crashes are evidence against f.
 func (t *Tracker) score(f Fingerprint) int {
-	return t.countReplicas(f, func(c *crash) bool { return t.counts(c, f) })
+	return t.countReplicas(f, func(c *crash) bool { return t.isEvidence(c, f) })
 }
 
-// charged returns the number of different replicas whose crashes are charged to f.
-// With alone set, crashes charged to others as well are left out.
-func (t *Tracker) charged(f Fingerprint, alone bool) int {
+// attributedReplicas returns the number of different replicas whose crashes are attributed
+// to f. With alone set, crashes also attributed to other candidates are left out.
+func (t *Tracker) attributedReplicas(f Fingerprint, alone bool) int {
 	score := t.score(f)
 	return t.countReplicas(f, func(c *crash) bool {
-		return t.counts(c, f) && t.isHighest(c, f, score, alone)
+		return t.isEvidence(c, f) && t.isHighest(c, f, score, alone)
 	})
 }
 
-// countReplicas returns the number of different replicas among f's crashes that
-// the condition accepts, as of f's last crash.
+// countReplicas returns the number of different replicas among f's crashes for which accept
+// returns true. Crashes older than the retention period at the time of f's last crash are
+// ignored.
 func (t *Tracker) countReplicas(f Fingerprint, accept func(*crash) bool) int {
-	s, ok := t.suspects[f]
+	s, ok := t.candidates[f]
 	if !ok {
 		return 0
 	}
@@ -39,41 +40,41 @@
 	return len(replicas)
 }
 
-// isHighest tells whether no other suspect of the crash has a higher score than f.
-// With alone set, none may have an equal score either.
+// isHighest reports whether no other candidate of the crash has a higher score than f. With
+// alone set, an equal score disqualifies f as well.
 func (t *Tracker) isHighest(c *crash, f Fingerprint, score int, alone bool) bool {
-	for _, other := range c.suspects {
+	for _, other := range c.candidates {
 		if other == f {
 			continue
 		}
-		rival := t.score(other)
-		if rival > score || alone && rival == score {
+		otherScore := t.score(other)
+		if otherScore > score || alone && otherScore == score {
 			return false
 		}
 	}
 	return true
 }
 
-// counts tells whether the crash is evidence against f: the replica does not fail
-// for its own reasons and no common cause is likely.
-func (t *Tracker) counts(c *crash, f Fingerprint) bool {
-	return !t.failsAlone(c.replica, c.at) && !t.isBurst(c, f)
+// isEvidence reports whether the crash is evidence against f: the replica does not fail
+// independently of its requests and a common cause is unlikely.
+func (t *Tracker) isEvidence(c *crash, f Fingerprint) bool {
+	return !t.failsIndependently(c.replica, c.at) && !t.isBurst(c, f)
 }
 
-// failsAlone tells whether the replica crashed so often around a time that the
-// requests it ran are no explanation.
-func (t *Tracker) failsAlone(replica string, at time.Time) bool {
+// failsIndependently reports whether the replica crashed so often around the given time
+// that the requests it ran do not explain the crashes.
+func (t *Tracker) failsIndependently(replica string, at time.Time) bool {
 	n := 0
 	for _, c := range t.crashes {
 		if c.replica == replica && at.Sub(c.at).Abs() < t.retention {
 			n++
 		}
 	}
-	return n >= ownCrashes
+	return n >= maxUnrelatedCrashes
 }
 
-// isBurst tells whether many other replicas crashed at about the same time without
-// f.
+// isBurst reports whether many other replicas, which were not running f, crashed at about
+// the same time.
 func (t *Tracker) isBurst(c *crash, f Fingerprint) bool {
 	others := make([]string, 0, burstReplicas)
 	for _, o := range t.crashes {
--- a/core/poison/fingerprint.go
+++ b/core/poison/fingerprint.go
@@ -6,7 +6,7 @@
 	"encoding/hex"
 )
 
-// Fingerprint identifies what a request asks of a model, whoever sends it.
+// Fingerprint identifies the content of a request to a model, independent of the sender.
 type Fingerprint [16]byte
 
 // String returns the fingerprint in lower-case hex.
@@ -14,9 +14,9 @@
 	return hex.EncodeToString(f[:])
 }
 
-// FingerprintOf returns the first 128 bits of the SHA-256 of model, prompt and
-// parameters, each preceded by its length. Parameters are to be given in a fixed
-// order, with everything in them that the upstream sees and nothing of the caller.
+// FingerprintOf returns the first 128 bits of the SHA-256 of model, prompt and parameters,
+// each preceded by its length. Parameters must be in a fixed order and include everything
+// that the upstream receives, but nothing that identifies the client.
 func FingerprintOf(model, prompt string, parameters ...string) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
@@ -35,8 +35,8 @@
 	return f
 }
 
-// FingerprintFrom returns the fingerprint with the given bytes, and false if their
-// number is wrong.
+// FingerprintFrom converts bytes to a Fingerprint. It returns false if their number is
+// wrong.
 func FingerprintFrom(b []byte) (Fingerprint, bool) {
 	var f Fingerprint
 	if len(b) != len(f) {
--- a/core/poison/incidents.go
+++ b/core/poison/incidents.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// weight adds up the incidents that count against a fingerprint.
+// weight returns the total weight of the incidents that are evidence against a fingerprint.
 func (l *Ledger) weight(f Fingerprint) float64 {
 	r := l.tracked[f]
 	if r == nil {
@@ -10,15 +10,15 @@
 	}
 	sum := 0.0
 	for _, incident := range incidents(r.crashes) {
-		sum += l.weightOf(f, incident)
+		sum += l.incidentWeight(f, incident)
 	}
 	return sum
 }
 
-func (l *Ledger) weightOf(f Fingerprint, incident []Crash) float64 {
+func (l *Ledger) incidentWeight(f Fingerprint, incident []Crash) float64 {
 	weight := progressedWeight
 	for _, c := range incident {
-		if by, ok := l.explained[c.Replica]; ok && by != f {
+		if by, ok := l.explainedBy[c.Replica]; ok && by != f {
 			return 0
 		}
 		if !c.Progressed {
@@ -28,7 +28,7 @@
 	return weight
 }
 
-// incidents groups crashes that share a replica or a run.
+// incidents groups crashes that share a replica process or a run.
 func incidents(crashes []Crash) [][]Crash {
 	var groups [][]Crash
 	for _, c := range crashes {
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -5,80 +5,82 @@
 	"time"
 )
 
-// Retention is how long instances remember a request without another crash.
+// Retention is how long a request is remembered after its last crash.
 const Retention = 10 * time.Minute
 
 const (
-	// blockAt is the weight of independent crashes from which on a request is
-	// blocked: the users' rules let a request crash three replicas.
-	blockAt = 3.0
-	// progressedWeight is the weight of a crash after a part of the answer had come. Most
-	// such requests only ran beside the one that crashed the replica.
+	// blockThreshold is the weight of independent crashes that blocks a request. The
+	// requirements allow a request to crash three replicas.
+	blockThreshold = 3.0
+	// progressedWeight is the weight of a crash after part of the response had arrived.
+	// Most such requests only ran concurrently with the one that caused the crash.
 	progressedWeight = 0.5
-	// matchWithin bounds the time between the loss of a run and the sign that a replica
-	// ended. A dead replica stays listed for some seconds.
-	matchWithin = 10 * time.Second
-	// proofTime is how long copies are refused while it is open whether a lost run was
-	// the crash that blocks the request. Refused connections tell within 0.2 s.
-	proofTime = time.Second
-	// shieldTime is how long a success speaks against crashes that follow it.
-	shieldTime = time.Minute
-	// trialAfter is the time after the last crash at which a blocked request may run
+	// matchWindow bounds the time between the loss of a run and the detection that a
+	// replica process ended. A dead replica stays listed for some seconds.
+	matchWindow = 10 * time.Second
+	// proofTimeout is how long copies are refused while it is undecided whether a lost run
+	// was the crash that blocks the request. Refused connections reveal an ended process
+	// within 0.2 s.
+	proofTimeout = time.Second
+	// clearedDuration is how long a success disproves crashes that follow it.
+	clearedDuration = time.Minute
+	// trialDelay is the time after the last crash after which a blocked request may run
 	// once more; it doubles with each further crash.
-	trialAfter = time.Minute
-	// maxTrials bounds the trials: the users' rules allow three runs more.
+	trialDelay = time.Minute
+	// maxTrials bounds the trial runs. The requirements allow three more runs.
 	maxTrials = 3
-	// trialTime keeps other copies away while a trial runs: about a long request.
-	trialTime = 30 * time.Second
+	// trialDuration is how long other copies are refused while a trial runs: about the
+	// duration of a long request.
+	trialDuration = 30 * time.Second
 
-	// maxPending to maxSuccesses bound memory: lost runs that are not proved, ends of
-	// replicas, fingerprints with crashes, crashes of one of them, successes.
-	maxPending     = 1024
+	// These limits bound memory: lost runs without proof of a crash, ended processes,
+	// fingerprints with crashes, crashes of one fingerprint, and successes.
+	maxLostRuns    = 1024
 	maxEnded       = 1024
 	maxTracked     = 4096
 	maxCrashesEach = 16
 	maxSuccesses   = 8192
 )
 
-// Ledger finds requests that crash each replica that runs them, from what this
-// instance sees and others tell.
+// Ledger detects requests that crash every replica they run on, from the observations of
+// this instance and the evidence of others.
 //
-// A lost run is evidence only once a replica on its path is known to have ended
-// without being asked to. Crashes that share a replica or a run are one incident.
-// Incidents of a blocked request do not count against the others that its replicas
-// were running. A success clears its fingerprint everywhere.
+// A lost run becomes evidence only when a process on its path is known to have ended
+// unexpectedly. Crashes that share a process or a run form one incident. Incidents caused
+// by a blocked request are no evidence against the other requests that were running on the
+// same processes. A success clears its fingerprint on every instance.
 //
-// It is bounded in memory and not safe for concurrent use.
+// Memory is bounded. A Ledger is not safe for concurrent use.
 type Ledger struct {
 	retention time.Duration
-	pending   []LostRun
-	pendingAt []time.Time
-	// ended holds when replicas were found to have ended.
+	lostRuns  []LostRun
+	lostAt    []time.Time
+	// ended maps processes to the time at which their end was detected.
 	ended map[Incarnation]time.Time
-	// tracked holds the fingerprints with crashes.
-	tracked map[Fingerprint]*record
-	// explained holds the replicas that a blocked request crashed.
-	explained map[Incarnation]Fingerprint
-	successes *successes
-	// clears are told to others; successes are not.
+	// tracked holds the crashes by fingerprint.
+	tracked map[Fingerprint]*crashHistory
+	// explainedBy maps crashed processes to the blocked request that caused the crash.
+	explainedBy map[Incarnation]Fingerprint
+	successes   *successes
+	// clears are sent to other instances; successes are not.
 	clears map[Fingerprint]time.Time
-	// news is what was not told yet.
-	news State
-	// digest is kept until the evidence changes.
+	// updates holds evidence that was not sent yet.
+	updates State
+	// digest is cached until the evidence changes.
 	digest      uint64
-	digestKnown bool
+	digestValid bool
 }
 
-// record is what is known of one fingerprint.
-type record struct {
+// crashHistory holds the crashes of one fingerprint and its block.
+type crashHistory struct {
 	crashes []Crash
 	blocked bool
-	// trialUntil is set while the attempt trialOf runs as a trial here.
-	trialUntil time.Time
-	trialOf    uint64
+	// trialUntil is set while the attempt trialAttempt runs as a trial on this instance.
+	trialUntil   time.Time
+	trialAttempt uint64
 }
 
-func (r *record) last() time.Time {
+func (r *crashHistory) last() time.Time {
 	last := r.crashes[0].At
 	for _, c := range r.crashes {
 		last = later(last, c.At)
@@ -86,39 +88,39 @@
 	return last
 }
 
-// NewLedger returns an empty ledger that forgets a request after the retention period
-// without a crash.
+// NewLedger returns an empty ledger that discards a request when the retention period has
+// passed since its last crash.
 func NewLedger(retention time.Duration) *Ledger {
 	return &Ledger{
-		retention: retention,
-		ended:     map[Incarnation]time.Time{},
-		tracked:   map[Fingerprint]*record{},
-		explained: map[Incarnation]Fingerprint{},
-		successes: newSuccesses(),
-		clears:    map[Fingerprint]time.Time{},
+		retention:   retention,
+		ended:       map[Incarnation]time.Time{},
+		tracked:     map[Fingerprint]*crashHistory{},
+		explainedBy: map[Incarnation]Fingerprint{},
+		successes:   newSuccesses(),
+		clears:      map[Fingerprint]time.Time{},
 	}
 }
 
-// Lost takes a run that ended without a whole answer, and returns the crashes that it
-// proves already.
+// Lost records a run that ended without a complete response. It returns the crashes that
+// are already proven by it.
 func (l *Ledger) Lost(now time.Time, run LostRun) []Crash {
-	l.expire(now)
+	l.expireLostRuns(now)
 	for _, part := range run.Parts {
-		if at, ok := l.endOf(now, part); ok && !at.Before(run.Began) {
-			return l.charge(now, run, part)
+		if at, ok := l.recentEnd(now, part); ok && !at.Before(run.Began) {
+			return l.recordCrash(now, run, part)
 		}
 	}
-	if len(l.pending) >= maxPending {
-		l.dropPending(0)
+	if len(l.lostRuns) >= maxLostRuns {
+		l.removeLostRun(0)
 	}
-	l.pending = append(l.pending, run)
-	l.pendingAt = append(l.pendingAt, now)
+	l.lostRuns = append(l.lostRuns, run)
+	l.lostAt = append(l.lostAt, now)
 	return nil
 }
 
-// Process returns the process that a run was sent to, if the replica took the run. The
-// listed one may be known to have ended before; then it is a later one that is not
-// listed yet.
+// Process returns the process that a run was sent to, provided that the replica accepted
+// the run. If the listed process is known to have ended before the run, the run went to a
+// later process that is not listed yet.
 func (l *Ledger) Process(listed Incarnation, began time.Time) Incarnation {
 	for {
 		at, ok := l.ended[listed]
@@ -129,77 +131,79 @@
 	}
 }
 
-// endOf returns when a replica was found to have ended, if that was lately.
-func (l *Ledger) endOf(now time.Time, r Incarnation) (time.Time, bool) {
+// recentEnd returns when the end of a process was detected, and whether that lies within
+// matchWindow.
+func (l *Ledger) recentEnd(now time.Time, r Incarnation) (time.Time, bool) {
 	at, ok := l.ended[r]
-	return at, ok && now.Sub(at) <= matchWithin
+	return at, ok && now.Sub(at) <= matchWindow
 }
 
-// Ended takes a replica whose process ended without being asked to, and returns the
-// crashes that this proves, also for runs that are lost later.
+// Ended records that a replica process ended unexpectedly. It returns the crashes that this
+// proves. Runs that are reported lost later are matched as well.
 func (l *Ledger) Ended(now time.Time, r Incarnation) []Crash {
-	return l.endedAt(now, r, now)
+	return l.recordEnd(now, r, now)
 }
 
-func (l *Ledger) endedAt(now time.Time, r Incarnation, at time.Time) []Crash {
-	l.expire(now)
+func (l *Ledger) recordEnd(now time.Time, r Incarnation, at time.Time) []Crash {
+	l.expireLostRuns(now)
 	if _, known := l.ended[r]; known {
 		return nil
 	}
 	if len(l.ended) >= maxEnded {
-		l.dropOldestEnds()
+		l.evictOldestEnds()
 	}
 	l.ended[r] = at
 	return l.Removed(now, r)
 }
 
-// Removed takes a replica that is no longer listed. It counts for runs that were lost
-// before: a replica that stops leaves the list first.
+// Removed records that a replica process is no longer listed. This proves crashes only for
+// runs that were lost before, since a replica that shuts down is removed from the list
+// first.
 func (l *Ledger) Removed(now time.Time, r Incarnation) []Crash {
-	l.expire(now)
+	l.expireLostRuns(now)
 	var out []Crash
-	for i := 0; i < len(l.pending); {
-		run := l.pending[i]
+	for i := 0; i < len(l.lostRuns); {
+		run := l.lostRuns[i]
 		if !slices.Contains(run.Parts, r) {
 			i++
 			continue
 		}
-		l.dropPending(i)
-		out = append(out, l.charge(now, run, r)...)
+		l.removeLostRun(i)
+		out = append(out, l.recordCrash(now, run, r)...)
 	}
 	return out
 }
 
-// dropOldestEnds makes room for a part of maxEnded.
-func (l *Ledger) dropOldestEnds() {
+// evictOldestEnds evicts 1/evictionFraction of the ended processes.
+func (l *Ledger) evictOldestEnds() {
 	all := make([]Incarnation, 0, len(l.ended))
 	for r := range l.ended {
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b Incarnation) int { return l.ended[a].Compare(l.ended[b]) })
-	for _, r := range all[:maxEnded/boundShare] {
+	for _, r := range all[:maxEnded/evictionFraction] {
 		delete(l.ended, r)
 	}
 }
 
-func (l *Ledger) dropPending(i int) {
-	l.pending = slices.Delete(l.pending, i, i+1)
-	l.pendingAt = slices.Delete(l.pendingAt, i, i+1)
+func (l *Ledger) removeLostRun(i int) {
+	l.lostRuns = slices.Delete(l.lostRuns, i, i+1)
+	l.lostAt = slices.Delete(l.lostAt, i, i+1)
 }
 
-// charge adds the crash of one run.
-func (l *Ledger) charge(now time.Time, run LostRun, r Incarnation) []Crash {
+// recordCrash adds the crash of a run dispatched by this instance.
+func (l *Ledger) recordCrash(now time.Time, run LostRun, r Incarnation) []Crash {
 	c := Crash{Fingerprint: run.Fingerprint, Run: run.Run, Replica: r, Progressed: run.Progressed, At: now, Own: true}
 	if !l.add(now, c) {
 		return nil
 	}
-	if len(l.news.Crashes) < maxTracked {
-		l.news.Crashes = append(l.news.Crashes, c)
+	if len(l.updates.Crashes) < maxTracked {
+		l.updates.Crashes = append(l.updates.Crashes, c)
 	}
 	return []Crash{c}
 }
 
-// Succeeded takes a request that was answered whole. It returns whether that cleared a
+// Succeeded records a complete response to a request. It reports whether that cleared a
 // fingerprint with crashes.
 func (l *Ledger) Succeeded(now time.Time, f Fingerprint) bool {
 	l.successes.add(now, f)
@@ -210,67 +214,67 @@
 	return true
 }
 
-// clear takes a success into what is told to others.
+// clear records a success, queues it for other instances and applies it.
 func (l *Ledger) clear(c Clear) {
 	if !c.At.After(l.clears[c.Fingerprint]) {
 		return
 	}
 	l.clears[c.Fingerprint] = c.At
-	bound(l.clears)
-	l.tellClear(c)
+	evictExcess(l.clears)
+	l.queueClear(c)
 	l.applyClear(c)
 }
 
-func (l *Ledger) tellClear(c Clear) {
-	if len(l.news.Clears) < maxTracked {
-		l.news.Clears = append(l.news.Clears, c)
+func (l *Ledger) queueClear(c Clear) {
+	if len(l.updates.Clears) < maxTracked {
+		l.updates.Clears = append(l.updates.Clears, c)
 	}
 }
 
-// applyClear drops the crashes that a success speaks against.
+// applyClear removes the crashes that a success disproves.
 func (l *Ledger) applyClear(c Clear) {
-	l.digestKnown = false
+	l.digestValid = false
 	r := l.tracked[c.Fingerprint]
 	if r == nil {
 		return
 	}
-	r.crashes = slices.DeleteFunc(r.crashes, func(x Crash) bool { return !x.At.After(c.At.Add(shieldTime)) })
-	l.reassess(c.Fingerprint)
+	r.crashes = slices.DeleteFunc(r.crashes, func(x Crash) bool { return !x.At.After(c.At.Add(clearedDuration)) })
+	l.updateBlock(c.Fingerprint)
 }
 
-// add takes one crash; it returns false when the crash is known or disproved.
+// add records one crash. It returns false if the crash is already known or disproved.
 func (l *Ledger) add(now time.Time, c Crash) bool {
 	if now.Sub(c.At) >= l.retention {
 		return false
 	}
-	if at, ok := l.clears[c.Fingerprint]; ok && !c.At.After(at.Add(shieldTime)) {
-		// Who told the crash does not know of the success.
-		l.tellClear(Clear{Fingerprint: c.Fingerprint, At: at})
+	if at, ok := l.clears[c.Fingerprint]; ok && !c.At.After(at.Add(clearedDuration)) {
+		// The sender of the crash has not received the success yet.
+		l.queueClear(Clear{Fingerprint: c.Fingerprint, At: at})
 		return false
 	}
-	if at, ok := l.successes.last(c.Fingerprint); ok && !c.At.After(at.Add(shieldTime)) {
+	if at, ok := l.successes.last(c.Fingerprint); ok && !c.At.After(at.Add(clearedDuration)) {
 		l.clear(Clear{Fingerprint: c.Fingerprint, At: at})
 		return false
 	}
 	r := l.tracked[c.Fingerprint]
 	if r == nil {
-		l.makeRoom()
-		r = &record{}
+		l.evictTracked()
+		r = &crashHistory{}
 		l.tracked[c.Fingerprint] = r
 	}
 	if len(r.crashes) >= maxCrashesEach || slices.ContainsFunc(r.crashes, func(x Crash) bool { return x.Run == c.Run && x.Replica == c.Replica }) {
 		return false
 	}
-	l.digestKnown = false
+	l.digestValid = false
 	r.crashes = append(r.crashes, c)
 	r.trialUntil = time.Time{}
-	l.reassess(c.Fingerprint)
+	l.updateBlock(c.Fingerprint)
 	return true
 }
 
-// makeRoom drops fingerprints with the fewest and oldest crashes when there are too
-// many. A flood of different requests cannot displace one that has crashed several.
-func (l *Ledger) makeRoom() {
+// evictTracked evicts the fingerprints with the fewest and oldest crashes when the limit is
+// reached. A flood of different requests therefore can't displace one with several crashes.
+func (l *Ledger) evictTracked() {
 	if len(l.tracked) < maxTracked {
 		return
 	}
@@ -279,72 +283,72 @@
 		all = append(all, f)
 	}
 	slices.SortFunc(all, l.compare)
-	for _, f := range all[:maxTracked/boundShare] {
-		l.forget(f)
+	for _, f := range all[:maxTracked/evictionFraction] {
+		l.discard(f)
 	}
 }
 
-func (l *Ledger) forget(f Fingerprint) {
-	l.digestKnown = false
+func (l *Ledger) discard(f Fingerprint) {
+	l.digestValid = false
 	delete(l.tracked, f)
-	for r, by := range l.explained {
+	for r, by := range l.explainedBy {
 		if by == f {
-			delete(l.explained, r)
+			delete(l.explainedBy, r)
 		}
 	}
 }
 
-// reassess blocks or unblocks a fingerprint after a change of its crashes.
-func (l *Ledger) reassess(f Fingerprint) {
+// updateBlock blocks or unblocks a fingerprint after its crashes changed.
+func (l *Ledger) updateBlock(f Fingerprint) {
 	r := l.tracked[f]
 	if len(r.crashes) == 0 {
-		l.forget(f)
+		l.discard(f)
 		return
 	}
-	if !r.blocked && l.weight(f) < blockAt {
+	if !r.blocked && l.weight(f) < blockThreshold {
 		return
 	}
-	if r.blocked && len(incidents(r.crashes)) < int(blockAt) {
+	if r.blocked && len(incidents(r.crashes)) < int(blockThreshold) {
 		r.blocked = false
-		for i, by := range l.explained {
+		for i, by := range l.explainedBy {
 			if by == f {
-				delete(l.explained, i)
+				delete(l.explainedBy, i)
 			}
 		}
 		return
 	}
 	r.blocked = true
 	for _, c := range r.crashes {
-		if _, ok := l.explained[c.Replica]; !ok {
-			l.explained[c.Replica] = f
+		if _, ok := l.explainedBy[c.Replica]; !ok {
+			l.explainedBy[c.Replica] = f
 		}
 	}
 }
 
-// expire drops the lost runs that are too old.
-func (l *Ledger) expire(now time.Time) {
-	for len(l.pending) > 0 && now.Sub(l.pendingAt[0]) > matchWithin {
-		l.dropPending(0)
+// expireLostRuns discards lost runs that are older than matchWindow.
+func (l *Ledger) expireLostRuns(now time.Time) {
+	for len(l.lostRuns) > 0 && now.Sub(l.lostAt[0]) > matchWindow {
+		l.removeLostRun(0)
 	}
 }
 
-// Expire drops the fingerprints without a crash in the retention period. It looks at
-// all and is to be called now and then.
+// Expire discards fingerprints without a crash in the retention period, and old ends and
+// clears. It scans all entries and should be called periodically.
 func (l *Ledger) Expire(now time.Time) {
-	l.expire(now)
+	l.expireLostRuns(now)
 	for r, at := range l.ended {
-		if now.Sub(at) > matchWithin {
+		if now.Sub(at) > matchWindow {
 			delete(l.ended, r)
 		}
 	}
 	for f, r := range l.tracked {
 		if now.Sub(r.last()) >= l.retention {
-			l.forget(f)
+			l.discard(f)
 		}
 	}
 	for f, at := range l.clears {
 		if now.Sub(at) >= l.retention {
-			l.digestKnown = false
+			l.digestValid = false
 			delete(l.clears, f)
 		}
 	}
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -14,7 +14,7 @@
 	return Incarnation{Replica: replica, Born: born}
 }
 
-// runNumber makes runs of different attempts.
+// runNumber gives each run a different attempt.
 var runNumber uint64
 
 func lostRun(f Fingerprint, began time.Time, parts ...Incarnation) LostRun {
@@ -22,7 +22,7 @@
 	return LostRun{Fingerprint: f, Run: Run{Attempt: runNumber}, Parts: parts, Began: began}
 }
 
-// crashOnce loses a run on a replica that ends.
+// crashOnce reports a lost run on a replica process that then ends.
 func crashOnce(l *Ledger, now time.Time, f Fingerprint, r Incarnation) {
 	l.Lost(now, lostRun(f, now, r))
 	l.Ended(now, r)
@@ -44,14 +44,14 @@
 	refusal := l.Admit(start, f, 1)
 	require.NotNil(t, refusal)
 	require.Len(t, refusal.Crashes, 3)
-	require.Equal(t, trialAfter, refusal.RetryAfter)
+	require.Equal(t, trialDelay, refusal.RetryAfter)
 	require.False(t, l.MayRetry(f, 1))
 	require.Nil(t, l.Admit(start, print("b"), 1))
 	l.Expire(start.Add(retention))
 	require.Nil(t, l.Admit(start.Add(retention), f, 1))
 }
 
-// Two processes of one replica are two crashes, also while the second one is not
+// Two processes of one replica count as two crashes, even if the second process is not
 // listed yet.
 func TestARestartedReplicaCountsAgain(t *testing.T) {
 	l := NewLedger(retention)
@@ -64,9 +64,9 @@
 	require.True(t, l.IsBlocked(f))
 }
 
-// Lost answers, resets and hangs leave the replica as it was; a replica that stops
-// leaves the list before it ends.
-func TestLostRunsAloneAreNoEvidence(t *testing.T) {
+// Lost responses, resets and hangs are no proof that a process ended. A replica that shuts
+// down is removed from the list before it ends.
+func TestLostRunsWithoutEndedProcessAreNoEvidence(t *testing.T) {
 	l := NewLedger(retention)
 	f := print("a")
 	for i := range 20 {
@@ -80,9 +80,9 @@
 	require.Zero(t, l.Incidents(f), "the replica ended long after the run")
 }
 
-// The order in which the loss of a run and the end of its replica are noticed does not
-// matter.
-func TestEndsMayBeNoticedBeforeLosses(t *testing.T) {
+// The result is the same whether the loss of a run or the end of its process is detected
+// first.
+func TestEndMayBeDetectedBeforeLoss(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		l := NewLedger(retention)
 		f := print("a")
@@ -97,11 +97,11 @@
 		}
 		require.Equal(t, 1, l.Incidents(f))
 		l.Lost(start.Add(3*time.Second), lostRun(f, start.Add(3*time.Second), r))
-		require.Equal(t, 1, l.Incidents(f), "a run that began after the end")
+		require.Equal(t, 1, l.Incidents(f), "the run was sent after the process ended")
 	}
 }
 
-// When a zone goes, many copies of one request and all parts of their paths go at once.
+// A zone failure ends many copies of one request and every process on their paths at once.
 func TestZoneFailureIsOneIncident(t *testing.T) {
 	l := NewLedger(retention)
 	hot := print("hot")
@@ -132,42 +132,43 @@
 	require.Equal(t, a.Digest(), b.Digest())
 
 	crashTimes(a, start.Add(time.Second), f, 5, 3)
-	require.False(t, a.IsBlocked(f), "a success speaks against crashes soon after it")
-	crashTimes(a, start.Add(2*shieldTime), f, 10, 3)
+	require.False(t, a.IsBlocked(f), "a success disproves crashes soon after it")
+	crashTimes(a, start.Add(2*clearedDuration), f, 10, 3)
 	require.True(t, a.IsBlocked(f))
 }
 
-// A request that ran well at one instance is not blocked by what others saw.
+// A success on one instance disproves crashes observed by another.
 func TestEarlierSuccessElsewhereClears(t *testing.T) {
 	a, b := NewLedger(retention), NewLedger(retention)
 	f := print("a")
 	b.Succeeded(start, f)
-	require.True(t, b.News().Empty(), "nobody asked")
+	require.True(t, b.News().Empty(), "a success without crashes is not sent")
 	crashTimes(a, start.Add(time.Second), f, 0, 3)
 	b.Learn(start.Add(time.Second), a.News())
 	a.Learn(start.Add(time.Second), b.News())
 	require.False(t, a.IsBlocked(f))
 }
 
-// Requests that ran beside a blocked one on the replicas that it crashed stay free.
+// Requests that ran concurrently with a blocked one, on processes it crashed, stay
+// unblocked.
 func TestBlockedRequestExplainsCrashesOfOthers(t *testing.T) {
 	l := NewLedger(retention)
-	bad, innocent := print("bad"), print("innocent")
+	bad, harmless := print("bad"), print("innocent")
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := process(fmt.Sprint(i), 1)
-		run := lostRun(innocent, now, r)
+		run := lostRun(harmless, now, r)
 		run.Progressed = i == 0
 		l.Lost(now, run)
 		l.Lost(now, lostRun(bad, now, r))
 		l.Ended(now, r)
 	}
 	require.True(t, l.IsBlocked(bad))
-	require.False(t, l.IsBlocked(innocent))
-	crashTimes(l, start.Add(4*time.Second), innocent, 10, 2)
-	require.False(t, l.IsBlocked(innocent), "three crashes are explained")
-	crashTimes(l, start.Add(5*time.Second), innocent, 20, 1)
-	require.True(t, l.IsBlocked(innocent))
+	require.False(t, l.IsBlocked(harmless))
+	crashTimes(l, start.Add(4*time.Second), harmless, 10, 2)
+	require.False(t, l.IsBlocked(harmless), "three crashes are explained by the blocked request")
+	crashTimes(l, start.Add(5*time.Second), harmless, 20, 1)
+	require.True(t, l.IsBlocked(harmless))
 }
 
 func TestRunsOfOneAttemptCountBeforeTheyAreProved(t *testing.T) {
@@ -180,12 +181,13 @@
 	require.True(t, l.MayRetry(f, run.Run.Attempt+1))
 	refusal := l.Admit(start, f, run.Run.Attempt+1)
 	require.NotNil(t, refusal)
-	require.Equal(t, proofTime, refusal.RetryAfter)
-	require.Nil(t, l.Admit(start.Add(proofTime), f, run.Run.Attempt+1))
-	require.True(t, l.MayRetry(print("b"), run.Run.Attempt), "without other evidence a loss is only a loss")
+	require.Equal(t, proofTimeout, refusal.RetryAfter)
+	require.Nil(t, l.Admit(start.Add(proofTimeout), f, run.Run.Attempt+1))
+	require.True(t, l.MayRetry(print("b"), run.Run.Attempt), "without other evidence a lost run does not count")
 }
 
-// A blocked request gets a trial after a while, at one instance, three times.
+// A blocked request gets up to three trial runs, only on the instance that observed its
+// last crash.
 func TestTrials(t *testing.T) {
 	here, there := NewLedger(retention), NewLedger(retention)
 	f := print("a")
@@ -193,20 +195,21 @@
 	there.Learn(start, here.News())
 	now := start
 	for i := range maxTrials {
-		wait := trialAfter << i
+		wait := trialDelay << i
 		require.NotNil(t, here.Admit(now.Add(wait-1), f, 1))
 		now = now.Add(wait)
 		require.Nil(t, here.Admit(now, f, 7))
-		require.Nil(t, here.Admit(now, f, 7), "the trial itself goes on")
+		require.Nil(t, here.Admit(now, f, 7), "the attempt of the trial may continue")
 		require.NotNil(t, here.Admit(now, f, 8), "one trial at a time")
-		require.NotNil(t, there.Admit(now, f, 9), "the other instance did not see the crash")
+		require.NotNil(t, there.Admit(now, f, 9), "the other instance did not observe the crash")
 		crashTimes(here, now, f, 10+i, 1)
 		there.Learn(now, here.News())
 	}
 	require.NotNil(t, here.Admit(now.Add(retention-1), f, 10), "no further trial")
 }
 
-// A flood of different requests that crash replicas displaces none that is blocked.
+// A flood of different crashing requests stays within the memory limits and does not evict
+// a blocked request.
 func TestFloodOfRequestsIsBounded(t *testing.T) {
 	l := NewLedger(retention)
 	f := print("a")
@@ -214,7 +217,7 @@
 	for i := range 3 * maxTracked {
 		crashOnce(l, start, print(fmt.Sprint("flood", i)), process(fmt.Sprint("f", i), 1))
 	}
-	for i := range 3 * maxPending {
+	for i := range 3 * maxLostRuns {
 		l.Lost(start, lostRun(print(fmt.Sprint("lost", i)), start, process("x", 1)))
 	}
 	for i := range 3 * maxSuccesses {
@@ -225,7 +228,7 @@
 	}
 	require.True(t, l.IsBlocked(f))
 	require.LessOrEqual(t, len(l.tracked), maxTracked)
-	require.LessOrEqual(t, len(l.pending), maxPending)
+	require.LessOrEqual(t, len(l.lostRuns), maxLostRuns)
 	require.LessOrEqual(t, len(l.ended), maxEnded)
 	require.LessOrEqual(t, len(l.successes.at), maxSuccesses)
 	require.LessOrEqual(t, len(l.tracked[f].crashes), maxCrashesEach)
@@ -234,11 +237,11 @@
 	require.Equal(t, f, s.Crashes[0].Fingerprint, "the most crashes come first")
 }
 
-// TestInstancesStopTheRequestAndNoOther runs a request that crashes each replica and
-// innocent ones on several instances that tell each other with loss and delay, and
-// compare what they know now and then. The request crashes three replicas, and as many
-// more as copies were sent before the word came round; no innocent one is blocked.
-func TestInstancesStopTheRequestAndNoOther(t *testing.T) {
+// TestPoisonIsBlockedOnAllInstances runs a request that crashes every replica, and harmless
+// ones, on several instances that exchange evidence with loss and delay and sometimes
+// synchronize their whole state. The request may crash three replicas, plus one for each
+// copy sent before the evidence has spread; no harmless request is blocked.
+func TestPoisonIsBlockedOnAllInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const instances = 4
 		var ledgers []*Ledger
@@ -247,18 +250,18 @@
 		}
 		now := start
 		born := map[string]int64{}
-		inFlight := 0 // copies sent since the third crash and before all know
+		inFlight := 0 // copies sent after the third crash and before all instances have its evidence
 		crashes := 0
 		for i := range rapid.IntRange(10, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
 			l := ledgers[rapid.IntRange(0, instances-1).Draw(t, "instance")]
 			id := fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "replica"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
-			case 0: // a copy, beside an innocent request that goes on elsewhere
+			case 0: // a copy runs concurrently with a harmless request that then succeeds elsewhere
 				if l.Admit(now, poison, uint64(i)) != nil {
 					continue
 				}
-				if crashes >= int(blockAt) {
+				if crashes >= int(blockThreshold) {
 					inFlight++
 				}
 				innocent := print(fmt.Sprint("innocent", i))
@@ -268,7 +271,7 @@
 				born[id] += 10
 				crashes++
 				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].Succeeded(now, innocent)
-			case 1: // a replica ends by itself under an innocent request
+			case 1: // a replica fails independently while it runs a harmless request
 				innocent := print(fmt.Sprint("alone", i))
 				crashOnce(l, now, innocent, process(id, born[id]))
 				born[id] += 10
@@ -281,8 +284,8 @@
 				}
 			default:
 				other := ledgers[rapid.IntRange(0, instances-1).Draw(t, "peer")]
-				// A success at one of them clears what it learns from the other, which
-				// takes another exchange.
+				// A success on one instance clears crashes received from the other; that
+				// takes a second exchange.
 				for range 2 {
 					mine, theirs := l.State(), other.State()
 					l.Learn(now, theirs)
@@ -292,13 +295,13 @@
 			}
 			for _, l := range ledgers {
 				for f := range l.tracked {
-					require.True(t, f == poison || !l.IsBlocked(f), "an innocent request is blocked")
+					require.True(t, f == poison || !l.IsBlocked(f), "a harmless request is blocked")
 				}
 			}
 		}
-		require.LessOrEqual(t, crashes, int(blockAt)+inFlight)
+		require.LessOrEqual(t, crashes, int(blockThreshold)+inFlight)
 		merge(ledgers, now)
-		if crashes >= int(blockAt) {
+		if crashes >= int(blockThreshold) {
 			for _, l := range ledgers {
 				require.NotNil(t, l.Admit(now, poison, 0), "crashes: %d", crashes)
 			}
@@ -331,7 +334,7 @@
 	})
 }
 
-func BenchmarkAdmitStranger(b *testing.B) {
+func BenchmarkAdmitUnknown(b *testing.B) {
 	l := NewLedger(retention)
 	for i := range maxTracked {
 		crashOnce(l, start, print(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
@@ -355,7 +358,7 @@
 		crashOnce(l, start, print(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
 	}
 	for b.Loop() {
-		l.digestKnown = false
+		l.digestValid = false
 		l.Digest()
 	}
 }
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -1,60 +1,62 @@
-// Package poison finds requests that crash each replica that runs them, so that
-// they are stopped and copies of them refused.
+// Package poison detects requests that crash every replica they run on, so that such
+// requests are stopped and further copies of them refused.
 //
-// A Ledger does so where a request passes through many replicas and each of their
-// processes has a start of its own, a Tracker where replicas are known by ID only.
+// A Ledger does this for requests that pass through several replicas whose processes are
+// identified by their start time. A Tracker does it for replicas that are known by ID only.
 //
-// When a replica crashes, all requests that it was running are suspects, and it may
-// have failed for its own reasons. A Tracker keeps the crashes of the recent past
-// with their suspects and weighs them anew at each question:
+// When a replica crashes, every request that it was running may be the cause, and the
+// replica may also have failed for an unrelated reason. A Tracker keeps recent crashes
+// together with the requests that were running (the candidates) and evaluates them again on
+// every call:
 //
-//   - A request that completes anywhere is innocent of all earlier crashes.
-//   - A crash does not count as evidence when its replica crashed often, or when
-//     many other replicas crashed at about the same time without the suspect.
-//   - A suspect's score is the number of different replicas whose crashes count
-//     against it. Each crash is charged to its suspects with the highest score.
-//   - A request is stopped when two replicas' crashes are charged to it.
-//   - A fingerprint is blocked when two replicas' crashes are charged to it alone,
-//     or three to it and others.
+//   - A request that completes anywhere is cleared of all earlier crashes.
+//   - A crash is no evidence when its replica crashes often, or when many other replicas
+//     that did not run the candidate crashed at about the same time.
+//   - A candidate's score is the number of different replicas whose crashes are evidence
+//     against it. Each crash is attributed to the candidates with the highest score.
+//   - A request is stopped when the crashes of two replicas are attributed to it.
+//   - A fingerprint is blocked when the crashes of two replicas are attributed to it alone,
+//     or those of three to it and other candidates.
 package poison
 
 import "time"
 
 const (
-	// stopReplicas is the number of replicas whose charged crashes stop a request.
+	// stopReplicas is the number of replicas whose crashes must be attributed to a request
+	// to stop it.
 	stopReplicas = 2
-	// certainReplicas is the number of replicas after whose crashes doubts in
-	// favour of a suspect no longer count.
+	// certainReplicas is the number of crashed replicas from which a candidate is stopped
+	// even if the crashes have other possible explanations.
 	certainReplicas = 3
-	// ownCrashes is the number of crashes within the retention period from which
-	// a replica is taken to fail for its own reasons.
-	ownCrashes = 3
-	// burstReplicas is the number of other replicas that crash within burstWindow
-	// without a suspect, from which a common cause is assumed.
+	// maxUnrelatedCrashes is the number of crashes within the retention period from which a
+	// replica is assumed to fail independently of the requests that it runs.
+	maxUnrelatedCrashes = 3
+	// burstReplicas is the number of other replicas that crash within burstWindow without
+	// having run a candidate from which a common cause is assumed.
 	burstReplicas = 4
 	burstWindow   = 5 * time.Second
-	// crashWindow is the time within which suspects of one replica belong to the
-	// same crash.
+	// crashWindow is the time within which reports about one replica belong to the same
+	// crash.
 	crashWindow = 2 * time.Second
-	// shareAfter is the age of a fingerprint's last crash at which a block is told
-	// to peers. Until then suspects of the same crash may still come in.
-	shareAfter = 250 * time.Millisecond
+	// shareDelay is the minimum age of a fingerprint's last crash before its block is sent
+	// to peers: until then further candidates of the same crash may be reported.
+	shareDelay = 250 * time.Millisecond
 
-	// maxCrashes, maxSuspects and maxBlocks bound the memory of a Tracker.
-	maxCrashes  = 256
-	maxSuspects = 64
-	maxBlocks   = 4096
+	// maxCrashes, maxCandidates and maxBlocks bound the memory of a Tracker.
+	maxCrashes    = 256
+	maxCandidates = 64
+	maxBlocks     = 4096
 	// MaxShared is the largest number of blocks that Recent returns.
 	MaxShared = 64
 )
 
-// Verdict tells what to do with a request after a crash.
+// Verdict is the decision about a request after a crash.
 type Verdict int
 
 const (
-	// Retry means that the request may run on another replica.
+	// Retry allows the request to run on another replica.
 	Retry Verdict = iota
-	// Stop means that the request must not run again.
+	// Stop forbids running the request again.
 	Stop
 )
 
@@ -72,15 +74,15 @@
 	Expiry      time.Time
 }
 
-// crash is one crash of a replica.
+// crash is one crash of a replica with the requests that it was running.
 type crash struct {
-	replica  string
-	at       time.Time
-	suspects []Fingerprint
+	replica    string
+	at         time.Time
+	candidates []Fingerprint
 }
 
 func (c *crash) has(f Fingerprint) bool {
-	for _, s := range c.suspects {
+	for _, s := range c.candidates {
 		if s == f {
 			return true
 		}
@@ -89,9 +91,9 @@
 }
 
 func (c *crash) remove(f Fingerprint) {
-	for i, s := range c.suspects {
+	for i, s := range c.candidates {
 		if s == f {
-			c.suspects = append(c.suspects[:i], c.suspects[i+1:]...)
+			c.candidates = append(c.candidates[:i], c.candidates[i+1:]...)
 			return
 		}
 	}
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -22,40 +22,40 @@
 
 func print(name string) Fingerprint { return FingerprintOf("m", name) }
 
-func TestFingerprintFrames(t *testing.T) {
+func TestFingerprintSeparatesFields(t *testing.T) {
 	require.Equal(t, FingerprintOf("m", "p", "1"), FingerprintOf("m", "p", "1"))
 	require.NotEqual(t, FingerprintOf("m", "p", "1"), FingerprintOf("m", "p1"))
 	require.NotEqual(t, FingerprintOf("mp", ""), FingerprintOf("m", "p"))
 }
 
-// fleet is a few replicas that run requests; the poison request crashes each
-// replica that it reaches, and replica 0 also crashes by itself.
+// fleet simulates replicas that run requests. The poison request crashes every replica it
+// runs on; replica 0 also crashes independently.
 type fleet struct {
-	t       *rapid.T
-	tracker *Tracker
-	now     time.Time
-	running map[Fingerprint]string
-	seen    []Fingerprint
-	// poisoned are the replicas that the poison request crashed.
-	poisoned []string
-	// own counts the crashes of replica 0 by itself.
-	own int
+	t        *rapid.T
+	tracker  *Tracker
+	now      time.Time
+	running  map[Fingerprint]string
+	harmless []Fingerprint
+	// poisonedReplicas lists the replicas that the poison request crashed.
+	poisonedReplicas []string
+	// unrelatedCrashes counts the independent crashes of replica 0.
+	unrelatedCrashes int
 }
 
-// Requests begin on the first few replicas, so that they meet, and are retried on
-// all of them.
+// New requests start on the first few replicas, so that they run concurrently; retries may
+// go to any replica.
 const (
-	replicas      = 48
+	replicaCount  = 48
 	firstReplicas = 5
 )
 
 var poison = print("poison")
 
-// place runs a request on a replica drawn among those that it need not avoid.
+// place runs a request on a random replica that it need not avoid.
 func (w *fleet) place(f Fingerprint, exclude ...string) {
 	exclude = append(exclude, w.tracker.Avoid(f)...)
 	var free []string
-	for i := range replicas {
+	for i := range replicaCount {
 		id := fmt.Sprint(i)
 		if i >= firstReplicas && len(exclude) == 0 {
 			break
@@ -68,23 +68,23 @@
 	w.running[f] = id
 	w.tracker.Place(f, []string{id})
 	if f == poison {
-		w.poisoned = append(w.poisoned, id)
+		w.poisonedReplicas = append(w.poisonedReplicas, id)
 		w.crash(id)
 	}
 }
 
 func (w *fleet) crash(id string) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "ms")) * time.Millisecond)
-	var suspects []Fingerprint
-	for _, f := range append(w.seen, poison) {
+	var candidates []Fingerprint
+	for _, f := range append(w.harmless, poison) {
 		if w.running[f] == id {
-			suspects = append(suspects, f)
+			candidates = append(candidates, f)
 			delete(w.running, f)
 		}
 	}
-	for i, v := range w.tracker.Crash(w.now, id, suspects...) {
+	for i, v := range w.tracker.Crash(w.now, id, candidates...) {
 		if v == Retry {
-			w.place(suspects[i], id)
+			w.place(candidates[i], id)
 		}
 	}
 }
@@ -96,13 +96,12 @@
 	}
 }
 
-// TestPoisonIsStoppedAndInnocentsAreNot runs a poison request that its caller
-// sends again and again, beside innocent ones and a replica that crashes by
-// itself. The poison request crashes no more than two replicas. Once replica 0
-// crashed by itself, its crashes may be worthless as evidence and leave doubt about
-// one more; then the bound is three besides replica 0. No innocent request is ever
-// blocked.
-func TestPoisonIsStoppedAndInnocentsAreNot(t *testing.T) {
+// TestPoisonIsStoppedAndHarmlessRequestsAreNot runs a poison request that its client sends
+// repeatedly, together with harmless requests and a replica that crashes independently. The
+// poison request may crash at most two replicas. After an independent crash of replica 0
+// its crashes may be worthless as evidence and leave one more undecided, so the bound is
+// then three besides replica 0. No harmless request is ever blocked.
+func TestPoisonIsStoppedAndHarmlessRequestsAreNot(t *testing.T) {
 	blocked := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := &fleet{t: t, tracker: NewTracker(retention), now: start, running: make(map[Fingerprint]string)}
@@ -113,36 +112,36 @@
 					w.place(poison)
 				}
 			case 1:
-				w.own++
+				w.unrelatedCrashes++
 				w.crash("0")
 			case 2:
-				if len(w.seen) > 0 {
-					w.complete(rapid.SampledFrom(w.seen).Draw(t, "done"))
+				if len(w.harmless) > 0 {
+					w.complete(rapid.SampledFrom(w.harmless).Draw(t, "done"))
 				}
 			default:
 				f := print(fmt.Sprint(i))
-				w.seen = append(w.seen, f)
+				w.harmless = append(w.harmless, f)
 				w.place(f)
 			}
-			for _, f := range w.seen {
-				require.False(t, w.tracker.Blocked(w.now, f), "innocent request blocked")
+			for _, f := range w.harmless {
+				require.False(t, w.tracker.Blocked(w.now, f), "harmless request blocked")
 			}
-			w.checkPoisoned()
+			w.checkPoisonedReplicas()
 			require.False(t, w.tracker.FailsAlone(w.now, "1"))
 		}
 		if w.tracker.Blocked(w.now, poison) {
 			blocked++
 		}
 	})
-	require.Greater(t, blocked, 1000, "the poison request was hardly ever found")
+	require.Greater(t, blocked, 1000, "the poison request was rarely detected")
 }
 
-func (w *fleet) checkPoisoned() {
-	if w.own == 0 {
-		require.LessOrEqual(w.t, len(w.poisoned), stopReplicas)
+func (w *fleet) checkPoisonedReplicas() {
+	if w.unrelatedCrashes == 0 {
+		require.LessOrEqual(w.t, len(w.poisonedReplicas), stopReplicas)
 		return
 	}
-	others := slices.DeleteFunc(slices.Clone(w.poisoned), func(id string) bool { return id == "0" })
+	others := slices.DeleteFunc(slices.Clone(w.poisonedReplicas), func(id string) bool { return id == "0" })
 	require.LessOrEqual(w.t, len(others), certainReplicas)
 }
 
@@ -160,12 +159,12 @@
 	require.Equal(t, []Block{{Fingerprint: a, Expiry: end}}, tr.Recent(end.Add(-1)))
 	require.True(t, tr.Blocked(end.Add(-1), a))
 	require.False(t, tr.Blocked(end, a))
-	require.Equal(t, []Verdict{Retry}, tr.Crash(end, "z", a), "forgotten crashes must not count")
+	require.Equal(t, []Verdict{Retry}, tr.Crash(end, "z", a), "expired crashes must not count")
 }
 
-// Two requests that shared both crashes cannot be told apart: both stop, neither
-// is blocked, until one of them completes or a third replica crashed.
-func TestSharedCrashesLeaveDoubt(t *testing.T) {
+// Two requests that were running during both crashes can't be distinguished: both are
+// stopped and neither is blocked until one of them completes or a third replica crashes.
+func TestSharedCrashesAreUndecided(t *testing.T) {
 	tr := NewTracker(retention)
 	a, b := print("a"), print("b")
 	tr.Crash(start, "x", a, b)
@@ -180,8 +179,8 @@
 	require.False(t, tr.Blocked(start.Add(time.Minute), b))
 }
 
-// Copies that crash many replicas at once are no common cause for one another.
-func TestCopiesAtOnce(t *testing.T) {
+// Copies of one request that crash many replicas at once must not pass for a common cause.
+func TestConcurrentCopiesAreNoCommonCause(t *testing.T) {
 	tr := NewTracker(retention)
 	a := print("a")
 	for i := range 2 * burstReplicas {
@@ -191,7 +190,7 @@
 	require.False(t, tr.Blocked(start, print("0")))
 }
 
-func TestSuspectsRunApart(t *testing.T) {
+func TestCandidatesRunOnDifferentReplicas(t *testing.T) {
 	tr := NewTracker(retention)
 	a, b := print("a"), print("b")
 	tr.Place(a, []string{"x"})
@@ -201,12 +200,12 @@
 	require.Equal(t, []string{"w", "x", "y"}, tr.Avoid(b))
 	require.Equal(t, []string{"x"}, tr.Avoid(a))
 	tr.Crash(start, "y", a)
-	require.Equal(t, []string{"x"}, tr.Avoid(b), "a runs no more")
+	require.Equal(t, []string{"x"}, tr.Avoid(b), "a is not running any more")
 }
 
-// When many replicas crash together, what they ran is no explanation, and a third
-// crash stops a request all the same.
-func TestBurstMarksNobody(t *testing.T) {
+// When many replicas crash together, the requests that they ran are no explanation. A third
+// crash still stops a request.
+func TestBurstBlocksNoRequest(t *testing.T) {
 	tr := NewTracker(retention)
 	for i := range burstReplicas {
 		tr.Crash(start, fmt.Sprintf("rack-%d", i), print(fmt.Sprint(i)))
@@ -222,10 +221,10 @@
 	require.Equal(t, []Verdict{Stop}, tr.Crash(after, "y", b), "long after the others")
 }
 
-func TestReplicaThatFailsAlone(t *testing.T) {
+func TestReplicaThatFailsIndependently(t *testing.T) {
 	tr := NewTracker(retention)
 	now := start
-	for i := range ownCrashes {
+	for i := range maxUnrelatedCrashes {
 		require.False(t, tr.FailsAlone(now, "x"))
 		now = now.Add(time.Minute)
 		tr.Crash(now, "x", print(fmt.Sprint(i)))
@@ -235,9 +234,9 @@
 	require.False(t, tr.FailsAlone(now.Add(retention), "x"))
 }
 
-// A peer's block holds for its time, at most the own retention period, and not
-// against a request that completed here.
-func TestLearn(t *testing.T) {
+// A block from a peer holds until its expiry, at most the retention period, and does not
+// apply to a request that completed here.
+func TestBlockOfPeer(t *testing.T) {
 	tr := NewTracker(retention)
 	a, b := print("a"), print("b")
 	tr.Learn(start, a, start)
@@ -261,22 +260,22 @@
 		tr.Crash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
 		tr.Learn(start, f, start.Add(retention))
 		tr.Completed(start, f)
-		tr.Learn(start, print(fmt.Sprint("told", i)), start.Add(retention))
+		tr.Learn(start, print(fmt.Sprint("peer", i)), start.Add(retention))
 		tr.Crash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
 	}
 	require.LessOrEqual(t, len(tr.crashes), maxCrashes)
-	require.LessOrEqual(t, len(tr.suspects), maxCrashes*maxSuspects)
-	require.LessOrEqual(t, len(tr.told), maxBlocks)
+	require.LessOrEqual(t, len(tr.candidates), maxCrashes*maxCandidates)
+	require.LessOrEqual(t, len(tr.peerBlocks), maxBlocks)
 	require.LessOrEqual(t, len(tr.cleared), maxBlocks)
 	require.Len(t, tr.Recent(start), MaxShared)
 	require.Empty(t, tr.Recent(start.Add(3*retention)))
 	require.Empty(t, tr.crashes)
-	require.Empty(t, tr.suspects)
-	require.Empty(t, tr.told)
+	require.Empty(t, tr.candidates)
+	require.Empty(t, tr.peerBlocks)
 }
 
-// Two instances that each saw one crash know together that the request is to blame, and
-// which suspects of a crash they have in common.
+// Two instances that each observed one crash identify the request together, as well as the
+// candidates that their reports of one crash have in common.
 func TestEvidenceOfAnotherInstanceCounts(t *testing.T) {
 	here, there := NewTracker(retention), NewTracker(retention)
 	a, b, c := print("a"), print("b"), print("c")
@@ -288,12 +287,12 @@
 	require.True(t, there.Blocked(start.Add(time.Minute), a))
 	here.LearnEvidence(start.Add(time.Minute), there.News())
 	require.True(t, here.Blocked(start.Add(time.Minute), a))
-	require.Len(t, here.crashes, 2, "one crash seen by both is one")
+	require.Len(t, here.crashes, 2, "a crash that both observed counts once")
 	require.False(t, here.Blocked(start.Add(time.Minute), b))
 	require.False(t, here.Blocked(start.Add(time.Minute), c))
 
 	there.Completed(start.Add(time.Minute), a)
 	here.LearnEvidence(start.Add(time.Minute), there.News())
 	require.False(t, here.Blocked(start.Add(time.Minute), a))
-	require.True(t, here.News().Empty() || len(here.News().Clears) == 0, "what was learnt is not told again")
+	require.True(t, here.News().Empty() || len(here.News().Clears) == 0, "received evidence is not sent again")
 }
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxState is the largest number of crashes, and of clears, that State returns.
+// MaxState is the maximum number of crashes, and of clears, that State returns.
 const MaxState = 256
 
-// Learn merges evidence of other instances. It returns the crashes that it proves of
-// runs that were lost here.
+// Learn merges evidence of other instances. It returns the crashes of runs lost on this
+// instance that the evidence proves.
 func (l *Ledger) Learn(now time.Time, s State) []Crash {
 	for _, c := range s.Clears {
 		if c.At.After(now) {
@@ -24,30 +24,30 @@
 		l.clears[c.Fingerprint] = c.At
 		l.applyClear(c)
 	}
-	bound(l.clears)
-	l.digestKnown = false
+	evictExcess(l.clears)
+	l.digestValid = false
 	var proved []Crash
 	for _, c := range s.Crashes {
 		if c.At.After(now) {
 			c.At = now
 		}
 		c.Own = false
-		if l.add(now, c) && now.Sub(c.At) <= matchWithin {
-			proved = append(proved, l.endedAt(now, c.Replica, c.At)...)
+		if l.add(now, c) && now.Sub(c.At) <= matchWindow {
+			proved = append(proved, l.recordEnd(now, c.Replica, c.At)...)
 		}
 	}
 	return proved
 }
 
-// News returns the evidence that was not told yet, once.
+// News returns the evidence that was not sent yet and marks it as sent.
 func (l *Ledger) News() State {
-	news := l.news
-	l.news = State{}
-	return news
+	updates := l.updates
+	l.updates = State{}
+	return updates
 }
 
-// State returns the evidence to tell an instance that may lack some. The requests with
-// the most crashes come first, then those with the latest.
+// State returns the evidence to send to an instance that may lack some of it. Requests with
+// the most crashes come first, among them those with the latest crash.
 func (l *Ledger) State() State {
 	order := make([]Fingerprint, 0, len(l.tracked))
 	for f := range l.tracked {
@@ -71,7 +71,8 @@
 	return s
 }
 
-// compare sorts by the number of crashes, then by the time of the last.
+// compare orders fingerprints by their number of crashes, then by the time of the last
+// crash.
 func (l *Ledger) compare(a, b Fingerprint) int {
 	ra, rb := l.tracked[a], l.tracked[b]
 	if n := len(ra.crashes) - len(rb.crashes); n != 0 {
@@ -80,7 +81,7 @@
 	return ra.last().Compare(rb.last())
 }
 
-// CrashesOf returns the crashes of a request.
+// CrashesOf returns the recorded crashes of a request.
 func (l *Ledger) CrashesOf(f Fingerprint) []Crash {
 	r := l.tracked[f]
 	if r == nil {
@@ -89,10 +90,11 @@
 	return append([]Crash(nil), r.crashes...)
 }
 
-// Digest is equal for two ledgers that know the same; 0 for one that knows nothing.
+// Digest returns a hash that is equal for ledgers with the same evidence, and 0 for an
+// empty ledger.
 func (l *Ledger) Digest() uint64 {
-	if !l.digestKnown {
-		l.digest, l.digestKnown = l.computeDigest(), true
+	if !l.digestValid {
+		l.digest, l.digestValid = l.computeDigest(), true
 	}
 	return l.digest
 }
--- a/core/poison/successes.go
+++ b/core/poison/successes.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// successes remembers when requests succeeded last, the latest maxSuccesses of them.
+// successes holds the time of the last success of up to maxSuccesses requests.
 type successes struct {
 	at map[Fingerprint]time.Time
-	// ring holds the fingerprints in the order of their first success; next is the
-	// place that is used again.
+	// ring holds the fingerprints in the order of their first success; next is the slot
+	// that is overwritten next.
 	ring []Fingerprint
 	next int
 }
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Tracker keeps the crashes of the recent past and the blocked fingerprints. Its
-// memory is bounded; when it is full, the oldest knowledge goes first. It is not
-// safe for concurrent use.
+// Tracker keeps recent crashes and the blocked fingerprints. Its memory is bounded; the
+// oldest entries are evicted first. It is not safe for concurrent use.
 type Tracker struct {
 	retention time.Duration
-	// crashes are in the order of their first report. They are kept for twice the
-	// retention period, as a crash counts until that long after a suspect's next.
-	crashes  []*crash
-	suspects map[Fingerprint]*suspect
-	// told are the blocks heard from peers.
-	told map[Fingerprint]time.Time
-	// cleared are the fingerprints that completed although they were blocked,
-	// until the time given.
+	// crashes are in the order of their first report. They are kept for twice the retention
+	// period, because a crash counts until one retention period after the candidate's next
+	// one.
+	crashes    []*crash
+	candidates map[Fingerprint]*candidate
+	// peerBlocks maps fingerprints blocked by peers to the expiry of the block.
+	peerBlocks map[Fingerprint]time.Time
+	// cleared maps fingerprints that completed while they were blocked to the time until
+	// which blocks of peers are ignored for them.
 	cleared map[Fingerprint]time.Time
-	// news is what this instance saw and did not tell yet.
-	news State
+	// updates holds observations of this instance that were not sent yet.
+	updates State
 }
 
-// suspect is a fingerprint that was running on a replica when it crashed.
-type suspect struct {
+// candidate is a fingerprint that was running on a replica when it crashed.
+type candidate struct {
 	crashes []*crash
-	// placed are the replicas that run the fingerprint now.
-	placed []string
+	// placedOn are the replicas that run the fingerprint now.
+	placedOn []string
 }
 
 // last returns the time of the last crash.
-func (s *suspect) last() time.Time {
+func (s *candidate) last() time.Time {
 	last := s.crashes[0].at
 	for _, c := range s.crashes {
 		last = later(last, c.at)
@@ -39,98 +39,98 @@
 	return last
 }
 
-// NewTracker returns an empty tracker that forgets after the retention period.
+// NewTracker returns an empty tracker that discards crashes after the retention period.
 func NewTracker(retention time.Duration) *Tracker {
 	return &Tracker{
-		retention: retention,
-		suspects:  make(map[Fingerprint]*suspect),
-		told:      make(map[Fingerprint]time.Time),
-		cleared:   make(map[Fingerprint]time.Time),
+		retention:  retention,
+		candidates: make(map[Fingerprint]*candidate),
+		peerBlocks: make(map[Fingerprint]time.Time),
+		cleared:    make(map[Fingerprint]time.Time),
 	}
 }
 
 // Crash records that a replica crashed while it ran a step of each of the given
-// fingerprints, and returns a verdict for each. Reports of one replica within two
-// seconds belong to the same crash. It is better to report all suspects at once:
-// verdicts know only what was reported.
-func (t *Tracker) Crash(now time.Time, replica string, suspects ...Fingerprint) []Verdict {
-	t.expire(now)
+// fingerprints, and returns a decision for each. Reports about one replica within
+// crashWindow (2 s) belong to the same crash. Reporting all candidates in one call gives
+// better decisions, because only reported candidates are compared.
+func (t *Tracker) Crash(now time.Time, replica string, candidates ...Fingerprint) []Verdict {
+	t.expireCrashes(now)
 	c := t.crashOf(now, replica)
-	for _, f := range suspects {
-		if t.accuse(c, f) {
-			t.tell(Crash{Fingerprint: f, Replica: Incarnation{Replica: replica}, At: now})
+	for _, f := range candidates {
+		if t.addCandidate(c, f) {
+			t.queueUpdate(Crash{Fingerprint: f, Replica: Incarnation{Replica: replica}, At: now})
 		}
 	}
-	verdicts := make([]Verdict, len(suspects))
-	for i, f := range suspects {
-		verdicts[i] = t.verdict(now, f)
+	decisions := make([]Verdict, len(candidates))
+	for i, f := range candidates {
+		decisions[i] = t.decide(now, f)
 	}
-	return verdicts
+	return decisions
 }
 
-// tell keeps a crash for the next call of News.
-func (t *Tracker) tell(c Crash) {
-	if len(t.news.Crashes) < MaxState {
-		t.news.Crashes = append(t.news.Crashes, c)
+// queueUpdate adds a crash to the updates that News returns.
+func (t *Tracker) queueUpdate(c Crash) {
+	if len(t.updates.Crashes) < MaxState {
+		t.updates.Crashes = append(t.updates.Crashes, c)
 	}
 }
 
-// News returns what this instance saw since the last call.
+// News returns the observations of this instance since the last call.
 func (t *Tracker) News() State {
-	news := t.news
-	t.news = State{}
-	return news
+	updates := t.updates
+	t.updates = State{}
+	return updates
 }
 
-// LearnEvidence takes what another instance saw.
+// LearnEvidence merges the observations of another instance.
 func (t *Tracker) LearnEvidence(now time.Time, s State) {
-	t.expire(now)
+	t.expireCrashes(now)
 	for _, c := range s.Crashes {
 		if now.Sub(c.At) < t.retention {
-			t.accuse(t.crashOf(c.At, c.Replica.Replica), c.Fingerprint)
+			t.addCandidate(t.crashOf(c.At, c.Replica.Replica), c.Fingerprint)
 		}
 	}
 	for _, c := range s.Clears {
-		t.complete(now, c.Fingerprint)
+		t.clear(now, c.Fingerprint)
 	}
 }
 
-// Completed records that a request ran to its end, which proves that its
-// fingerprint crashes nothing.
+// Completed records that a request completed, which proves that its fingerprint is not the
+// cause of earlier crashes.
 func (t *Tracker) Completed(now time.Time, f Fingerprint) {
-	if t.complete(now, f) && len(t.news.Clears) < MaxState {
-		t.news.Clears = append(t.news.Clears, Clear{Fingerprint: f, At: now})
+	if t.clear(now, f) && len(t.updates.Clears) < MaxState {
+		t.updates.Clears = append(t.updates.Clears, Clear{Fingerprint: f, At: now})
 	}
 }
 
-// complete returns whether there was anything against the fingerprint.
-func (t *Tracker) complete(now time.Time, f Fingerprint) bool {
+// clear clears a fingerprint and reports whether there was any evidence against it.
+func (t *Tracker) clear(now time.Time, f Fingerprint) bool {
 	if t.Blocked(now, f) {
 		t.cleared[f] = now.Add(t.retention)
-		bound(t.cleared)
+		evictExcess(t.cleared)
 	}
-	_, told := t.told[f]
-	delete(t.told, f)
-	s, ok := t.suspects[f]
+	_, blockedByPeer := t.peerBlocks[f]
+	delete(t.peerBlocks, f)
+	s, ok := t.candidates[f]
 	if !ok {
-		return told
+		return blockedByPeer
 	}
 	for _, c := range s.crashes {
 		c.remove(f)
 	}
-	delete(t.suspects, f)
+	delete(t.candidates, f)
 	return true
 }
 
-// Blocked tells whether a request with this fingerprint is to be refused.
+// Blocked reports whether requests with this fingerprint must be refused.
 func (t *Tracker) Blocked(now time.Time, f Fingerprint) bool {
-	if t.told[f].After(now) {
+	if t.peerBlocks[f].After(now) {
 		return true
 	}
-	return t.convicted(now, f)
+	return t.isProvenCause(now, f)
 }
 
-// Learn takes a block from a peer. The expiry is cut to the tracker's own
+// Learn records a block that a peer reported. The expiry is limited to the tracker's own
 // retention period.
 func (t *Tracker) Learn(now time.Time, f Fingerprint, expiry time.Time) {
 	if t.cleared[f].After(now) || !expiry.After(now) {
@@ -139,22 +139,22 @@
 	if latest := now.Add(t.retention); expiry.After(latest) {
 		expiry = latest
 	}
-	t.told[f] = later(expiry, t.told[f])
-	bound(t.told)
+	t.peerBlocks[f] = later(expiry, t.peerBlocks[f])
+	evictExcess(t.peerBlocks)
 }
 
-// Recent returns the blocks to tell the peers, at most MaxShared: those that
-// expire last, last first.
+// Recent returns at most MaxShared blocks to send to peers, in order of expiry, latest
+// first.
 func (t *Tracker) Recent(now time.Time) []Block {
-	t.expire(now)
-	expireMap(now, t.told)
+	t.expireCrashes(now)
+	expireMap(now, t.peerBlocks)
 	expireMap(now, t.cleared)
 	var blocks []Block
-	for f, expiry := range t.told {
+	for f, expiry := range t.peerBlocks {
 		blocks = append(blocks, Block{Fingerprint: f, Expiry: expiry})
 	}
-	for f, s := range t.suspects {
-		if _, ok := t.told[f]; ok || now.Sub(s.last()) < shareAfter || !t.convicted(now, f) {
+	for f, s := range t.candidates {
+		if _, ok := t.peerBlocks[f]; ok || now.Sub(s.last()) < shareDelay || !t.isProvenCause(now, f) {
 			continue
 		}
 		blocks = append(blocks, Block{Fingerprint: f, Expiry: s.last().Add(t.retention)})
@@ -163,59 +163,60 @@
 	return blocks[:min(len(blocks), MaxShared)]
 }
 
-// Place records on which replicas a fingerprint runs from now on. It is ignored
-// for fingerprints that are not suspects.
+// Place records on which replicas a fingerprint now runs. It is ignored for fingerprints
+// that are not candidates.
 func (t *Tracker) Place(f Fingerprint, replicas []string) {
-	if s, ok := t.suspects[f]; ok {
-		s.placed = slices.Clone(replicas)
+	if s, ok := t.candidates[f]; ok {
+		s.placedOn = slices.Clone(replicas)
 	}
 }
 
-// Avoid returns the replicas that crashed with the fingerprint, and those that run
-// other suspects of the same crashes. If a suspect that runs apart from the others
-// crashes a further replica, it can be told from them.
+// Avoid returns the replicas that crashed while running the fingerprint, and those that now
+// run other candidates of the same crashes. If a candidate that runs apart from the others
+// crashes another replica, it can be identified as the cause.
 func (t *Tracker) Avoid(f Fingerprint) []string {
-	s, ok := t.suspects[f]
+	s, ok := t.candidates[f]
 	if !ok {
 		return nil
 	}
-	var avoid []string
+	var replicas []string
 	for _, c := range s.crashes {
-		avoid = append(avoid, c.replica)
-		for _, other := range c.suspects {
+		replicas = append(replicas, c.replica)
+		for _, other := range c.candidates {
 			if other != f {
-				avoid = append(avoid, t.suspects[other].placed...)
+				replicas = append(replicas, t.candidates[other].placedOn...)
 			}
 		}
 	}
-	slices.Sort(avoid)
-	return slices.Compact(avoid)
+	slices.Sort(replicas)
+	return slices.Compact(replicas)
 }
 
-// FailsAlone tells whether a replica crashes so often, with different requests,
-// that the requests are no explanation.
+// FailsAlone reports whether a replica crashes so often, with different requests, that the
+// requests do not explain it.
 func (t *Tracker) FailsAlone(now time.Time, replica string) bool {
-	return t.failsAlone(replica, now)
+	return t.failsIndependently(replica, now)
 }
 
-func (t *Tracker) verdict(now time.Time, f Fingerprint) Verdict {
+func (t *Tracker) decide(now time.Time, f Fingerprint) Verdict {
 	all := t.countReplicas(f, func(*crash) bool { return true })
-	if all >= certainReplicas || t.charged(f, false) >= stopReplicas || t.Blocked(now, f) {
+	if all >= certainReplicas || t.attributedReplicas(f, false) >= stopReplicas || t.Blocked(now, f) {
 		return Stop
 	}
 	return Retry
 }
 
-// convicted tells whether the crashes seen here prove that f is to be refused.
-func (t *Tracker) convicted(now time.Time, f Fingerprint) bool {
-	s, ok := t.suspects[f]
+// isProvenCause reports whether the crashes recorded here prove that f must be refused.
+func (t *Tracker) isProvenCause(now time.Time, f Fingerprint) bool {
+	s, ok := t.candidates[f]
 	if !ok || now.Sub(s.last()) >= t.retention {
 		return false
 	}
-	return t.charged(f, true) >= stopReplicas || t.charged(f, false) >= certainReplicas
+	return t.attributedReplicas(f, true) >= stopReplicas || t.attributedReplicas(f, false) >= certainReplicas
 }
 
-// crashOf returns the replica's crash under way or begins one.
+// crashOf returns the replica's current crash, or starts a new one if the last is older
+// than crashWindow.
 func (t *Tracker) crashOf(now time.Time, replica string) *crash {
 	for _, c := range slices.Backward(t.crashes) {
 		if c.replica == replica && now.Sub(c.at).Abs() <= crashWindow {
@@ -225,42 +226,43 @@
 	c := &crash{replica: replica, at: now}
 	t.crashes = append(t.crashes, c)
 	if len(t.crashes) > maxCrashes {
-		t.dropOldest()
+		t.evictOldest()
 	}
 	return c
 }
 
-// accuse returns whether the suspect is new to the crash.
-func (t *Tracker) accuse(c *crash, f Fingerprint) bool {
-	if len(c.suspects) >= maxSuspects || c.has(f) {
+// addCandidate adds f to the candidates of a crash. It returns false if f is one already or
+// the limit is reached.
+func (t *Tracker) addCandidate(c *crash, f Fingerprint) bool {
+	if len(c.candidates) >= maxCandidates || c.has(f) {
 		return false
 	}
-	c.suspects = append(c.suspects, f)
-	s, ok := t.suspects[f]
+	c.candidates = append(c.candidates, f)
+	s, ok := t.candidates[f]
 	if !ok {
-		s = &suspect{}
-		t.suspects[f] = s
+		s = &candidate{}
+		t.candidates[f] = s
 	}
-	s.placed = nil
+	s.placedOn = nil
 	s.crashes = append(s.crashes, c)
 	return true
 }
 
-// expire drops the crashes that no longer count.
-func (t *Tracker) expire(now time.Time) {
+// expireCrashes discards the crashes that no longer count.
+func (t *Tracker) expireCrashes(now time.Time) {
 	for len(t.crashes) > 0 && now.Sub(t.crashes[0].at) >= 2*t.retention {
-		t.dropOldest()
+		t.evictOldest()
 	}
 }
 
-func (t *Tracker) dropOldest() {
+func (t *Tracker) evictOldest() {
 	c := t.crashes[0]
 	t.crashes = slices.Delete(t.crashes, 0, 1)
-	for _, f := range c.suspects {
-		s := t.suspects[f]
+	for _, f := range c.candidates {
+		s := t.candidates[f]
 		s.crashes = slices.DeleteFunc(s.crashes, func(x *crash) bool { return x == c })
 		if len(s.crashes) == 0 {
-			delete(t.suspects, f)
+			delete(t.candidates, f)
 		}
 	}
 }
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Refusal is why a request must not run.
+// Refusal explains why a request must not run.
 type Refusal struct {
-	// Crashes are the crashes that decided it.
+	// Crashes are the crashes that led to the refusal.
 	Crashes []Crash
-	// RetryAfter is the time until a copy may run again.
+	// RetryAfter is the time until a copy of the request may run again.
 	RetryAfter time.Duration
 }
 
-// Admit returns nil if an attempt may run a request. A blocked request gets a trial
-// some time after its last crash, at the instance that saw that crash only.
+// Admit returns nil if an attempt may run a request. Some time after its last crash, a
+// blocked request gets a trial run, only on the instance that observed that crash.
 func (l *Ledger) Admit(now time.Time, f Fingerprint, attempt uint64) *Refusal {
 	r := l.tracked[f]
 	if r == nil {
 		return nil
 	}
 	if !r.blocked {
-		return l.awaitProof(now, f, r)
+		return l.refuseUnproven(now, f, r)
 	}
 	last := r.last()
 	if now.Sub(last) >= l.retention {
-		l.forget(f)
+		l.discard(f)
 		return nil
 	}
 	at := last.Add(l.retention)
 	if trial, ok := r.trialAt(last); ok && trial.Before(at) {
 		free := !now.Before(trial) && !now.Before(r.trialUntil)
-		if free || now.Before(r.trialUntil) && r.trialOf == attempt {
-			r.trialUntil, r.trialOf = now.Add(trialTime), attempt
+		if free || now.Before(r.trialUntil) && r.trialAttempt == attempt {
+			r.trialUntil, r.trialAttempt = now.Add(trialDuration), attempt
 			return nil
 		}
 		at = later(trial, r.trialUntil)
@@ -40,33 +40,34 @@
 	return &Refusal{Crashes: slices.Clone(r.crashes), RetryAfter: at.Sub(now)}
 }
 
-// awaitProof refuses a request while runs are open that would block it if their replicas
-// turn out to have ended.
-func (l *Ledger) awaitProof(now time.Time, f Fingerprint, r *record) *Refusal {
-	open := 0
+// refuseUnproven refuses a request while recently lost runs would block it if processes on
+// their paths turn out to have ended.
+func (l *Ledger) refuseUnproven(now time.Time, f Fingerprint, r *crashHistory) *Refusal {
+	unproven := 0
 	var until time.Time
-	for i, run := range l.pending {
-		if at := l.pendingAt[i].Add(proofTime); run.Fingerprint == f && now.Before(at) {
-			open++
+	for i, run := range l.lostRuns {
+		if at := l.lostAt[i].Add(proofTimeout); run.Fingerprint == f && now.Before(at) {
+			unproven++
 			until = later(until, at)
 		}
 	}
-	if open == 0 || l.weight(f)+float64(open) < blockAt {
+	if unproven == 0 || l.weight(f)+float64(unproven) < blockThreshold {
 		return nil
 	}
 	return &Refusal{Crashes: slices.Clone(r.crashes), RetryAfter: until.Sub(now)}
 }
 
-// trialAt returns when this instance may let a copy run.
-func (r *record) trialAt(last time.Time) (time.Time, bool) {
-	trials := max(0, len(incidents(r.crashes))-int(blockAt))
+// trialAt returns the time from which this instance may run a trial, and whether it may at
+// all.
+func (r *crashHistory) trialAt(last time.Time) (time.Time, bool) {
+	trials := max(0, len(incidents(r.crashes))-int(blockThreshold))
 	own := slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Own && c.At.Equal(last) })
-	return last.Add(trialAfter << min(trials, maxTrials)), own && trials < maxTrials
+	return last.Add(trialDelay << min(trials, maxTrials)), own && trials < maxTrials
 }
 
-// MayRetry tells whether an attempt may run again after it was lost. Runs of this
-// attempt of which it is not known yet whether a replica ended count as crashes once
-// there is other evidence.
+// MayRetry reports whether an attempt may run again after one of its runs was lost. Lost
+// runs of this attempt count as crashes even without proof that a process ended, provided
+// that there is other evidence against the request.
 func (l *Ledger) MayRetry(f Fingerprint, attempt uint64) bool {
 	r := l.tracked[f]
 	if r == nil {
@@ -75,13 +76,13 @@
 	if r.blocked {
 		return false
 	}
-	open := 0
-	for _, run := range l.pending {
+	unproven := 0
+	for _, run := range l.lostRuns {
 		if run.Fingerprint == f && run.Run.Attempt == attempt {
-			open++
+			unproven++
 		}
 	}
-	return l.weight(f)+float64(open) < blockAt
+	return l.weight(f)+float64(unproven) < blockThreshold
 }
 
 // Incidents returns the number of independent crashes of a request.
@@ -93,7 +94,7 @@
 	return len(incidents(r.crashes))
 }
 
-// IsBlocked tells whether a request is blocked, trials apart.
+// IsBlocked reports whether a request is blocked, regardless of trials.
 func (l *Ledger) IsBlocked(f Fingerprint) bool {
 	r := l.tracked[f]
 	return r != nil && r.blocked
