--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership keeps which entry instances are live. It merges the
-// platform's list, which lags, with what peers tell of themselves.
+// Package membership tracks which entry instances are live. It merges the platform's list,
+// which lags, with the states that peers report in their messages.
 package membership
 
 import (
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// State is the state of an instance. Within one incarnation it only rises, but
-// for Gone, from which an instance that is heard again returns.
+// State is the state of an instance. Within one incarnation it only increases, except that
+// an instance in state Gone returns to its reported state when a message arrives.
 type State int
 
 // States of an instance.
 const (
-	// Unheard means that the instance is listed and has told nothing.
+	// Unheard means that the instance is listed and has sent no message.
 	Unheard State = iota
-	// Joining means that the instance runs and takes no work yet.
+	// Joining means that the instance runs and accepts no work yet.
 	Joining
-	// Ready means that the instance takes work.
+	// Ready means that the instance accepts work.
 	Ready
-	// Leaving means that the instance finishes its work and takes no more.
+	// Leaving means that the instance finishes its work and accepts no more.
 	Leaving
-	// Gone means that too many heartbeats of the instance were missed.
+	// Gone means that too many heartbeats were missed.
 	Gone
 )
 
@@ -35,14 +35,14 @@
 	return names[s]
 }
 
-// Config holds the fixed settings of a Members.
+// Config holds the settings of a Members.
 type Config struct {
 	// Self is the ID of this instance.
 	Self string
-	// HeartbeatInterval is the longest time between two messages of a peer.
+	// HeartbeatInterval is the maximum time between two messages of a peer.
 	HeartbeatInterval time.Duration
-	// MissedHeartbeats is the number of intervals without a message after
-	// which an instance is Gone.
+	// MissedHeartbeats is the number of intervals without a message after which an instance
+	// is Gone.
 	MissedHeartbeats int
 }
 
@@ -52,13 +52,13 @@
 	DefaultMissedHeartbeats  = 4
 )
 
-// Event is one of Listed, Heard, SelfChanged and Tick.
+// Event is an input of Members: Listed, Heard, SelfChanged or Tick.
 type Event interface{ isEvent() }
 
-// Listed is a copy of the platform's list of entry instances.
+// Listed is a snapshot of the platform's list of entry instances.
 type Listed struct{ Instances []ListedInstance }
 
-// ListedInstance is one entry instance of the platform's list.
+// ListedInstance is one entry of the platform's list.
 type ListedInstance struct {
 	ID      string
 	Address string
@@ -67,7 +67,7 @@
 	Leaving bool
 }
 
-// Heard says that a message of a peer came, and the state that it claims.
+// Heard reports a message of a peer with the state that the peer claims.
 type Heard struct {
 	ID          string
 	Incarnation uint64
@@ -79,7 +79,7 @@
 // SelfChanged sets the state of this instance.
 type SelfChanged struct{ State State }
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
 func (Listed) isEvent()      {}
@@ -87,8 +87,8 @@
 func (SelfChanged) isEvent() {}
 func (Tick) isEvent()        {}
 
-// Changed is the effect of an event: an instance has another state, or was
-// replaced by another incarnation.
+// Changed reports that an instance changed its state or was replaced by another
+// incarnation.
 type Changed struct {
 	ID          string
 	Incarnation uint64
@@ -96,34 +96,34 @@
 	To          State
 }
 
-// Member is what is known of one instance.
+// Member describes one instance.
 type Member struct {
 	ID          string
 	Address     string
 	Zone        string
 	Incarnation uint64
 	State       State
-	// Listed tells whether the last copy of the list names the instance.
+	// Listed is true if the latest list contains the instance.
 	Listed bool
-	// LastHeard is when the last message came, zero if none has.
+	// LastHeard is when the last message arrived, zero if none has.
 	LastHeard time.Time
 
-	// told is the highest state that this incarnation has claimed.
-	told State
-	// listedLeaving tells whether the last copy of the list says so.
+	// reported is the highest state that this incarnation has reported.
+	reported State
+	// listedLeaving is true if the latest list marks the instance as leaving.
 	listedLeaving bool
-	// since is when the instance was first listed without having been heard.
-	since time.Time
+	// listedSince is when the instance was first listed without having sent a message.
+	listedSince time.Time
 }
 
-// Members is the state machine. It is not safe for concurrent use.
+// Members is the state machine of all known instances. It is not safe for concurrent use.
 type Members struct {
 	config  Config
 	members map[string]*Member
 }
 
-// New returns a machine that knows this instance only, as Joining. Fields of
-// config that are not positive get their defaults.
+// New returns a Members that knows only this instance, as Joining. Fields of config that
+// are not positive get their defaults.
 func New(config Config) *Members {
 	if config.HeartbeatInterval <= 0 {
 		config.HeartbeatInterval = DefaultHeartbeatInterval
@@ -131,7 +131,7 @@
 	if config.MissedHeartbeats <= 0 {
 		config.MissedHeartbeats = DefaultMissedHeartbeats
 	}
-	self := &Member{ID: config.Self, State: Joining, told: Joining}
+	self := &Member{ID: config.Self, State: Joining, reported: Joining}
 	return &Members{config: config, members: map[string]*Member{config.Self: self}}
 }
 
@@ -140,8 +140,8 @@
 	return time.Duration(m.config.MissedHeartbeats) * m.config.HeartbeatInterval
 }
 
-// Step lets time pass until now and then applies event. The effects of either
-// are in the order of instance IDs.
+// Step advances the time to now and then applies event. The changes of each of the two
+// steps are sorted by instance ID.
 func (m *Members) Step(now time.Time, event Event) []Changed {
 	expired := m.refresh(now, "")
 	replaced := ""
@@ -154,7 +154,7 @@
 		}
 	case SelfChanged:
 		self := m.members[m.config.Self]
-		self.told = max(self.told, e.State)
+		self.reported = max(self.reported, e.State)
 	case Tick:
 	}
 	return append(expired, m.refresh(now, replaced)...)
@@ -170,7 +170,7 @@
 		}
 		member := m.members[entry.ID]
 		if member == nil {
-			member = &Member{ID: entry.ID, since: now}
+			member = &Member{ID: entry.ID, listedSince: now}
 			m.members[entry.ID] = member
 		}
 		member.Listed = true
@@ -179,7 +179,7 @@
 	}
 }
 
-// applyHeard tells whether the message is the first of a higher incarnation.
+// applyHeard reports whether the message is the first of a higher incarnation.
 func (m *Members) applyHeard(now time.Time, e Heard) (replaced bool) {
 	if e.ID == m.config.Self || e.ID == "" || e.State < Joining || e.State > Leaving {
 		return false
@@ -195,9 +195,9 @@
 	if e.Incarnation > member.Incarnation {
 		replaced = !member.LastHeard.IsZero()
 		member.Incarnation = e.Incarnation
-		member.told = Unheard
+		member.reported = Unheard
 	}
-	member.told = max(member.told, e.State)
+	member.reported = max(member.reported, e.State)
 	member.LastHeard = now
 	if e.Zone != "" {
 		member.Zone = e.Zone
@@ -205,8 +205,8 @@
 	return replaced
 }
 
-// refresh works out all states at now and drops instances that are neither
-// listed nor heard.
+// refresh computes all states at now and deletes instances that are neither listed nor
+// responding.
 func (m *Members) refresh(now time.Time, replaced string) []Changed {
 	var changes []Changed
 	for id, member := range m.members {
@@ -215,8 +215,8 @@
 		if member.State != from || id == replaced {
 			changes = append(changes, Changed{ID: id, Incarnation: member.Incarnation, From: from, To: member.State})
 		}
-		silent := member.State == Gone || member.State == Unheard
-		if silent && !member.Listed {
+		unresponsive := member.State == Gone || member.State == Unheard
+		if unresponsive && !member.Listed {
 			delete(m.members, id)
 		}
 	}
@@ -226,7 +226,7 @@
 
 func (m *Members) stateOf(member *Member, now time.Time) State {
 	if member.ID == m.config.Self {
-		return member.told
+		return member.reported
 	}
 	if member.LastHeard.IsZero() {
 		return Unheard
@@ -237,12 +237,12 @@
 	if member.listedLeaving {
 		return Leaving
 	}
-	return member.told
+	return member.reported
 }
 
-// Live returns the IDs of the instances that hold or may take work, this one
-// among them, in order: those that are Ready or Leaving, and those that were
-// listed less than a timeout ago and have told nothing yet.
+// Live returns the sorted IDs of the instances that hold or may accept work, including this
+// one: those that are Ready or Leaving, and those that were listed less than a timeout ago
+// and have not sent a message yet.
 func (m *Members) Live(now time.Time) []string {
 	var live []string
 	for id, member := range m.members {
@@ -259,23 +259,23 @@
 	case Ready, Leaving:
 		return true
 	case Unheard:
-		return !member.listedLeaving && now.Sub(member.since) < m.Timeout()
+		return !member.listedLeaving && now.Sub(member.listedSince) < m.Timeout()
 	default:
 		return false
 	}
 }
 
-// Candidates returns the instances to choose neighbours from, without this one,
-// in the order of IDs: those that are listed. A leaving one is among them, as it
-// holds slots until its work ends, and one whose heartbeats are missed, so that
-// it is found again.
+// Candidates returns the instances from which neighbors are chosen: all listed ones except
+// this instance, sorted by ID. They include leaving instances, which hold slots until their
+// work ends, and instances with missed heartbeats, so that contact with them can be
+// restored.
 func (m *Members) Candidates() []Member {
 	return m.collect(func(member *Member) bool {
 		return member.ID != m.config.Self && member.Listed
 	})
 }
 
-// All returns every known instance in the order of IDs.
+// All returns every known instance, sorted by ID.
 func (m *Members) All() []Member {
 	return m.collect(func(*Member) bool { return true })
 }
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -14,18 +14,18 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// stamped is one event of a history.
-type stamped struct {
+// timedEvent is one event of a history.
+type timedEvent struct {
 	at    time.Time
 	event Event
 }
 
-// naiveLive works out who is live from the whole history, by the rules as they
-// are stated and without any state of its own.
-func naiveLive(history []stamped, self string, now time.Time, timeout time.Duration) []string {
+// referenceLive computes the live instances from the whole history, directly by the documented
+// rules and without incremental state.
+func referenceLive(history []timedEvent, self string, now time.Time, timeout time.Duration) []string {
 	live := []string{self}
 	for _, id := range []string{"a", "b", "c"} {
-		if naiveHoldsWork(history, id, now, timeout) {
+		if referenceHoldsWork(history, id, now, timeout) {
 			live = append(live, id)
 		}
 	}
@@ -33,15 +33,15 @@
 	return live
 }
 
-func naiveHoldsWork(history []stamped, id string, now time.Time, timeout time.Duration) bool {
+func referenceHoldsWork(history []timedEvent, id string, now time.Time, timeout time.Duration) bool {
 	var incarnation uint64
 	var lastHeard, listedSince time.Time
-	told := Unheard
+	reported := Unheard
 	listed, leaving := false, false
 	for _, h := range history {
-		silent := lastHeard.IsZero() || h.at.Sub(lastHeard) >= timeout
-		if silent && !listed {
-			incarnation, lastHeard, told = 0, time.Time{}, Unheard
+		unresponsive := lastHeard.IsZero() || h.at.Sub(lastHeard) >= timeout
+		if unresponsive && !listed {
+			incarnation, lastHeard, reported = 0, time.Time{}, Unheard
 		}
 		switch e := h.event.(type) {
 		case Listed:
@@ -52,23 +52,23 @@
 			if listed && !was {
 				listedSince = h.at
 			}
-			if !listed && silent {
-				incarnation, lastHeard, told = 0, time.Time{}, Unheard
+			if !listed && unresponsive {
+				incarnation, lastHeard, reported = 0, time.Time{}, Unheard
 			}
 		case Heard:
 			if e.ID != id || e.Incarnation < incarnation {
 				continue
 			}
 			if e.Incarnation > incarnation {
-				told = Unheard
+				reported = Unheard
 			}
-			incarnation, lastHeard, told = e.Incarnation, h.at, max(told, e.State)
+			incarnation, lastHeard, reported = e.Incarnation, h.at, max(reported, e.State)
 		}
 	}
 	if lastHeard.IsZero() {
 		return listed && !leaving && now.Sub(listedSince) < timeout
 	}
-	return now.Sub(lastHeard) < timeout && (told >= Ready || leaving)
+	return now.Sub(lastHeard) < timeout && (reported >= Ready || leaving)
 }
 
 func drawEvent(t *rapid.T) Event {
@@ -96,16 +96,16 @@
 func TestLiveMatchesWholeHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := New(Config{Self: "self"})
-		var history []stamped
+		var history []timedEvent
 		now := start
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			event := drawEvent(t)
-			history = append(history, stamped{now, event})
+			history = append(history, timedEvent{now, event})
 			members.Step(now, event)
-			want := naiveLive(history, "self", now, members.Timeout())
+			want := referenceLive(history, "self", now, members.Timeout())
 			if got := members.Live(now); !slices.Equal(got, want) {
-				t.Fatalf("live %v, by the whole history %v", got, want)
+				t.Fatalf("live %v, computed from the whole history %v", got, want)
 			}
 		}
 	})
@@ -122,27 +122,27 @@
 	members.Step(start, heard("a", 1, Ready))
 	last := start.Add(time.Minute)
 	members.Step(last, heard("a", 1, Ready))
-	gone := last.Add(DefaultMissedHeartbeats * DefaultHeartbeatInterval)
-	require.Less(t, gone.Sub(last), 5*time.Second, "slots of a killed instance are used by others in under 5 s")
-	require.Empty(t, members.Step(gone.Add(-1), list))
-	require.Equal(t, []string{"a", "self"}, members.Live(gone.Add(-1)))
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Ready, To: Gone}}, members.Step(gone, list))
-	require.Equal(t, []string{"self"}, members.Live(gone))
-	require.Len(t, members.Candidates(), 1, "still listed, so still dialed")
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Gone, To: Ready}}, members.Step(gone, heard("a", 1, Ready)))
+	timeout := last.Add(DefaultMissedHeartbeats * DefaultHeartbeatInterval)
+	require.Less(t, timeout.Sub(last), 5*time.Second, "slots of a killed instance are used by others in under 5 s")
+	require.Empty(t, members.Step(timeout.Add(-1), list))
+	require.Equal(t, []string{"a", "self"}, members.Live(timeout.Add(-1)))
+	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Ready, To: Gone}}, members.Step(timeout, list))
+	require.Equal(t, []string{"self"}, members.Live(timeout))
+	require.Len(t, members.Candidates(), 1, "still listed, so still a candidate for a session")
+	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Gone, To: Ready}}, members.Step(timeout, heard("a", 1, Ready)))
 }
 
-func TestLeavingIsSeenAtOnceAndNeverTakenBack(t *testing.T) {
+func TestLeavingIsAppliedAtOnceAndNotReverted(t *testing.T) {
 	members := New(Config{Self: "self"})
 	members.Step(start, Listed{Instances: []ListedInstance{{ID: "a"}}})
 	members.Step(start, heard("a", 5, Ready))
 	require.Equal(t, []Changed{{ID: "a", Incarnation: 5, From: Ready, To: Leaving}}, members.Step(start, heard("a", 5, Leaving)))
 	require.Len(t, members.Candidates(), 1, "holds slots until its work ends")
 	require.Equal(t, []string{"a", "self"}, members.Live(start))
-	require.Empty(t, members.Step(start, heard("a", 5, Ready)), "crossed with the later message")
-	require.Empty(t, members.Step(start, heard("a", 4, Ready)), "former incarnation")
+	require.Empty(t, members.Step(start, heard("a", 5, Ready)), "an earlier state that arrives late is ignored")
+	require.Empty(t, members.Step(start, heard("a", 4, Ready)), "earlier incarnation")
 	require.Equal(t, []Changed{{ID: "a", Incarnation: 6, From: Leaving, To: Joining}}, members.Step(start, heard("a", 6, Joining)))
-	require.Equal(t, []string{"self"}, members.Live(start), "joining takes no work")
+	require.Equal(t, []string{"self"}, members.Live(start), "a joining instance accepts no work")
 }
 
 func TestReplacedInstanceIsReportedInSameState(t *testing.T) {
--- a/core/roster/departed.go
+++ b/core/roster/departed.go
@@ -1,15 +1,15 @@
 package roster
 
-// maxDeparted bounds the processes that are remembered; 3,000 replicas restart or are
-// replaced on a day of the largest fleet, and what could bring an old entry back, an
-// outage of the store or an instance with old news, lasts minutes.
+// maxDeparted bounds the number of remembered processes. In the largest deployment 3,000
+// replicas restart or are replaced per day, and whatever could list an old entry again (an
+// outage of the store or an instance with outdated data) lasts minutes.
 const maxDeparted = 512
 
-// departures remembers the processes that leave for good or have left, so that an old
-// entry does not bring one back. The oldest are forgotten first.
+// departures remembers the processes that are leaving for good or have left, so that an
+// outdated entry does not list them again. The oldest are evicted first.
 type departures struct {
 	born map[string]int64
-	// order holds the IDs in the order in which they came.
+	// order holds the IDs in the order in which they were added.
 	order []string
 }
 
@@ -29,7 +29,7 @@
 	d.order = append(d.order, p.ID)
 }
 
-// has tells whether the process or a later one of the replica has left.
+// has reports whether the process or a later one of the same replica has left.
 func (d *departures) has(p Process) bool {
 	born, known := d.born[p.ID]
 	return known && born >= p.Born
--- a/core/roster/feed.go
+++ b/core/roster/feed.go
@@ -2,68 +2,70 @@
 
 import "time"
 
-// Feed puts the updates that this instance reads itself and those that another one
-// passes on into one sequence without gaps. It is not safe for concurrent use.
+// Feed merges the updates that this instance reads and those that another instance forwards
+// into one sequence without gaps. It is not safe for concurrent use.
 type Feed struct {
-	// next is the offset of the first update that is not known.
+	// next is the offset of the first update that was not applied.
 	next int64
-	// known is false until the whole list was read.
-	known bool
-	// passedAt is when another instance last passed on all that there was.
-	passedAt time.Time
+	// initialized is false until the whole list has been read.
+	initialized bool
+	// forwardedAt is when another instance last forwarded a complete set of updates.
+	forwardedAt time.Time
 }
 
-// Start tells that the whole list was read, as of the offset next.
+// Start records that the whole list was read, as of the offset next.
 func (f *Feed) Start(next int64) {
 	f.next = next
-	f.known = true
+	f.initialized = true
 }
 
-// Lose tells that the whole list has to be read again.
-func (f *Feed) Lose() { f.known = false }
+// Lose records that the whole list must be read again.
+func (f *Feed) Lose() { f.initialized = false }
 
-// Next returns the offset to read from, and false if the whole list has to be read.
-func (f *Feed) Next() (int64, bool) { return f.next, f.known }
+// Next returns the offset to read from, and false if the whole list must be read.
+func (f *Feed) Next() (int64, bool) { return f.next, f.initialized }
 
-// Read takes what this instance read, and returns what of it is new, to be passed on;
-// false if it does not follow what is known. What others passed on while it was being read
-// is left out, and so is its place: to an instance that does not have that, it is a gap.
+// Read records updates that this instance read and returns the new ones, to be forwarded.
+// It returns false if there is a gap between the updates and the last known offset. Updates
+// that another instance forwarded during the read are left out, and the returned range
+// starts after them: an instance that lacks them must recognize the gap.
 func (f *Feed) Read(u Updates) (Updates, bool) {
-	if !f.known || u.From > f.next {
+	if !f.initialized || u.From > f.next {
 		return Updates{}, false
 	}
 	from := f.next
-	fresh := f.advance(u)
-	return Updates{From: from, To: f.next, List: fresh}, true
+	added := f.advance(u)
+	return Updates{From: from, To: f.next, List: added}, true
 }
 
-// Passed takes what another instance read and passed on, and returns what of it is
-// new. Updates after a gap, and those of a sender that is behind, count as nothing:
-// this instance reads itself then.
+// Passed records updates that another instance read and forwarded, and returns the new
+// ones. Updates after a gap and those of a sender that is behind are ignored: this instance
+// then reads by itself.
 func (f *Feed) Passed(now time.Time, u Updates) []Update {
-	if !f.known || u.From > f.next || u.To < f.next {
+	if !f.initialized || u.From > f.next || u.To < f.next {
 		return nil
 	}
-	f.passedAt = now
+	f.forwardedAt = now
 	return f.advance(u)
 }
 
 func (f *Feed) advance(u Updates) []Update {
-	var fresh []Update
+	var added []Update
 	for _, one := range u.List {
 		if one.Offset >= f.next {
-			fresh = append(fresh, one)
+			added = append(added, one)
 		}
 	}
 	f.next = max(f.next, u.To)
-	return fresh
+	return added
 }
 
-// Due returns how long this instance may still leave reading to the other one, which
-// is trusted for patience after it passed something on.
-func (f *Feed) Due(now time.Time, patience time.Duration) time.Duration {
-	if !f.known || f.passedAt.IsZero() {
+// Due returns how long this instance may still rely on the forwarding instance before it
+// must read by itself. Each forwarded set of updates, even an empty one, sets this to
+// timeout again.
+func (f *Feed) Due(now time.Time, timeout time.Duration) time.Duration {
+	if !f.initialized || f.forwardedAt.IsZero() {
 		return 0
 	}
-	return max(0, patience-now.Sub(f.passedAt))
+	return max(0, timeout-now.Sub(f.forwardedAt))
 }
--- a/core/roster/feed_test.go
+++ b/core/roster/feed_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-func TestFeedTakesNothingBeforeTheWholeList(t *testing.T) {
+func TestFeedIgnoresUpdatesBeforeTheWholeList(t *testing.T) {
 	var f roster.Feed
 	require.Empty(t, f.Passed(start, updates(0, 3)))
 	require.Zero(t, f.Due(start, time.Second))
@@ -34,7 +34,7 @@
 	require.False(t, known)
 }
 
-func TestFeedLeavesReadingToTheOther(t *testing.T) {
+func TestFeedReliesOnForwardedUpdates(t *testing.T) {
 	var f roster.Feed
 	f.Start(5)
 	require.Zero(t, f.Due(start, time.Second))
@@ -43,12 +43,11 @@
 	require.Equal(t, 400*time.Millisecond, f.Due(start.Add(600*time.Millisecond), time.Second))
 	require.Zero(t, f.Due(start.Add(2*time.Second), time.Second))
 	later := start.Add(1900 * time.Millisecond)
-	require.Empty(t, f.Passed(later, updates(7, 7)), "nothing new is a sign of life")
+	require.Empty(t, f.Passed(later, updates(7, 7)), "an empty set of updates shows that the sender works")
 	require.Equal(t, time.Second, f.Due(later, time.Second))
 }
 
-// TestFeedReadsItselfAfterAGap has an update lost on the way, and one of a sender
-// that was held up.
+// An update may be lost on its way, and a forwarding instance may be behind.
 func TestFeedReadsItselfAfterAGap(t *testing.T) {
 	var f roster.Feed
 	f.Start(5)
@@ -65,8 +64,8 @@
 	require.Empty(t, f.Passed(start, updates(8, 9)))
 }
 
-// TestFeedHasNoGapAndNoRepeat mixes own reads and passed ones in any order.
-func TestFeedHasNoGapAndNoRepeat(t *testing.T) {
+// Own reads and forwarded updates may arrive in any order.
+func TestFeedReturnsEachUpdateOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f roster.Feed
 		f.Start(0)
@@ -91,14 +90,14 @@
 	})
 }
 
-// TestFeedsThatPassOnLoseNothing has several instances read at their own pace, pass on what is
-// new to them, and lose messages: each sees every update once and in order.
-func TestFeedsThatPassOnLoseNothing(t *testing.T) {
+// Several instances read independently, forward what is new to them, and lose messages:
+// each still receives every update once and in order.
+func TestForwardingFeedsLoseNoUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const instances = 3
 		feeds := make([]roster.Feed, instances)
 		seen := make([]int64, instances)
-		take := func(i int, list []roster.Update) {
+		apply := func(i int, list []roster.Update) {
 			for _, u := range list {
 				require.Equal(t, seen[i], u.Offset)
 				seen[i]++
@@ -108,7 +107,7 @@
 			feeds[i].Start(0)
 		}
 		end := int64(0)
-		// reading holds what an instance is about to get from the store.
+		// reading holds the updates that an instance is about to receive from the store.
 		reading := make([]*roster.Updates, instances)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, instances-1).Draw(t, "instance")
@@ -126,17 +125,17 @@
 				read, ok := feeds[i].Read(*reading[i])
 				reading[i] = nil
 				require.True(t, ok)
-				take(i, read.List)
+				apply(i, read.List)
 				for k := range feeds {
 					if k != i && rapid.Bool().Draw(t, "arrives") {
-						take(k, feeds[k].Passed(start, read))
+						apply(k, feeds[k].Passed(start, read))
 					}
 				}
 			}
 		}
 		for i := range feeds {
 			next, _ := feeds[i].Next()
-			require.Equal(t, seen[i], next, "nothing is passed over")
+			require.Equal(t, seen[i], next, "no update is skipped")
 		}
 	})
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster keeps the replicas that the platform lists: which may get new
-// work, which are leaving, and which only seem gone because the platform's store
-// was away. It has no I/O and no clock.
+// Package roster tracks the replicas that the platform lists: which ones accept new work,
+// which are leaving, and which only appear to be removed because the platform's store was
+// unavailable. It performs no I/O and has no clock.
 package roster
 
 import (
@@ -8,73 +8,72 @@
 	"time"
 )
 
-// State is what a replica says of itself.
+// State is the state that a replica reports.
 type State int
 
 // States of a replica.
 const (
-	// Ready replicas take new work.
+	// Ready replicas accept new work.
 	Ready State = iota
-	// Draining replicas finish what they have.
+	// Draining replicas only finish the work that they have.
 	Draining
 )
 
-// Layers is a range of layers with the version of their weights.
+// Layers is a range of layers and the version of their weights.
 type Layers struct {
 	From, To int
 	Version  int64
 }
 
-// Entry is what a replica has registered.
+// Entry is the registration of a replica.
 type Entry struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
-	// Kind is the accelerator, "" for plain services.
+	// Kind is the type of accelerator, "" for plain services.
 	Kind  string
 	Slots int
 	State State
-	// Born is the start of the replica in Unix milliseconds. It tells a restart
+	// Born is the start time of the replica in Unix milliseconds. It distinguishes restarts
 	// under the same ID.
 	Born int64
-	// Layers is nil while the replica holds none.
+	// Layers is nil while the replica holds no layers.
 	Layers *Layers
-	// Sequence is the number of heartbeats, which restarts with the replica.
+	// Sequence counts heartbeats. It starts again when the replica restarts.
 	Sequence int64
 }
 
 // Update is one change in the platform's list of replicas.
 type Update struct {
 	ID string
-	// Offset is the place of the change in the list's history.
+	// Offset is the position of the change in the list's history.
 	Offset int64
 	// Entry is nil when the entry was removed.
 	Entry *Entry
 }
 
-// Updates are the changes from one offset of the history up to another.
+// Updates are the changes in the offset range [From, To) of the history.
 type Updates struct {
 	From, To int64
 	List     []Update
 }
 
-// restoreGrace is the time after an outage of the store within which entries
-// that lapsed meanwhile come back, as the platform states (about 2 s), and a
-// margin for the next read.
+// restoreGrace is how long after an outage of the store entries that expired during it may
+// be restored: about 2 s according to the platform, plus a margin for the next read.
 const restoreGrace = 2500 * time.Millisecond
 
-// Roster is not safe for concurrent use.
+// Roster holds the listed replicas. It is not safe for concurrent use.
 type Roster struct {
-	entries map[string]*record
-	// byAddress holds the ID of the replica that was listed last at an address.
+	entries map[string]*trackedEntry
+	// byAddress maps an address to the ID of the replica that was last listed there.
 	byAddress map[string]string
-	// away is true while the store does not answer; backAt is the time at which
-	// it answered again.
-	away   bool
-	backAt time.Time
-	ended  []Ended
-	// departed holds the processes that leave for good.
+	// unavailable is true while the store does not respond; restoredAt is when it responded
+	// again.
+	unavailable bool
+	restoredAt  time.Time
+	ended       []Ended
+	// departed holds the processes that are leaving for good or have left.
 	departed departures
 }
 
@@ -84,53 +83,53 @@
 	Born int64
 }
 
-// Ended is a process of a replica that ended without having said that it leaves.
+// Ended is a process of a replica that ended without having announced it.
 type Ended struct {
 	ID   string
 	Born int64
-	// Restarted is true when a later process of the replica is listed, false when its
-	// entry was removed.
+	// Restarted is true if a later process of the replica, or another replica at its
+	// address, is listed, false if the entry was removed.
 	Restarted bool
 }
 
-// TakeEnded returns the processes that were found to have ended since the last call.
+// TakeEnded returns the processes whose end was detected since the last call.
 func (r *Roster) TakeEnded() []Ended {
 	ended := r.ended
 	r.ended = nil
 	return ended
 }
 
-type record struct {
+type trackedEntry struct {
 	Entry
-	// lapsedAt is set when the entry was removed during an outage or shortly
-	// after, and may come back.
-	lapsedAt time.Time
-	leaving  bool
-	// removed is set while another instance says that the entry is gone. A later
-	// heartbeat ends it.
+	// expiredAt is set when the entry was removed during an outage of the store or within
+	// restoreGrace after it, and may be restored.
+	expiredAt time.Time
+	leaving   bool
+	// removed is set if another instance reported that the entry was removed. A later
+	// heartbeat resets it.
 	removed bool
 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{entries: map[string]*record{}, byAddress: map[string]string{}, departed: newDepartures()}
+	return &Roster{entries: map[string]*trackedEntry{}, byAddress: map[string]string{}, departed: newDepartures()}
 }
 
-// Change tells what an update did.
+// Change is the effect of an update.
 type Change int
 
 // Changes.
 const (
-	// Same means that nothing but the heartbeat changed.
+	// Same means that at most the heartbeat changed.
 	Same Change = iota
-	// Joined means a new replica or a restart of a known one.
+	// Joined means that a new replica, or a new process of a known one, was listed.
 	Joined
-	// Left means that no new work may go there.
+	// Left means that the replica no longer accepts new work.
 	Left
-	// Updated means another change, such as the layers held.
+	// Updated means another change, for example of the layers.
 	Updated
-	// Lapsed means that the entry was removed during an outage of the store, and
-	// is used until the grace period ends.
+	// Lapsed means that the entry was removed during an outage of the store. It stays
+	// usable until the grace period ends.
 	Lapsed
 )
 
@@ -139,23 +138,23 @@
 	return [...]string{"same", "joined", "left", "updated", "lapsed"}[c]
 }
 
-// StoreAway tells that the store does not answer.
-func (r *Roster) StoreAway() { r.away = true }
+// StoreAway records that the store does not respond.
+func (r *Roster) StoreAway() { r.unavailable = true }
 
-// StoreBack tells that the store answers.
+// StoreBack records that the store responds.
 func (r *Roster) StoreBack(now time.Time) {
-	if r.away {
-		r.backAt = now
+	if r.unavailable {
+		r.restoredAt = now
 	}
-	r.away = false
+	r.unavailable = false
 }
 
-// InGrace tells whether entries that are missing now may still come back.
+// InGrace reports whether missing entries may still be restored.
 func (r *Roster) InGrace(now time.Time) bool {
-	return r.away || (!r.backAt.IsZero() && now.Before(r.backAt.Add(restoreGrace)))
+	return r.unavailable || (!r.restoredAt.IsZero() && now.Before(r.restoredAt.Add(restoreGrace)))
 }
 
-// Put takes an entry. An older heartbeat of the same start is ignored.
+// Put records an entry. Entries of earlier processes and earlier heartbeats are ignored.
 func (r *Roster) Put(e Entry) Change {
 	if e.State == Draining {
 		r.departed.add(Process{ID: e.ID, Born: e.Born})
@@ -163,8 +162,8 @@
 	leaving := e.State == Draining || r.departed.has(Process{ID: e.ID, Born: e.Born})
 	old := r.entries[e.ID]
 	if old == nil {
-		r.takeAddress(e)
-		r.entries[e.ID] = &record{Entry: e, leaving: leaving}
+		r.claimAddress(e)
+		r.entries[e.ID] = &trackedEntry{Entry: e, leaving: leaving}
 		return joinedOrLeft(leaving)
 	}
 	if e.Born < old.Born {
@@ -174,32 +173,33 @@
 	if !restarted && e.Sequence < old.Sequence {
 		return Same
 	}
-	was := *old
-	if e.Address != was.Address {
+	previous := *old
+	if e.Address != previous.Address {
 		r.byAddress[e.Address] = e.ID
 	}
-	if restarted && !was.leaving {
-		r.ended = append(r.ended, Ended{ID: e.ID, Born: was.Born, Restarted: true})
+	if restarted && !previous.leaving {
+		r.ended = append(r.ended, Ended{ID: e.ID, Born: previous.Born, Restarted: true})
 	}
 	old.Entry = e
-	old.lapsedAt = time.Time{}
-	// A replica that leaves does not come back before it restarts.
-	old.leaving = leaving || (!restarted && was.leaving)
-	old.removed = was.removed && !restarted && e.Sequence == was.Sequence
+	old.expiredAt = time.Time{}
+	// A leaving replica accepts no new work until it restarts.
+	old.leaving = leaving || (!restarted && previous.leaving)
+	old.removed = previous.removed && !restarted && e.Sequence == previous.Sequence
 	switch {
 	case restarted:
 		return joinedOrLeft(leaving)
-	case old.leaving != was.leaving:
+	case old.leaving != previous.leaving:
 		return Left
-	case !sameUse(was.Entry, e) || !was.lapsedAt.IsZero() || old.removed != was.removed:
+	case !sameRouting(previous.Entry, e) || !previous.expiredAt.IsZero() || old.removed != previous.removed:
 		return Updated
 	default:
 		return Same
 	}
 }
 
-// takeAddress notes the end of the replica at whose address another one starts.
-func (r *Roster) takeAddress(e Entry) {
+// claimAddress records the address of a new replica. If a replica that started earlier is
+// listed there, that one has ended.
+func (r *Roster) claimAddress(e Entry) {
 	id := r.byAddress[e.Address]
 	if old := r.entries[id]; old != nil && old.Address == e.Address && !old.leaving && old.Born < e.Born {
 		r.ended = append(r.ended, Ended{ID: id, Born: old.Born, Restarted: true})
@@ -214,7 +214,7 @@
 	return Joined
 }
 
-func sameUse(a, b Entry) bool {
+func sameRouting(a, b Entry) bool {
 	if a.Address != b.Address || a.Service != b.Service || a.Zone != b.Zone || a.Kind != b.Kind || a.Slots != b.Slots {
 		return false
 	}
@@ -224,15 +224,16 @@
 	return a.Layers == nil || *a.Layers == *b.Layers
 }
 
-// Remove takes the removal of an entry.
+// Remove records the removal of an entry. During an outage of the store and the grace
+// period after it, the entry of a replica that is not leaving is kept until Expire.
 func (r *Roster) Remove(now time.Time, id string) Change {
 	old := r.entries[id]
 	if old == nil {
 		return Same
 	}
 	if r.InGrace(now) && !old.leaving {
-		if old.lapsedAt.IsZero() {
-			old.lapsedAt = now
+		if old.expiredAt.IsZero() {
+			old.expiredAt = now
 			return Lapsed
 		}
 		return Same
@@ -240,18 +241,18 @@
 	if !old.leaving {
 		r.ended = append(r.ended, Ended{ID: id, Born: old.Born})
 	}
-	r.drop(old)
+	r.deleteEntry(old)
 	return Left
 }
 
-func (r *Roster) drop(e *record) {
+func (r *Roster) deleteEntry(e *trackedEntry) {
 	delete(r.entries, e.ID)
 	if r.byAddress[e.Address] == e.ID {
 		delete(r.byAddress, e.Address)
 	}
 }
 
-// Apply takes one update, read at now.
+// Apply applies one update that was read at now.
 func (r *Roster) Apply(now time.Time, u Update) Change {
 	if u.Entry == nil {
 		return r.Remove(now, u.ID)
@@ -259,8 +260,8 @@
 	return r.Put(*u.Entry)
 }
 
-// Replace takes a full list, read at now: entries that are missing in it are
-// removed. It returns the IDs whose state changed.
+// Replace applies a full list that was read at now: entries missing from it are removed. It
+// returns the changes by ID.
 func (r *Roster) Replace(now time.Time, list []Entry) map[string]Change {
 	changed := map[string]Change{}
 	listed := make(map[string]bool, len(list))
@@ -281,27 +282,27 @@
 	return changed
 }
 
-// Expire removes the entries that did not come back within the grace period,
-// and returns their IDs.
+// Expire removes the entries that were not restored within the grace period and returns
+// their IDs.
 func (r *Roster) Expire(now time.Time) []string {
 	if r.InGrace(now) {
 		return nil
 	}
-	var gone []string
+	var expired []string
 	for id, e := range r.entries {
-		if !e.lapsedAt.IsZero() {
+		if !e.expiredAt.IsZero() {
 			r.ended = append(r.ended, Ended{ID: id, Born: e.Born})
-			r.drop(e)
-			gone = append(gone, id)
+			r.deleteEntry(e)
+			expired = append(expired, id)
 		}
 	}
-	sort.Strings(gone)
-	return gone
+	sort.Strings(expired)
+	return expired
 }
 
-// Leave notes that a process leaves for good, by its own word. Entries of it that come
-// later, from the store or from another instance, change nothing. It returns whether a
-// replica that took new work takes none now.
+// Leave records a process's own announcement that it is leaving for good. Later entries of
+// that process, from the store or another instance, have no effect. It reports whether a
+// replica that accepted new work no longer does.
 func (r *Roster) Leave(p Process) bool {
 	old := r.entries[p.ID]
 	if old != nil && old.Born > p.Born {
@@ -315,8 +316,8 @@
 	return true
 }
 
-// Removed notes another instance's word that the entry of a replica is gone. It returns
-// whether a replica that took new work takes none now.
+// Removed records another instance's report that the entry of a replica was removed. It
+// reports whether a replica that accepted new work no longer does.
 func (r *Roster) Removed(id string) bool {
 	old := r.entries[id]
 	if old == nil || old.leaving || old.removed {
@@ -326,11 +327,10 @@
 	return true
 }
 
-// Departed returns the processes that leave for good or have left, as far as they are
-// remembered.
+// Departed returns the remembered processes that are leaving for good or have left.
 func (r *Roster) Departed() []Process { return r.departed.list() }
 
-// Usable returns the entries of a service that take new work, sorted by ID.
+// Usable returns the entries of a service that accept new work, sorted by ID.
 func (r *Roster) Usable(service string) []Entry {
 	var out []Entry
 	for _, e := range r.entries {
@@ -342,7 +342,7 @@
 	return out
 }
 
-// Get returns an entry and whether it gets no new work.
+// Get returns an entry and whether it is closed to new work.
 func (r *Roster) Get(id string) (e Entry, leaving, ok bool) {
 	old := r.entries[id]
 	if old == nil {
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -30,7 +30,7 @@
 	e.State = roster.Draining
 	require.Equal(t, roster.Left, r.Put(e))
 	require.Empty(t, usable(r))
-	require.Equal(t, roster.Same, r.Put(entry("a", 3)), "a replica that leaves stays so until it restarts")
+	require.Equal(t, roster.Same, r.Put(entry("a", 3)), "a leaving replica accepts no work until it restarts")
 	require.Empty(t, usable(r))
 	again := entry("a", 1)
 	again.Born = 200
@@ -38,7 +38,7 @@
 	require.Equal(t, []string{"a"}, usable(r))
 }
 
-func TestOlderWordsAreIgnored(t *testing.T) {
+func TestOlderEntriesAreIgnored(t *testing.T) {
 	r := roster.New()
 	e := entry("a", 5)
 	e.Layers = &roster.Layers{From: 0, To: 4}
@@ -73,7 +73,7 @@
 	require.Equal(t, roster.Same, r.Remove(start, "a"))
 }
 
-func TestEntriesThatLapsedInAnOutageHaveTimeToComeBack(t *testing.T) {
+func TestEntriesExpiredInAnOutageMayBeRestored(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
 	r.Put(entry("b", 1))
@@ -98,7 +98,7 @@
 	require.Zero(t, r.Len())
 }
 
-func TestFullListRemovesWhatIsMissing(t *testing.T) {
+func TestFullListRemovesMissingEntries(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
 	r.Put(entry("b", 1))
@@ -107,23 +107,23 @@
 	require.Equal(t, []string{"b", "c"}, usable(r))
 }
 
-func TestLeaveOnAnothersWord(t *testing.T) {
+func TestLeaveReportedByPeer(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
-	require.False(t, r.Leave(roster.Process{ID: "a", Born: 99}), "another start of the replica")
+	require.False(t, r.Leave(roster.Process{ID: "a", Born: 99}), "another process of the replica")
 	require.True(t, r.Leave(roster.Process{ID: "a", Born: 100}))
 	require.False(t, r.Leave(roster.Process{ID: "a", Born: 100}))
 	require.Empty(t, usable(r))
 }
 
-// TestOldEntryDoesNotBringALeavingProcessBack removes the entry of a replica that leaves,
-// in an outage of the store and without one, and lists an old entry again.
-func TestOldEntryDoesNotBringALeavingProcessBack(t *testing.T) {
-	for _, away := range []bool{false, true} {
+// The entry of a leaving replica is removed, with and without an outage of the store, and
+// an outdated entry is then listed again.
+func TestOutdatedEntryDoesNotRestoreALeavingProcess(t *testing.T) {
+	for _, unavailable := range []bool{false, true} {
 		r := roster.New()
 		r.Put(entry("a", 5))
 		r.Leave(roster.Process{ID: "a", Born: 100})
-		if away {
+		if unavailable {
 			r.StoreAway()
 		}
 		r.Remove(start, "a")
@@ -139,8 +139,7 @@
 	}
 }
 
-// TestLeavingIsKnownBeforeTheEntry has a peer's word come before the entry, at an
-// instance that has just started.
+// On an instance that has just started, a peer's report may arrive before the entry.
 func TestLeavingIsKnownBeforeTheEntry(t *testing.T) {
 	r := roster.New()
 	require.False(t, r.Leave(roster.Process{ID: "a", Born: 100}))
@@ -149,8 +148,8 @@
 	require.Equal(t, []roster.Process{{ID: "a", Born: 100}}, r.Departed())
 }
 
-// TestRemovedOnAnothersWord ends with a later heartbeat: the replica was only silent.
-func TestRemovedOnAnothersWord(t *testing.T) {
+// A later heartbeat cancels the report: the replica was only unresponsive.
+func TestRemovalReportedByPeer(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
 	require.True(t, r.Removed("a"))
@@ -162,9 +161,9 @@
 	require.Equal(t, []string{"a"}, usable(r))
 }
 
-// Replicas that end without having said that they leave: by a restart, by another one at
-// their address, and by the removal of their entry.
-func TestEndsThatWereNotAnnounced(t *testing.T) {
+// Replicas end unannounced by a restart, by another replica at their address, and by the
+// removal of their entry.
+func TestUnannouncedEnds(t *testing.T) {
 	now := time.Unix(0, 0)
 	entry := func(id, address string, born int64, state roster.State) roster.Entry {
 		return roster.Entry{ID: id, Service: "s", Address: address, Born: born, State: state}
