--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,23 +1,23 @@
-// Package lease decides who holds a duty, from the lease records of one log
-// stream. It performs no I/O.
+// Package lease elects the leader of each task from the lease records of one log stream. It
+// performs no I/O.
 //
 // Invariants:
 //
-//  1. An acquire record is accepted iff no other lease record of its duty lies
-//     between the offset that its writer had read and its own. Whoever has read
-//     these records knows the verdict; nobody needs the history before them.
-//  2. The epoch of a duty is the offset after the accepted acquire record, so it
-//     is positive and grows for good, even if the log has forgotten all earlier
-//     ones. It is the fencing number on every order.
-//  3. A holder is valid from a moment before it appended its last accepted record
-//     until TTL minus Margin later, on its own monotonic clock.
-//  4. Others acquire only when they have read no record of the duty for TTL on
-//     their own clock, counted from reading the last one or from the start of
-//     their view. Every record that keeps a holder valid was appended before that
-//     reading, so its validity has ended; Margin covers clocks of unequal rate.
-//     A duty without a record in a stream read from its start is free at once.
-//  5. A reader that missed records, or read one of a newer version, holds nothing
-//     and starts its view again.
+//  1. An acquire record is accepted iff no other lease record of its task lies between the
+//     offset up to which its writer had read and its own offset. These records alone determine
+//     the result; a reader does not need earlier history.
+//  2. The epoch of a task is the offset after the accepted acquire record. It is positive and
+//     increases even if the log has discarded all earlier records. Every order carries it as the
+//     fencing token.
+//  3. A lease is valid, on its holder's own monotonic clock, from just before the holder
+//     appended its last accepted record until TTL minus Margin later.
+//  4. Other instances acquire only when they have read no record of the task for TTL on their
+//     own clock, counted from reading the last one or from the start of their view. Every record
+//     that extends the holder's lease was appended before it was read, so the lease has expired
+//     by then; Margin covers clocks that run at different rates. A task without any record in a
+//     stream that was read from its start is free immediately.
+//  5. A reader that missed records, or read one of a newer version, holds no lease and starts
+//     its view again.
 package lease
 
 import (
@@ -28,51 +28,52 @@
 	"masticbank.example/core/record"
 )
 
-// maxPending bounds the own records of a duty whose fate is not known.
+// maxPending bounds the records of a task that this instance wrote and has not read back.
 const maxPending = 4
 
-// Terms are the times of all duties of one stream.
+// Terms holds the timing of all tasks of one stream.
 type Terms struct {
-	// TTL is how long others wait after a record before they take over.
+	// TTL is how long other instances wait after a record before they acquire the task.
 	TTL time.Duration
-	// Margin is how much earlier the holder stops.
+	// Margin is how much earlier than TTL the holder stops acting.
 	Margin time.Duration
 	// Renew is the time between renewals.
 	Renew time.Duration
 }
 
-// Machine follows one lease stream for one instance. It is not safe for
+// Machine is the state machine of one instance for one lease stream. It is not safe for
 // concurrent use.
 type Machine struct {
 	terms  Terms
 	self   string
 	prefix string
-	serial uint64
+	lastID uint64
 
 	started bool
 	next    uint64
-	// start and since are the first offset of the view and when it was read.
-	start  uint64
-	since  time.Time
-	duties map[string]*duty
+	// viewStart is the first offset of the view, viewStartedAt the time at which it was read.
+	viewStart     uint64
+	viewStartedAt time.Time
+	tasks         map[string]*task
 }
 
-type duty struct {
+type task struct {
 	name   string
 	wanted bool
-	// last is the offset after the duty's last record, and seen when it was read.
-	last uint64
-	seen time.Time
-	// epoch and holder are of the last accepted acquire record in the view.
+	// last is the offset after the task's last record, lastReadAt the time at which it was
+	// read.
+	last       uint64
+	lastReadAt time.Time
+	// epoch and holder are those of the last accepted acquire record in the view.
 	epoch    uint64
 	holder   string
 	known    bool
 	released bool
 
-	// held is set while this instance holds epoch.
-	held  bool
-	until time.Time
-	// pending are the own records not yet read back, oldest first.
+	// held is set while this instance holds the lease of epoch.
+	held       bool
+	validUntil time.Time
+	// pending are records of this instance that were not read back yet, oldest first.
 	pending []pending
 }
 
@@ -81,38 +82,38 @@
 	started time.Time
 }
 
-// New returns a Machine for the instance self. prefix must be unique to this run
-// of the instance; record IDs start with it.
+// New returns a Machine for the instance self. prefix must be unique to this process of the
+// instance; record IDs start with it.
 func New(terms Terms, self, prefix string) *Machine {
-	return &Machine{terms: terms, self: self, prefix: prefix, duties: map[string]*duty{}}
+	return &Machine{terms: terms, self: self, prefix: prefix, tasks: map[string]*task{}}
 }
 
-// Want sets whether the instance is to acquire and renew the duty.
-func (m *Machine) Want(name string, wanted bool) { m.duty(name).wanted = wanted }
+// Want sets whether the instance should acquire and renew the lease of a task.
+func (m *Machine) Want(name string, wanted bool) { m.task(name).wanted = wanted }
 
 // Next returns the offset to read next.
 func (m *Machine) Next() uint64 { return m.next }
 
-// Valid tells whether the instance may act for the duty at now, and with which
-// epoch. Ask again after every wait and immediately before each order.
+// Valid reports whether the instance may act as leader of the task at now, and with which
+// epoch. Callers must check again after every wait and immediately before each order.
 func (m *Machine) Valid(now time.Time, name string) (epoch uint64, ok bool) {
-	d, known := m.duties[name]
-	if !known || !d.held || !now.Before(d.until) {
+	t, known := m.tasks[name]
+	if !known || !t.held || !now.Before(t.validUntil) {
 		return 0, false
 	}
-	return d.epoch, true
+	return t.epoch, true
 }
 
-// Holder returns the last known holder of the duty.
+// Holder returns the last known leader of the task.
 func (m *Machine) Holder(name string) (holder string, epoch uint64, ok bool) {
-	d, known := m.duties[name]
-	if !known || !d.known || d.released {
+	t, known := m.tasks[name]
+	if !known || !t.known || t.released {
 		return "", 0, false
 	}
-	return d.holder, d.epoch, true
+	return t.holder, t.epoch, true
 }
 
-// Apply takes the batch that a read from Next returned at now.
+// Apply applies the batch that a read from Next returned at now.
 func (m *Machine) Apply(now time.Time, b record.Batch) {
 	missed := b.First > m.next
 	if !m.started || missed {
@@ -137,134 +138,136 @@
 func (m *Machine) restart(now time.Time, first uint64) {
 	m.started = true
 	m.next = first
-	m.start = first
-	m.since = now
-	for name, d := range m.duties {
-		m.duties[name] = &duty{name: name, wanted: d.wanted}
+	m.viewStart = first
+	m.viewStartedAt = now
+	for name, t := range m.tasks {
+		m.tasks[name] = &task{name: name, wanted: t.wanted}
 	}
 }
 
 func (m *Machine) applyLease(now time.Time, offset uint64, id record.ID, l *record.Lease) {
-	d := m.duty(l.Duty)
+	t := m.task(l.Duty)
 	switch l.Op {
 	case record.LeaseAcquire:
-		judged := l.Read >= m.start
-		if judged && d.last <= l.Read {
-			d.accept(offset+1, l.Holder)
-			d.confirm(id, m.terms)
+		inView := l.Read >= m.viewStart
+		if inView && t.last <= l.Read {
+			t.accept(offset+1, l.Holder)
+			t.confirm(id, m.terms)
 		}
 	case record.LeaseRenew:
-		if d.known && l.Epoch == d.epoch {
-			d.confirm(id, m.terms)
+		if t.known && l.Epoch == t.epoch {
+			t.confirm(id, m.terms)
 		}
 	case record.LeaseRelease:
-		if d.known && l.Epoch == d.epoch {
-			d.released = true
-			d.held = false
+		if t.known && l.Epoch == t.epoch {
+			t.released = true
+			t.held = false
 		}
 	}
-	d.last = offset + 1
-	d.seen = now
+	t.last = offset + 1
+	t.lastReadAt = now
 }
 
-func (d *duty) accept(epoch uint64, holder string) {
-	d.epoch = epoch
-	d.holder = holder
-	d.known = true
-	d.released = false
-	d.held = false
+func (t *task) accept(epoch uint64, holder string) {
+	t.epoch = epoch
+	t.holder = holder
+	t.known = true
+	t.released = false
+	t.held = false
 }
 
-// confirm notes that an own record was accepted. Older ones can't extend it.
-func (d *duty) confirm(id record.ID, terms Terms) {
-	for i, p := range d.pending {
+// confirm extends the lease after a record of this instance was accepted. Records written
+// before it can no longer extend the lease.
+func (t *task) confirm(id record.ID, terms Terms) {
+	for i, p := range t.pending {
 		if p.id == id {
-			d.held = !d.released
-			d.until = p.started.Add(terms.TTL - terms.Margin)
-			d.pending = d.pending[i+1:]
+			t.held = !t.released
+			t.validUntil = p.started.Add(terms.TTL - terms.Margin)
+			t.pending = t.pending[i+1:]
 			return
 		}
 	}
 }
 
-// Step returns the records to append in one unit at now: renewals of all duties
-// held as soon as one is due, and acquire records for wanted duties that are free.
+// Step returns the records to append together at now: renewals of all held tasks as soon as
+// one is due, and acquire records for wanted tasks that are free.
 func (m *Machine) Step(now time.Time) []record.Record {
 	if !m.started {
 		return nil
 	}
 	var records []record.Record
 	renew := m.renewalDue(now)
-	for _, d := range m.duties {
+	for _, t := range m.tasks {
 		switch {
-		case !d.wanted:
-		case d.held && renew:
-			records = append(records, m.write(now, d, record.Lease{Op: record.LeaseRenew, Epoch: d.epoch}))
-		case !d.held && m.free(now, d) && d.mayRepeat(now, m.terms.TTL):
-			records = append(records, m.write(now, d, record.Lease{Op: record.LeaseAcquire, Read: m.next}))
+		case !t.wanted:
+		case t.held && renew:
+			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseRenew, Epoch: t.epoch}))
+		case !t.held && m.free(now, t) && t.mayWrite(now, m.terms.TTL):
+			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseAcquire, Read: m.next}))
 		}
 	}
 	return records
 }
 
 func (m *Machine) renewalDue(now time.Time) bool {
-	for _, d := range m.duties {
-		renewAt := d.until.Add(m.terms.Margin - m.terms.TTL + m.terms.Renew)
-		if d.wanted && d.held && !now.Before(renewAt) && d.mayRepeat(now, m.terms.Renew) {
+	for _, t := range m.tasks {
+		renewAt := t.validUntil.Add(m.terms.Margin - m.terms.TTL + m.terms.Renew)
+		if t.wanted && t.held && !now.Before(renewAt) && t.mayWrite(now, m.terms.Renew) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Machine) free(now time.Time, d *duty) bool {
-	neverHeld := m.start == 0 && d.last == 0
-	if d.released || neverHeld {
+func (m *Machine) free(now time.Time, t *task) bool {
+	neverHeld := m.viewStart == 0 && t.last == 0
+	if t.released || neverHeld {
 		return true
 	}
-	last := m.since
-	if d.seen.After(last) {
-		last = d.seen
+	last := m.viewStartedAt
+	if t.lastReadAt.After(last) {
+		last = t.lastReadAt
 	}
 	return now.Sub(last) >= m.terms.TTL
 }
 
-// mayRepeat tells whether the last own record has been on its way for long.
-func (d *duty) mayRepeat(now time.Time, after time.Duration) bool {
-	n := len(d.pending)
-	return n == 0 || now.Sub(d.pending[n-1].started) >= after
+// mayWrite reports whether no record is pending or the last one was written at least the
+// given time ago.
+func (t *task) mayWrite(now time.Time, after time.Duration) bool {
+	n := len(t.pending)
+	return n == 0 || now.Sub(t.pending[n-1].started) >= after
 }
 
-// Release gives all duties back and returns the records to append. The instance
-// wants none of them any more.
+// Release ends all leases and returns the records to append. The instance wants no task
+// afterwards.
 func (m *Machine) Release(now time.Time) []record.Record {
 	var records []record.Record
-	for _, d := range m.duties {
-		d.wanted = false
-		if d.held {
-			records = append(records, m.write(now, d, record.Lease{Op: record.LeaseRelease, Epoch: d.epoch}))
-			d.held = false
+	for _, t := range m.tasks {
+		t.wanted = false
+		if t.held {
+			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseRelease, Epoch: t.epoch}))
+			t.held = false
 		}
-		d.pending = nil
+		t.pending = nil
 	}
 	return records
 }
 
-func (m *Machine) write(now time.Time, d *duty, l record.Lease) record.Record {
-	m.serial++
-	id := record.ID(m.prefix + "/" + strconv.FormatUint(m.serial, 10))
-	l.Duty = d.name
+func (m *Machine) newRecord(now time.Time, t *task, l record.Lease) record.Record {
+	m.lastID++
+	id := record.ID(m.prefix + "/" + strconv.FormatUint(m.lastID, 10))
+	l.Duty = t.name
 	l.Holder = m.self
-	d.pending = append(d.pending, pending{id: id, started: now})
-	d.pending = d.pending[max(0, len(d.pending)-maxPending):]
+	t.pending = append(t.pending, pending{id: id, started: now})
+	t.pending = t.pending[max(0, len(t.pending)-maxPending):]
 	return record.Record{ID: id, Lease: &l}
 }
 
-func (m *Machine) duty(name string) *duty {
-	d, ok := m.duties[name]
+func (m *Machine) task(name string) *task {
+	t, ok := m.tasks[name]
 	if !ok {
-		d = &duty{name: name}
-		m.duties[name] = d
+		t = &task{name: name}
+		m.tasks[name] = t
 	}
-	return d
+	return t
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -23,14 +23,14 @@
 	instances = 3
 	maxSteps  = 500
 	name      = "snapshots"
-	// drift is the largest difference of a clock's rate, in parts of a thousand.
+	// drift is the maximum deviation of a clock's rate, in thousandths.
 	drift = 20
 )
 
 var terms = lease.Terms{TTL: time.Second, Margin: 100 * time.Millisecond, Renew: 300 * time.Millisecond}
 
-// instance has a clock of its own offset and rate, and may be between the last
-// check and the order of the epoch in checked.
+// instance has a clock with its own offset and rate. checked is the epoch of the last
+// validity check if the order that follows it was not sent yet.
 type instance struct {
 	name    string
 	machine *lease.Machine
@@ -39,28 +39,28 @@
 	checked uint64
 }
 
-type world struct {
+type simulation struct {
 	rng       *rand.Rand
 	elapsed   time.Duration
 	log       [][]byte
 	first     int
-	flight    []record.Record
+	inFlight  []record.Record
 	instances []*instance
 	names     int
-	// accepted names the writer of each acquire record that followed upon all
-	// that its writer had read; holders those seen valid in each epoch; fence is
-	// the engine's highest epoch.
+	// accepted maps epochs to the writers of acquire records that followed everything their
+	// writer had read. holders maps epochs to the instance seen valid in them. fence is the
+	// highest epoch that the engine accepted.
 	accepted map[uint64]string
 	holders  map[uint64]string
 	fence    uint64
 	valid    uint64
 }
 
-func (w *world) now(i *instance) time.Time {
+func (w *simulation) now(i *instance) time.Time {
 	return time.UnixMilli(0).Add(i.offset + w.elapsed + w.elapsed*time.Duration(i.rate)/1000)
 }
 
-func (w *world) newInstance() *instance {
+func (w *simulation) newInstance() *instance {
 	w.names++
 	i := &instance{
 		name:   fmt.Sprint("i", w.names),
@@ -72,7 +72,7 @@
 	return i
 }
 
-func (w *world) read(i *instance, limit int) {
+func (w *simulation) read(i *instance, limit int) {
 	from := max(int(i.machine.Next()), w.first)
 	b := record.Batch{First: uint64(w.first), Next: uint64(from)}
 	for int(b.Next) < len(w.log) && len(b.Entries) < limit {
@@ -82,7 +82,7 @@
 	i.machine.Apply(w.now(i), b)
 }
 
-func (w *world) append(t require.TestingT, r record.Record) {
+func (w *simulation) append(t require.TestingT, r record.Record) {
 	data, err := record.Encode(r)
 	require.NoError(t, err)
 	if r.Lease.Op == record.LeaseAcquire && r.Lease.Read == uint64(len(w.log)) {
@@ -91,17 +91,17 @@
 	w.log = append(w.log, data)
 }
 
-func (w *world) deliver(t *rapid.T, n int) {
-	w.append(t, w.flight[n])
+func (w *simulation) deliver(t *rapid.T, n int) {
+	w.append(t, w.inFlight[n])
 	answerLost := w.rng.IntN(4) == 0
 	if !answerLost {
-		w.flight = append(w.flight[:n], w.flight[n+1:]...)
+		w.inFlight = append(w.inFlight[:n], w.inFlight[n+1:]...)
 	}
 }
 
-// check finds at most one instance valid, and epochs that grow and never change
-// hands.
-func (w *world) check(t require.TestingT) {
+// check requires that at most one instance is valid, that epochs increase, and that an
+// epoch never changes its holder.
+func (w *simulation) check(t require.TestingT) {
 	valid := 0
 	for _, i := range w.instances {
 		if holder, epoch, ok := i.machine.Holder(name); ok {
@@ -122,9 +122,9 @@
 	require.LessOrEqual(t, valid, 1, "two holders are valid")
 }
 
-// order is sent by an instance that was paused since its last check. An engine
-// that checks epochs refuses it once it has served a newer one.
-func (w *world) order(t *rapid.T, i *instance) {
+// order sends an order from an instance that was paused after its last check. An engine
+// that checks epochs rejects it once it has accepted a newer one.
+func (w *simulation) order(t *rapid.T, i *instance) {
 	if i.checked == 0 {
 		return
 	}
@@ -135,15 +135,15 @@
 	i.checked = 0
 }
 
-func (w *world) act(t *rapid.T) {
+func (w *simulation) act(t *rapid.T) {
 	i := w.instances[w.rng.IntN(len(w.instances))]
 	switch n := w.rng.IntN(40); {
 	case n < 12:
 		w.read(i, 1+w.rng.IntN(4))
 	case n < 19:
-		w.flight = append(w.flight, i.machine.Step(w.now(i))...)
-	case n < 26 && len(w.flight) > 0:
-		w.deliver(t, w.rng.IntN(len(w.flight)))
+		w.inFlight = append(w.inFlight, i.machine.Step(w.now(i))...)
+	case n < 26 && len(w.inFlight) > 0:
+		w.deliver(t, w.rng.IntN(len(w.inFlight)))
 	case n < 32:
 		w.elapsed += time.Duration(w.rng.Int64N(int64(terms.TTL / 8)))
 	case n == 32 && w.rng.IntN(3) == 0:
@@ -153,7 +153,7 @@
 	case n == 34 && w.rng.IntN(4) == 0:
 		w.instances[w.rng.IntN(len(w.instances))] = w.newInstance()
 	case n == 35 && w.rng.IntN(4) == 0:
-		w.flight = append(w.flight, i.machine.Release(w.now(i))...)
+		w.inFlight = append(w.inFlight, i.machine.Release(w.now(i))...)
 		i.machine.Want(name, true)
 	case n < 38:
 		i.checked, _ = i.machine.Valid(w.now(i), name)
@@ -163,13 +163,13 @@
 	w.check(t)
 }
 
-// Through pauses at any step, lost and late appends, forgotten records and clocks
-// of unequal rate, no two instances are valid at once, epochs grow, and an order
-// that is late carries an older epoch than any newer holder's.
+// With pauses at any step, lost and late appends, discarded records and clocks of different
+// rates, no two instances are valid at once, epochs increase, and a late order carries a
+// lower epoch than that of any newer leader.
 func TestOneValidHolder(t *testing.T) {
 	held := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "schedule"), 0)), holders: map[uint64]string{}, accepted: map[uint64]string{}}
+		w := &simulation{rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "schedule"), 0)), holders: map[uint64]string{}, accepted: map[uint64]string{}}
 		for range instances {
 			w.instances = append(w.instances, w.newInstance())
 		}
@@ -179,17 +179,17 @@
 		held += len(w.holders)
 		w.settle(t)
 	})
-	require.Greater(t, held, 200, "too few leases were held for the test to mean anything")
+	require.Greater(t, held, 200, "too few leases were held for a meaningful test")
 }
 
-// settle checks that the duty is held again soon when nothing fails.
-func (w *world) settle(t *rapid.T) {
+// settle checks that the task has a leader again soon when nothing fails.
+func (w *simulation) settle(t *rapid.T) {
 	for range 60 {
 		w.elapsed += terms.TTL / 10
 		for _, i := range w.instances {
 			w.read(i, len(w.log)+1)
-			w.flight = append(w.flight, i.machine.Step(w.now(i))...)
-			for len(w.flight) > 0 {
+			w.inFlight = append(w.inFlight, i.machine.Step(w.now(i))...)
+			for len(w.inFlight) > 0 {
 				w.deliver(t, 0)
 			}
 			w.read(i, len(w.log)+1)
@@ -201,13 +201,13 @@
 		_, ok := i.machine.Valid(w.now(i), name)
 		valid = valid || ok
 	}
-	require.True(t, valid, "nobody holds the duty")
+	require.True(t, valid, "no instance holds the lease")
 }
 
-// A holder whose clock is slow stops before a candidate whose clock is fast takes
-// over, even if the candidate reads every record at once.
+// A leader with a slow clock stops before a candidate with a fast clock acquires the task,
+// even if the candidate reads every record immediately.
 func TestMarginCoversClockRates(t *testing.T) {
-	w := &world{rng: rand.New(rand.NewPCG(1, 0)), holders: map[uint64]string{}, accepted: map[uint64]string{}}
+	w := &simulation{rng: rand.New(rand.NewPCG(1, 0)), holders: map[uint64]string{}, accepted: map[uint64]string{}}
 	slow, fast := w.newInstance(), w.newInstance()
 	slow.rate, fast.rate = -drift, drift
 	w.instances = []*instance{slow, fast}
@@ -233,5 +233,5 @@
 	w.log = append(w.log, []byte(`{"v":2,"id":"x"}`))
 	w.read(fast, 1)
 	_, ok := fast.machine.Valid(w.now(fast), name)
-	require.False(t, ok, "held on after a record of a newer version")
+	require.False(t, ok, "still valid after a record of a newer version")
 }
--- a/core/neighbor/neighbor.go
+++ b/core/neighbor/neighbor.go
@@ -1,7 +1,6 @@
-// Package neighbor chooses the peers that an instance keeps sessions with, and
-// the replicas that it serves. Each instance runs the same pure functions on the
-// platform's list, so that nothing has to be agreed and a change of the list
-// moves little.
+// Package neighbor chooses the peers that an instance keeps sessions with, and the replicas
+// that it serves. Every instance runs the same pure functions on the platform's list, so
+// that no agreement protocol is needed and a change of the list changes few choices.
 package neighbor
 
 import (
@@ -12,55 +11,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Instance is a candidate.
+// Instance is a candidate for the choice.
 type Instance struct {
 	ID   string
 	Zone string
 }
 
-// Limits bounds the choice.
+// Limits bounds the number of neighbors.
 type Limits struct {
-	// All is the number of instances up to which everybody is a neighbour.
+	// All is the number of instances up to which all instances are neighbors.
 	All int
-	// Cell is the mean number of instances of one cell, a power of two.
+	// Cell is the target mean number of instances per cell, a power of two.
 	Cell int
-	// MaxCell bounds the neighbours in the own cell.
+	// MaxCell bounds the number of neighbors in the own cell.
 	MaxCell int
-	// SameZone is the number of neighbours in other cells of the own zone.
+	// SameZone is the number of neighbors in other cells of the own zone.
 	SameZone int
-	// OtherZones is the number of neighbours in other zones, each in another
-	// zone as long as there are enough.
+	// OtherZones is the number of neighbors in other zones, each in a different zone if
+	// there are enough.
 	OtherZones int
 }
 
-// DefaultLimits returns limits that make all of 32 instances neighbours, and
-// bound the choice to 36 at any size.
+// DefaultLimits returns limits that make all instances neighbors in a system of up to 32,
+// and bound the number of neighbors to 36 at any size.
 func DefaultLimits() Limits {
 	return Limits{All: 32, Cell: 16, MaxCell: 32, SameZone: 2, OtherZones: 2}
 }
 
-// Chooser chooses neighbours. It remembers the number of cells, so that a zone
-// whose size moves about a threshold does not split and merge its cells each
-// time. It is not safe for concurrent use.
+// Chooser chooses neighbors. It keeps the number of cells between calls, so that a zone
+// whose size varies around a threshold does not split and merge its cells each time. It is
+// not safe for concurrent use.
 type Chooser struct {
 	limits Limits
-	// depth is the number of hash bits that name a cell.
+	// depth is the number of hash bits that identify a cell.
 	depth int
 	cell  uint64
 }
 
-// NewChooser returns a chooser within limits.
+// NewChooser returns a chooser with the given limits.
 func NewChooser(limits Limits) *Chooser { return &Chooser{limits: limits} }
 
-// Cell returns the cell of self after the last Choose, and its depth: the number
-// of bits that name a cell.
+// Cell returns the cell of self after the last call of Choose and its depth, the number of
+// bits that identify a cell.
 func (c *Chooser) Cell() (cell uint64, depth int) { return c.cell, c.depth }
 
-// Choose returns the IDs of the neighbours of self among all, in order. Up to
-// Limits.All instances, these are all others. Beyond that, they are the
-// instances of the own cell, a few of other cells of the zone, and a few of
-// other zones, each drawn by rendezvous hashing of the pair: the two ends of a
-// pair see the same score, so that they tend to choose each other.
+// Choose returns the sorted IDs of the neighbors of self among all. Up to Limits.All
+// instances, these are all others. Beyond that, they are the instances of the own cell, a
+// few of other cells of the zone, and a few of other zones. They are selected by rendezvous
+// hashing of the pair: both ends of a pair compute the same score, so they tend to choose
+// each other.
 //
 // The method is highest random weight hashing (Thaler and Ravishankar, 1998).
 func (c *Chooser) Choose(self Instance, all []Instance) []string {
@@ -80,9 +79,9 @@
 	return sortedIDs(chosen)
 }
 
-// setDepth keeps the present depth while the mean size of a cell lies between
-// half and twice of Limits.Cell. Else it takes the depth whose mean size is the
-// nearest by ratio.
+// setDepth keeps the current depth while the mean cell size is between half and twice
+// Limits.Cell. Otherwise it selects the depth whose mean cell size has the ratio closest to
+// 1.
 func (c *Chooser) setDepth(zoneSize int) {
 	mean := zoneSize >> c.depth
 	if c.depth > 0 && 2*mean >= c.limits.Cell && mean <= 2*c.limits.Cell {
@@ -105,8 +104,8 @@
 	return same, other
 }
 
-// cellOf returns the first depth bits of the hash of id. A deeper cell lies
-// within the cell of any lower depth.
+// cellOf returns the first depth bits of the hash of id. A cell is contained in the cells
+// of the same instance at any lower depth.
 func cellOf(id string, depth int) uint64 {
 	return xxhash.Sum64String(id) >> (64 - uint(depth))
 }
@@ -122,9 +121,8 @@
 	return same, other
 }
 
-// spreadZones takes the instance with the highest score of each zone, then of
-// those the limit highest. If there are fewer zones, it fills up with the next
-// highest instances.
+// spreadZones selects the instance with the highest score of each zone, and among these the
+// limit highest. If there are fewer zones than limit, it adds the next highest instances.
 func spreadZones(self uint64, others []Instance, limit int) []Instance {
 	best := map[string]scored[Instance]{}
 	for _, in := range others {
@@ -144,8 +142,7 @@
 	return append(chosen.items(), highest(self, rest, limit-len(best))...)
 }
 
-// highest returns the limit instances with the highest pair scores, the highest
-// first.
+// highest returns the limit instances with the highest pair scores, in descending order.
 func highest(self uint64, instances []Instance, limit int) []Instance {
 	var chosen ranking[Instance]
 	for _, in := range instances {
@@ -158,10 +155,10 @@
 	return scored[Instance]{item: in, id: in.ID, score: pairScore(self, xxhash.Sum64String(in.ID))}
 }
 
-// pairScore is the same for (a, b) and (b, a).
+// pairScore returns a score that is the same for (a, b) and (b, a).
 func pairScore(a, b uint64) uint64 { return score(min(a, b), max(a, b)) }
 
-// score mixes two hashes.
+// score returns a hash of two hashes.
 func score(a, b uint64) uint64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], a)
--- a/core/neighbor/neighbor_test.go
+++ b/core/neighbor/neighbor_test.go
@@ -14,16 +14,16 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-// The size to be reached.
+// The required size of the largest deployment.
 const (
 	fleetInstances = 1900
 	fleetZones     = 15
 	fleetRegions   = 4
 	fleetReplicas  = 12000
-	// maxHops leaves a second a hop for a configuration that must be in force
+	// maxHops allows one second per hop for a configuration that must be in force
 	// everywhere within 11 s.
 	maxHops = 11
-	// maxSessions bounds the sessions of one instance, chosen and accepted.
+	// maxSessions bounds the sessions of one instance, both opened and accepted.
 	maxSessions = 64
 )
 
@@ -35,8 +35,8 @@
 	return all
 }
 
-// graph holds the sessions between instances by index: one wherever either end
-// chose it.
+// graph holds the sessions between instances by index. Two instances have a session if
+// either chose the other.
 type graph [][]int
 
 func sessions(all []Instance) graph {
@@ -58,11 +58,11 @@
 	return g
 }
 
-// fleetSessions is the graph at the size to be reached.
+// fleetSessions is the graph at the required size.
 var fleetSessions = sync.OnceValue(func() graph { return sessions(fleet(fleetInstances, fleetZones)) })
 
-// reach returns how many instances a message from start reaches, and in how many
-// hops, when instances have failed and nobody has chosen anew.
+// reach returns how many instances a message from start reaches, and in how many hops, when
+// some instances have failed and no instance has chosen new neighbors yet.
 func (g graph) reach(start int, failed []bool) (reached, hops int) {
 	seen := slices.Clone(failed)
 	seen[start] = true
@@ -86,7 +86,8 @@
 	}
 }
 
-// diameter returns the longest shortest path, from every sample-th instance on.
+// diameter returns the longest shortest path that starts at any sampled instance, one of
+// every sample instances.
 func (g graph) diameter(t *testing.T, failed []bool, sample int) int {
 	t.Helper()
 	alive := 0
@@ -157,17 +158,17 @@
 	}
 }
 
-// When instances are replaced, those who remain choose anew only in place of
-// neighbours that went, and where a new instance has a higher score.
+// When instances are replaced, the remaining ones choose new neighbors only in place of
+// removed neighbors and where a new instance has a higher score.
 func TestChangeOfFleetMovesLittle(t *testing.T) {
 	const (
 		replaced = 86
 		sample   = 5
 	)
 	all := fleet(fleetInstances, fleetZones)
-	gone := map[string]bool{}
+	removed := map[string]bool{}
 	for _, in := range all[:replaced] {
-		gone[in.ID] = true
+		removed[in.ID] = true
 	}
 	changed := append(slices.Clone(all[replaced:]), fleet(fleetInstances+replaced, fleetZones)[fleetInstances:]...)
 	kept, opened, lost := 0, 0, 0
@@ -182,12 +183,12 @@
 			}
 		}
 		for _, id := range before {
-			if gone[id] {
+			if removed[id] {
 				lost++
 			}
 		}
 	}
-	t.Logf("%d of %d instances replaced: of the neighbours of the others %d were kept, %d lost and %d new", replaced, fleetInstances, kept, lost, opened)
+	t.Logf("%d of %d instances replaced: among the neighbors of the remaining instances %d were kept, %d removed and %d added", replaced, fleetInstances, kept, lost, opened)
 	require.Positive(t, lost)
 	require.LessOrEqual(t, opened, 2*lost)
 }
@@ -206,7 +207,7 @@
 	require.Equal(t, 1, changes)
 }
 
-func TestSubsetMovesAtMostOnePlace(t *testing.T) {
+func TestSubsetChangesByAtMostOneReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "replicas")
 		k := rapid.IntRange(1, 30).Draw(t, "k")
@@ -214,31 +215,30 @@
 		for i := range replicas {
 			replicas[i] = fmt.Sprintf("replica-%d", i)
 		}
-		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
+		removed := rapid.IntRange(0, n-1).Draw(t, "gone")
 		before := Subset("m1", replicas, k)
-		after := Subset("m1", slices.Delete(slices.Clone(replicas), gone, gone+1), k)
+		after := Subset("m1", slices.Delete(slices.Clone(replicas), removed, removed+1), k)
 		if len(before) != min(n, k) || !slices.IsSorted(before) {
 			t.Fatalf("subset %v", before)
 		}
-		moved := 0
+		added := 0
 		for _, id := range before {
-			if id != replicas[gone] && !slices.Contains(after, id) {
+			if id != replicas[removed] && !slices.Contains(after, id) {
 				t.Fatalf("%s left the subset", id)
 			}
 		}
 		for _, id := range after {
 			if !slices.Contains(before, id) {
-				moved++
+				added++
 			}
 		}
-		if moved > 1 {
-			t.Fatalf("%d places moved", moved)
+		if added > 1 {
+			t.Fatalf("%d places moved", added)
 		}
 	})
 }
 
-// coverage returns the least, mean and largest number of instances that serve a
-// replica.
+// coverage returns the minimum, mean and maximum number of instances that serve a replica.
 func coverage(served map[string]int, replicas int) (least int, mean float64, most int) {
 	least = fleetInstances
 	total := 0
@@ -263,7 +263,7 @@
 	for i := range replicas {
 		replicas[i] = fmt.Sprintf("replica-%05d", i)
 	}
-	// A sample of the replicas, with k in proportion.
+	// Uses a sample of the replicas, with k scaled in proportion.
 	served := map[string]int{}
 	for _, in := range fleet(fleetInstances, fleetZones) {
 		for _, id := range Subset(in.ID, replicas, k*sampled/fleetReplicas) {
--- a/core/neighbor/subset.go
+++ b/core/neighbor/subset.go
@@ -6,12 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subset returns the k replicas that the instance serves, in the order of IDs:
-// those with the highest rendezvous scores for it. A replica that comes or goes
-// moves at most one place of the subset. With few replicas, k or less, the
-// subset is all of them.
+// Subset returns the sorted IDs of the k replicas that the instance serves: those with the
+// highest rendezvous scores for it. Adding or removing a replica replaces at most one
+// element of the subset. If there are at most k replicas, the subset contains all of them.
 //
-// The number of instances that serve a replica is binomial with the mean
+// The number of instances that serve a replica has a binomial distribution with the mean
 // instances*k/replicas.
 func Subset(instanceID string, replicas []string, k int) []string {
 	own := xxhash.Sum64String(instanceID)
@@ -24,11 +23,10 @@
 	return subset
 }
 
-// CellSubset returns the replicas that all instances of a cell serve, in the
-// order of IDs. Each replica is served by copies cells out of 2^depth, so every
-// replica is covered alike, and those who share a replica are neighbours or
-// exchange summed digests. A replica that comes or goes changes nothing for the
-// others.
+// CellSubset returns the sorted IDs of the replicas that all instances of a cell serve.
+// Each replica is served by copies of the 2^depth cells, so all replicas are covered
+// equally, and instances that share a replica are neighbors or exchange summed digests.
+// Adding or removing a replica does not affect the others.
 func CellSubset(cell uint64, depth int, replicas []string, copies int) []string {
 	var subset []string
 	for _, id := range replicas {
@@ -40,7 +38,8 @@
 	return subset
 }
 
-// servesReplica tells whether fewer than copies cells have a higher score.
+// servesReplica reports whether fewer than copies cells have a higher score for the
+// replica.
 func servesReplica(cell uint64, depth int, replica string, copies int) bool {
 	hash := xxhash.Sum64String(replica)
 	own := score(cell, hash)
--- a/core/record/codec.go
+++ b/core/record/codec.go
@@ -7,14 +7,15 @@
 )
 
 var (
-	// ErrMalformed marks data that is no record. Every reader skips it.
+	// ErrMalformed means that the data is not a valid record. Every reader skips it.
 	ErrMalformed = errors.New("malformed record")
-	// ErrVersion marks a record of a newer format, which this reader can't judge.
+	// ErrVersion means that the record has a newer format, which this reader can't
+	// evaluate.
 	ErrVersion = errors.New("record of a newer version")
 )
 
-// Encode returns the encoding of r with the current Version. It fails with
-// ErrMalformed if Decode would refuse the result.
+// Encode returns the encoding of r with the current Version. It fails with ErrMalformed if
+// Decode would reject the result.
 func Encode(r Record) ([]byte, error) {
 	r.Version = Version
 	if err := r.check(); err != nil {
@@ -30,8 +31,8 @@
 	return data, nil
 }
 
-// Decode parses data. The verdict depends on data alone, so that all readers of
-// one Version agree. Errors match ErrMalformed or ErrVersion.
+// Decode parses data. The result depends on data alone, so that all readers of one Version
+// agree. Errors match ErrMalformed or ErrVersion.
 func Decode(data []byte) (Record, error) {
 	if len(data) > MaxSize {
 		return Record{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(data))
@@ -65,7 +66,7 @@
 	if r.bodies() != 1 {
 		return fmt.Errorf("%w: %d bodies", ErrMalformed, r.bodies())
 	}
-	if !r.bodyFits() {
+	if !r.validBody() {
 		return fmt.Errorf("%w: field missing or out of bounds", ErrMalformed)
 	}
 	return nil
@@ -84,7 +85,7 @@
 	return n
 }
 
-func (r *Record) bodyFits() bool {
+func (r *Record) validBody() bool {
 	switch {
 	case r.Proposal != nil:
 		return len(r.Proposal.Content) <= MaxContent && len(r.Proposal.Author) <= MaxName
@@ -92,23 +93,23 @@
 		return len(r.Snapshot.Content) <= MaxContent
 	case r.Claim != nil:
 		c := r.Claim
-		return c.Key.fits() && nameFits(c.Fingerprint) && nameFits(c.Claimant) && c.Expiry > 0
+		return c.Key.valid() && validName(c.Fingerprint) && validName(c.Claimant) && c.Expiry > 0
 	case r.Outcome != nil:
-		return r.Outcome.Key.fits() && nameFits(string(r.Outcome.Claim)) && len(r.Outcome.Answer.Body) <= MaxAnswer
+		return r.Outcome.Key.valid() && validName(string(r.Outcome.Claim)) && len(r.Outcome.Answer.Body) <= MaxAnswer
 	case r.Release != nil:
-		return r.Release.Key.fits() && nameFits(string(r.Release.Claim))
+		return r.Release.Key.valid() && validName(string(r.Release.Claim))
 	default:
-		return r.Lease.fits()
+		return r.Lease.valid()
 	}
 }
 
-func (l *Lease) fits() bool {
+func (l *Lease) valid() bool {
 	known := l.Op == LeaseAcquire || l.Op == LeaseRenew || l.Op == LeaseRelease
-	return known && nameFits(l.Duty) && nameFits(l.Holder)
+	return known && validName(l.Duty) && validName(l.Holder)
 }
 
-func (k OrderKey) fits() bool {
-	return nameFits(k.Workspace) && nameFits(k.Service) && k.Key != "" && len(k.Key) <= MaxKey
+func (k OrderKey) valid() bool {
+	return validName(k.Workspace) && validName(k.Service) && k.Key != "" && len(k.Key) <= MaxKey
 }
 
-func nameFits(s string) bool { return s != "" && len(s) <= MaxName }
+func validName(s string) bool { return s != "" && len(s) <= MaxName }
--- a/core/record/codec_test.go
+++ b/core/record/codec_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidRecords(t *testing.T) {
 	for name, data := range map[string]string{
 		"empty":        ``,
 		"no body":      `{"v":1,"id":"a"}`,
--- a/core/record/record.go
+++ b/core/record/record.go
@@ -1,17 +1,16 @@
-// Package record defines the records that instances append to the streams of
-// the platform's log, and their JSON encoding. Every record carries a unique
-// ID, so that a reader recognises copies of it. The types are plain values; a
-// decoded Record shares no memory with its input.
+// Package record defines the records that instances append to the streams of the platform's
+// log, and their JSON encoding. Every record has a unique ID, so that readers recognize
+// duplicates. The types are plain values; a decoded Record shares no memory with its input.
 package record
 
 import "time"
 
-// Version is the newest record format that this program reads and writes. It
-// also covers the rules by which the content of a Proposal is checked: a change
-// of either needs a new number, so that no reader judges by outdated rules.
+// Version is the newest record format that this program reads and writes. It also covers
+// the rules that validate the content of a Proposal: a change of either requires a new
+// number, so that no reader applies outdated rules.
 const Version = 1
 
-// Limits of the fields, in bytes.
+// Size limits, in bytes.
 const (
 	MaxSize    = 4 << 20
 	MaxContent = 2 << 20
@@ -20,7 +19,7 @@
 	MaxName    = 128
 )
 
-// ID is the unique identity of one record.
+// ID uniquely identifies one record.
 type ID string
 
 // Record is one record of a stream. Exactly one of the pointers is set.
@@ -35,14 +34,14 @@
 	Lease    *Lease    `json:"lease,omitempty"`
 }
 
-// Proposal asks to replace the content of revision Base.
+// Proposal requests to replace the content of revision Base.
 type Proposal struct {
 	Base    uint64 `json:"base"`
 	Author  string `json:"author"`
 	Content []byte `json:"content"`
 }
 
-// Winner names the record that created a revision.
+// Winner identifies the record that created a revision.
 type Winner struct {
 	Revision uint64 `json:"revision"`
 	ID       ID     `json:"id"`
@@ -54,7 +53,7 @@
 	Revision uint64 `json:"revision"`
 	Next     uint64 `json:"next"`
 	Content  []byte `json:"content"`
-	// Winners are the latest accepted proposals, in rising order.
+	// Winners are the latest accepted proposals, in ascending order of revision.
 	Winners []Winner `json:"winners"`
 }
 
@@ -65,39 +64,39 @@
 	Key       string `json:"key"`
 }
 
-// Claim asks for the right to make the call Key. The first claim in log order
-// wins.
+// Claim requests the right to make the call identified by Key. The first valid claim in log
+// order wins.
 type Claim struct {
 	Key OrderKey `json:"key"`
 	// Fingerprint is the hash of the request.
 	Fingerprint string `json:"fingerprint"`
 	Claimant    string `json:"claimant"`
-	// Began is the offset up to which the claimant had read when the call
-	// arrived. A release at or above it voids the claim.
+	// Began is the offset up to which the claimant had read when the call arrived. A
+	// release at or above it invalidates the claim.
 	Began uint64 `json:"began"`
 	// Expiry is how long after reading the claim a reader may expect an outcome.
 	Expiry time.Duration `json:"expiry"`
 }
 
-// Answer is the recorded answer of an upstream.
+// Answer is the recorded response of an upstream.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
 }
 
-// Outcome ends the claim with record ID Claim.
+// Outcome completes the claim whose record ID is Claim.
 type Outcome struct {
 	Key   OrderKey `json:"key"`
 	Claim ID       `json:"claim"`
-	// Known is false if the claimant can't tell whether the upstream ran the call.
+	// Known is false if the claimant does not know whether the upstream executed the call.
 	Known bool `json:"known"`
-	// Oversize is set if the answer exceeded MaxAnswer and was left out.
+	// Oversize is set if the response exceeded MaxAnswer and was omitted.
 	Oversize bool   `json:"oversize,omitempty"`
 	Answer   Answer `json:"answer"`
 }
 
-// Release gives the claim with record ID Claim back without a call.
+// Release withdraws the claim whose record ID is Claim; the call was not made.
 type Release struct {
 	Key   OrderKey `json:"key"`
 	Claim ID       `json:"claim"`
@@ -113,15 +112,15 @@
 	LeaseRelease LeaseOp = "release"
 )
 
-// Lease acquires, renews or releases a duty.
+// Lease acquires, renews or releases the lease of a leader task.
 type Lease struct {
 	Op     LeaseOp `json:"op"`
 	Duty   string  `json:"duty"`
 	Holder string  `json:"holder"`
-	// Epoch is the offset after the accepted acquire record; renew and release
+	// Epoch is the offset after the accepted acquire record; set for renew and release
 	// only.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// Read is the offset up to which the holder had read; acquire only.
+	// Read is the offset up to which the holder had read; set for acquire only.
 	Read uint64 `json:"read,omitempty"`
 }
 
@@ -133,7 +132,7 @@
 
 // Batch is the result of one read of a stream.
 type Batch struct {
-	// First is the lowest offset still kept.
+	// First is the lowest offset that the log retains.
 	First uint64
 	// Next is the offset after the last entry.
 	Next uint64
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -1,27 +1,26 @@
-// Package revision decides which configuration proposals of a log stream are
-// accepted. It performs no I/O; a shell reads the stream and passes the batches
-// to a Machine.
+// Package revision decides which configuration proposals of a log stream are accepted. It
+// performs no I/O; its user reads the stream and passes the batches to a Machine.
 //
 // Invariants:
 //
-//  1. The accepted revision after the records below offset n depends only on
-//     these records. A proposal is accepted iff its base is the accepted
-//     revision at its own offset and its content is valid; it then creates
-//     revision base+1. The log's order alone picks the winner of a race.
-//  2. A Machine's state is the one that belongs to its offset Next. It starts
-//     from the genesis of the stream (offset 0 still kept), from a peer's state,
-//     or from a snapshot record, and goes on record by record without a gap.
-//  3. Anchor rule: after a gap nothing is judged until a state is found whose
-//     Next is still kept. Readers that judged from anywhere else would disagree,
-//     since they do not know which revision a base must name.
-//  4. A Machine's Next and revision never go down. States with a lower Next are
-//     ignored, however they arrive.
-//  5. A copy of a record changes nothing: an accepted proposal's base is below
-//     the accepted revision ever after, and so is that of a refused one, because
-//     authors propose only on revisions that they have seen accepted.
+//  1. The accepted revision after the records below offset n depends only on these records. A
+//     proposal is accepted iff its base is the accepted revision at its own offset and its
+//     content is valid; it then creates revision base+1. The log's order alone determines which
+//     of several concurrent proposals wins.
+//  2. A Machine's state always corresponds to its offset Next. It starts from the beginning of
+//     the stream (if offset 0 is retained), from a peer's state, or from a snapshot record, and
+//     continues record by record without a gap.
+//  3. Anchor rule: after a gap no proposal is evaluated until a state is found whose Next is
+//     still retained. Readers that evaluated proposals from any other offset would disagree,
+//     because they do not know which revision a base must name.
+//  4. A Machine's Next and revision never decrease. States with a lower Next are ignored,
+//     whatever their source.
+//  5. A duplicate of a record has no effect: the base of an accepted proposal is below the
+//     accepted revision from then on, and so is that of a rejected one, because authors propose
+//     only on revisions that they have seen accepted.
 //
-// From 1 to 3 follows that any two readers agree on the content of every
-// revision that both know.
+// Invariants 1 to 3 imply that any two readers agree on the content of every revision that
+// both know.
 package revision
 
 import (
@@ -30,10 +29,10 @@
 	"masticbank.example/core/record"
 )
 
-// MaxWinners is the number of accepted proposals that a state remembers.
+// MaxWinners is the number of accepted proposals that a state retains.
 const MaxWinners = 16
 
-// Reason tells why a Machine can't vouch for a configuration, or not follow.
+// Reason is why a Machine can't confirm a configuration or can't follow the log.
 type Reason string
 
 // Reasons of Status.
@@ -47,54 +46,54 @@
 	ReasonShortened   Reason = "the log ends before the offset read earlier"
 )
 
-// Status tells whether a configuration may be used. Reason may also be set when
-// Ready is true; the Machine then can't follow the log at present.
+// Status reports whether a configuration may be used. Reason may be set even if Ready is
+// true; the Machine then can't follow the log at present.
 type Status struct {
 	Ready  bool
 	Reason Reason
 }
 
-// Verdict tells the fate of one proposal.
+// Verdict is the result of one proposal.
 type Verdict struct {
 	ID record.ID
-	// Accepted tells whether the proposal created Revision.
+	// Accepted is true if the proposal created Revision.
 	Accepted bool
-	// Revision is the revision created, or the accepted one at refusal.
+	// Revision is the created revision, or the accepted one at the time of the rejection.
 	Revision uint64
-	// Invalid is set if the content was refused.
+	// Invalid is set if the content was rejected by validation.
 	Invalid bool
-	// Winner created the revision after the proposal's base; its ID is empty if
-	// that is no longer known.
+	// Winner is the proposal that created the revision after this proposal's base. Its ID
+	// is empty if it is no longer retained.
 	Winner record.Winner
 }
 
-// Machine follows one configuration stream. It is not safe for concurrent use.
-// Contents that it returns must not be modified.
+// Machine is the state machine that follows one configuration stream. It is not safe for
+// concurrent use. Contents that it returns must not be modified.
 type Machine struct {
 	validate func(content []byte) error
 
-	state    record.Snapshot
-	attached bool
-	scan     uint64
-	blocked  Reason
+	state        record.Snapshot
+	attached     bool
+	scan         uint64
+	detachReason Reason
 
-	caughtUp  bool
-	offered   bool
-	away      bool
-	started   bool
-	shortened bool
+	caughtUp    bool
+	offered     bool
+	unavailable bool
+	started     bool
+	shortened   bool
 
 	snapshot     uint64
 	haveSnapshot bool
 }
 
-// New returns a Machine at the genesis of a stream. The verdict of validate must
-// depend on the content alone.
+// New returns a Machine at the beginning of a stream. The result of validate must depend on
+// the content alone.
 func New(validate func(content []byte) error) *Machine {
 	return &Machine{validate: validate, attached: true}
 }
 
-// State returns the state with the highest offset known.
+// State returns the state with the highest known offset.
 func (m *Machine) State() record.Snapshot { return m.state }
 
 // NextRead returns the offset to read next.
@@ -105,23 +104,23 @@
 	return m.scan
 }
 
-// CaughtUp tells whether the Machine follows the stream and once reached its
-// end. Only then may its state be written as a snapshot.
+// CaughtUp reports whether the Machine follows the stream and has reached its end at least
+// once. Only then may its state be written as a snapshot.
 func (m *Machine) CaughtUp() bool { return m.caughtUp && m.attached }
 
-// SnapshotNext returns the highest Next of the snapshot records read.
+// SnapshotNext returns the highest Next among the snapshot records read.
 func (m *Machine) SnapshotNext() (next uint64, ok bool) { return m.snapshot, m.haveSnapshot }
 
-// Offer takes the state of a peer and tells whether it was news.
+// Offer passes the state of a peer to the Machine and reports whether it was newer.
 func (m *Machine) Offer(s record.Snapshot) bool {
 	m.offered = true
 	return m.adopt(s)
 }
 
-// Unavailable notes that a read failed.
-func (m *Machine) Unavailable() { m.away = true }
+// Unavailable records that a read failed.
+func (m *Machine) Unavailable() { m.unavailable = true }
 
-// adopt replaces the state by one of a higher offset and follows from there.
+// adopt replaces the state by one with a higher offset and continues from there.
 func (m *Machine) adopt(s record.Snapshot) bool {
 	if s.Next <= m.state.Next || s.Revision < m.state.Revision {
 		return false
@@ -131,9 +130,9 @@
 	return true
 }
 
-// Status tells whether the configuration may be used.
+// Status reports whether the configuration may be used.
 func (m *Machine) Status() Status {
-	if m.state.Revision > 0 && (m.caughtUp || m.offered && m.away) {
+	if m.state.Revision > 0 && (m.caughtUp || m.offered && m.unavailable) {
 		m.started = true
 	}
 	return Status{Ready: m.started, Reason: m.reason()}
@@ -143,10 +142,10 @@
 	switch {
 	case m.shortened:
 		return ReasonShortened
-	case m.away:
+	case m.unavailable:
 		return ReasonUnavailable
 	case !m.attached:
-		return m.blocked
+		return m.detachReason
 	case !m.caughtUp:
 		return ReasonReading
 	case m.state.Revision == 0:
@@ -156,10 +155,10 @@
 	}
 }
 
-// Apply takes the result of a read from NextRead and returns the verdicts on the
-// proposals in it.
+// Apply applies the result of a read from NextRead and returns the results of the proposals
+// in it.
 func (m *Machine) Apply(b record.Batch) []Verdict {
-	m.away = false
+	m.unavailable = false
 	from := m.NextRead()
 	m.shortened = b.Next < from && b.First <= from
 	if m.shortened {
@@ -178,7 +177,7 @@
 func (m *Machine) detach(scan uint64, reason Reason) {
 	m.attached = false
 	m.scan = scan
-	m.blocked = reason
+	m.detachReason = reason
 }
 
 func (m *Machine) follow(b record.Batch) []Verdict {
@@ -204,7 +203,7 @@
 		switch {
 		case err != nil:
 		case r.Proposal != nil:
-			verdicts = append(verdicts, m.judge(r.ID, r.Proposal))
+			verdicts = append(verdicts, m.evaluate(r.ID, r.Proposal))
 		case r.Snapshot != nil:
 			m.noteSnapshot(r.Snapshot)
 		}
@@ -212,9 +211,9 @@
 	return verdicts
 }
 
-func (m *Machine) judge(id record.ID, p *record.Proposal) Verdict {
+func (m *Machine) evaluate(id record.ID, p *record.Proposal) Verdict {
 	if p.Base != m.state.Revision {
-		return m.refuse(id, p.Base)
+		return m.reject(id, p.Base)
 	}
 	if m.validate(p.Content) != nil {
 		return Verdict{ID: id, Revision: m.state.Revision, Invalid: true}
@@ -222,13 +221,13 @@
 	w := record.Winner{Revision: p.Base + 1, ID: id, Author: p.Author}
 	m.state.Revision = w.Revision
 	m.state.Content = p.Content
-	m.state.Winners = remember(m.state.Winners, w)
+	m.state.Winners = appendWinner(m.state.Winners, w)
 	return Verdict{ID: id, Accepted: true, Revision: w.Revision, Winner: w}
 }
 
-// refuse handles a proposal on another base. A copy of the winner is told that
-// it won.
-func (m *Machine) refuse(id record.ID, base uint64) Verdict {
+// reject handles a proposal on another base. A duplicate of the accepted proposal gets the
+// result that it was accepted.
+func (m *Machine) reject(id record.ID, base uint64) Verdict {
 	w, _ := FindWinner(m.state, base)
 	if w.ID == id {
 		return Verdict{ID: id, Accepted: true, Revision: w.Revision, Winner: w}
@@ -236,7 +235,7 @@
 	return Verdict{ID: id, Revision: m.state.Revision, Winner: w}
 }
 
-// FindWinner returns the proposal that replaced revision base, if s remembers it.
+// FindWinner returns the proposal that replaced revision base, if s retains it.
 func FindWinner(s record.Snapshot, base uint64) (record.Winner, bool) {
 	for _, w := range s.Winners {
 		if w.Revision == base+1 {
@@ -246,8 +245,8 @@
 	return record.Winner{}, false
 }
 
-// remember returns a new slice, since states share theirs with readers.
-func remember(winners []record.Winner, w record.Winner) []record.Winner {
+// appendWinner returns a new slice, because states share theirs with readers.
+func appendWinner(winners []record.Winner, w record.Winner) []record.Winner {
 	kept := winners[max(0, len(winners)-MaxWinners+1):]
 	return append(append(make([]record.Winner, 0, MaxWinners), kept...), w)
 }
@@ -257,7 +256,7 @@
 	m.snapshot = max(m.snapshot, s.Next)
 }
 
-// search looks for a snapshot to start from, by the anchor rule.
+// search looks for a snapshot to start from according to the anchor rule.
 func (m *Machine) search(b record.Batch) {
 	for _, e := range b.Entries {
 		m.scan = e.Offset + 1
--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// model is a log with retention, its readers, and records and states on the way.
+// model simulates a log with retention, its readers, and records and states in transit.
 type model struct {
 	records [][]byte
 	first   uint64
@@ -36,7 +36,7 @@
 	delayed [][]byte
 	states  []record.Snapshot
 	known   map[uint64]string
-	fates   map[record.ID]bool
+	results map[record.ID]bool
 	ids     int
 }
 
@@ -59,10 +59,10 @@
 	return data
 }
 
-// check records what reader i claims to know and compares it with all others.
+// check compares the revision that reader i claims to know with those of all other readers.
 func (m *model) check(t *rapid.T, i int) {
 	s := m.readers[i].State()
-	require.GreaterOrEqual(t, s.Revision, m.highest[i], "revision went back")
+	require.GreaterOrEqual(t, s.Revision, m.highest[i], "revision decreased")
 	m.highest[i] = s.Revision
 	if s.Revision == 0 {
 		return
@@ -80,10 +80,10 @@
 		if undecided {
 			continue
 		}
-		if won, ok := m.fates[v.ID]; ok {
-			require.Equal(t, won, v.Accepted, "two fates of proposal %s", v.ID)
+		if won, ok := m.results[v.ID]; ok {
+			require.Equal(t, won, v.Accepted, "different results of proposal %s", v.ID)
 		}
-		m.fates[v.ID] = v.Accepted
+		m.results[v.ID] = v.Accepted
 	}
 	m.check(t, i)
 }
@@ -144,22 +144,22 @@
 	}
 }
 
-// Readers that start anywhere agree on every revision, and none goes back.
+// Readers that start at any offset agree on every revision, and no reader goes back.
 func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			readers: []*revision.Machine{revision.New(validate)},
 			highest: []uint64{0},
 			known:   map[uint64]string{},
-			fates:   map[record.ID]bool{},
+			results: map[record.ID]bool{},
 		}
 		t.Repeat(m.actions())
 		m.settle(t)
 	})
 }
 
-// settle writes a snapshot by a reader that can and lets every reader catch up:
-// all reach the same revision.
+// settle appends a snapshot from a reader that has caught up, if any, and lets every reader
+// catch up: all must reach the same revision.
 func (m *model) settle(t *rapid.T) {
 	writer := -1
 	for i := range m.readers {
@@ -197,7 +197,7 @@
 	return b
 }
 
-func TestStatusNamesTheReason(t *testing.T) {
+func TestStatusReportsReason(t *testing.T) {
 	m := revision.New(validate)
 	require.Equal(t, revision.Status{Reason: revision.ReasonReading}, m.Status())
 	m.Unavailable()
