--- a/core/config/config.go
+++ b/core/config/config.go
@@ -1,12 +1,12 @@
-// Package config defines the configuration that operators publish, and checks
-// it. A Config is immutable once validated; readers share it without locks.
+// Package config defines and validates the configuration that operators publish. A Config
+// is immutable once validated, so that readers share it without locks.
 package config
 
 import (
 	"time"
 )
 
-// Rank is the position of a class of work: 0 is the most urgent.
+// Rank is a priority class: 0 is the most urgent.
 type Rank int
 
 // Config is the merged configuration of one deployment.
@@ -23,10 +23,10 @@
 	Name string `json:"name"`
 	// FirstToken is the target for the time to the first token.
 	FirstToken time.Duration `json:"first_token"`
-	// Deadline applies to requests that name none.
+	// Deadline applies to requests that specify no deadline.
 	Deadline time.Duration `json:"deadline"`
-	// MinShare is the fraction of each pool's capacity, 0 to 1, that the rank
-	// keeps while it has work.
+	// MinShare is the fraction of each pool's capacity, 0 to 1, that is guaranteed to the
+	// rank while it has work.
 	MinShare float64 `json:"min_share"`
 }
 
@@ -42,7 +42,7 @@
 type ServiceConfig struct {
 	// Timeout bounds one call to the service.
 	Timeout time.Duration `json:"timeout"`
-	// IdempotentMethods are the HTTP methods that may be repeated.
+	// IdempotentMethods are the HTTP methods of calls that may be repeated.
 	IdempotentMethods []string `json:"idempotent_methods"`
 }
 
@@ -50,32 +50,33 @@
 type WorkspaceConfig struct {
 	// KeySHA256 holds the lower-case hex SHA-256 of each API key.
 	KeySHA256 []string `json:"key_sha256"`
-	// Weight is the share of a rank relative to other workspaces.
+	// Weight is the workspace's share of a rank relative to other workspaces.
 	Weight float64 `json:"weight"`
-	// DefaultRank applies to requests that name no rank.
+	// DefaultRank applies to requests that specify no rank.
 	DefaultRank string `json:"default_rank"`
 	// MaxQueued bounds the workspace's waiting requests on one instance.
 	MaxQueued int `json:"max_queued"`
-	// MaxInFlight bounds its running requests on one instance; 0 means no bound.
+	// MaxInFlight bounds the workspace's running requests on one instance; 0 means no
+	// limit.
 	MaxInFlight int `json:"max_in_flight"`
 }
 
-// Limits bounds what one instance accepts.
+// Limits bounds the work that one instance accepts, and holds other global settings.
 type Limits struct {
 	// MaxQueued bounds the waiting requests of all workspaces in one pool.
 	MaxQueued int `json:"max_queued"`
-	// RetryRatio is the number of retries paid for by one first attempt.
+	// RetryRatio is the number of retries that each first attempt adds to the retry budget.
 	RetryRatio float64 `json:"retry_ratio"`
-	// StepTimeout bounds one step of a stage before progress was observed.
+	// StepTimeout bounds one step of a stage before any progress was observed.
 	StepTimeout time.Duration `json:"step_timeout"`
-	// UrgentReserve is the largest fraction of a pool's slots, 0 to 1, that is
-	// kept free for the most urgent rank as far as its recent load needs them.
+	// UrgentReserve is the maximum fraction of a pool's slots, 0 to 1, that is kept free
+	// for the most urgent rank. Its recent load determines how much of it is used.
 	UrgentReserve float64 `json:"urgent_reserve"`
-	// PoisonTTL is how long a poison fingerprint is kept.
+	// PoisonTTL is how long the fingerprint of a poison request is retained.
 	PoisonTTL time.Duration `json:"poison_ttl"`
 }
 
-// RankByName returns the rank called name.
+// RankByName returns the rank with the given name.
 func (c *Config) RankByName(name string) (Rank, bool) {
 	for i, r := range c.Ranks {
 		if r.Name == name {
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	maxLayers   = 1024
-	keyHexDigit = 64
+	maxLayers    = 1024
+	keyHexDigits = 64
 )
 
-// FieldError names the section and key of one invalid value.
+// FieldError identifies one invalid value by section and key.
 type FieldError struct {
 	Section string
 	Key     string
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("section [%s] key %q: %s", e.Section, e.Key, e.Reason)
 }
 
-// Validate returns the first problem in section order, or nil. The result is
-// the same on every instance for the same Config.
+// Validate returns the first error in section order, or nil. The result is the same on
+// every instance for the same Config.
 func (c *Config) Validate() error {
 	checks := []func() error{c.checkRanks, c.checkModels, c.checkServices, c.checkWorkspaces, c.checkLimits}
 	for _, check := range checks {
@@ -105,7 +105,7 @@
 			return &FieldError{Section: section, Key: "max_in_flight", Reason: "must not be negative"}
 		}
 		for _, k := range w.KeySHA256 {
-			if len(k) != keyHexDigit {
+			if len(k) != keyHexDigits {
 				return &FieldError{Section: section, Key: "key_sha256", Reason: "must be 64 hex digits"}
 			}
 			if other, ok := owner[k]; ok {
--- a/core/order/attempt.go
+++ b/core/order/attempt.go
@@ -11,39 +11,40 @@
 type Event uint8
 
 const (
-	// Wake reports that the key's state may have changed, or that time passed.
+	// Wake reports that the key's state may have changed or that time has passed.
 	Wake Event = iota
-	// ConfirmSend asks at the last moment whether the call may be sent.
+	// ConfirmSend requests the final check of whether the call may be sent.
 	ConfirmSend
-	// QueueFull reports that the claim was not queued for append.
+	// QueueFull reports that the claim could not be queued for appending.
 	QueueFull
-	// CallerGone reports that nobody waits for the result.
+	// CallerGone reports that the client no longer waits for the result.
 	CallerGone
 )
 
-// Effect is what the shell is to do. Append effects must be queued in order and
-// before the shell waits.
+// Effect is an action that the user of an Attempt performs. Append effects must be queued
+// in order and before any waiting.
 type Effect interface{ effect() }
 
-// AppendClaim appends a claim, until the time Until at the latest.
+// AppendClaim requests to append a claim. It must not be appended after Until.
 type AppendClaim struct {
 	Record record.Record
 	Until  time.Time
 }
 
-// Append appends an outcome or a release, however long it takes.
+// Append requests to append an outcome or a release, without a time limit.
 type Append struct{ Record record.Record }
 
-// Wait waits for a change of the key or until the time Until, then steps Wake.
+// Wait requests to wait until the key changes or until the time Until, and then to call
+// Step with Wake.
 type Wait struct{ Until time.Time }
 
-// Confirm steps ConfirmSend immediately before the call is sent.
+// Confirm requests to call Step with ConfirmSend immediately before the call is sent.
 type Confirm struct{}
 
-// Send sends the call and passes the answer to Answered.
+// Send requests to send the call and to pass the response to Answered.
 type Send struct{}
 
-// Reply ends the attempt with a result.
+// Reply returns the result of the attempt and ends it.
 type Reply struct{ Result Result }
 
 func (AppendClaim) effect() {}
@@ -63,35 +64,35 @@
 	phaseDone
 )
 
-// Attempt takes one call from its arrival to its result. It is not safe for
-// concurrent use; the Table must not change during a step.
+// Attempt is the state machine of one call from its arrival to its result. It is not safe
+// for concurrent use; the Table must not change during a step.
 type Attempt struct {
 	call     Call
 	claim    record.ID
 	claimant string
 	table    *Table
 
-	phase   phase
-	began   uint64
-	started time.Time
+	phase      phase
+	readOffset uint64
+	claimedAt  time.Time
 }
 
-// NewAttempt returns an Attempt for a call that has just arrived. claim is the
-// unique ID for its claim.
+// NewAttempt returns an Attempt for a call that has just arrived. claim is the unique ID to
+// use for its claim record.
 func NewAttempt(table *Table, call Call, claim record.ID, claimant string) *Attempt {
-	return &Attempt{call: call, claim: claim, claimant: claimant, table: table, began: table.next}
+	return &Attempt{call: call, claim: claim, claimant: claimant, table: table, readOffset: table.next}
 }
 
-// Begin starts the attempt.
+// Begin starts the attempt and returns the effects to perform.
 func (a *Attempt) Begin(now time.Time) []Effect { return a.decide(now) }
 
-// Step takes one event.
+// Step handles one event and returns the effects to perform.
 func (a *Attempt) Step(now time.Time, ev Event) []Effect {
 	switch {
 	case a.phase == phaseSent || a.phase == phaseDone:
 		return nil
 	case ev == CallerGone:
-		return a.giveUp(ReasonCallerGone)
+		return a.abandon(ReasonCallerGone)
 	case a.phase == phaseWaiting:
 		return a.decide(now)
 	case a.phase == phaseClaiming && ev == QueueFull:
@@ -105,7 +106,7 @@
 	}
 }
 
-// Answered takes the answer to the call after Send.
+// Answered handles the response to the call after Send.
 func (a *Attempt) Answered(answer Answer) []Effect {
 	if a.phase != phaseSent {
 		return nil
@@ -117,13 +118,13 @@
 	return append([]Effect{Append{Record: a.outcome(answer)}}, a.reply(result)...)
 }
 
-// decide acts on the key's state while the attempt has no claim.
+// decide evaluates the key's state while the attempt has no claim.
 func (a *Attempt) decide(now time.Time) []Effect {
 	a.phase = phaseWaiting
 	e := a.table.lookup(a.call.key())
 	switch {
 	case e.claim == "":
-		return a.tryClaim(now, e)
+		return a.startClaim(now, e)
 	case e.fingerprint != a.call.Fingerprint:
 		return a.reply(Result{Execution: execution.NotRun, Reason: ReasonKeyReused})
 	case e.outcome != nil:
@@ -137,8 +138,8 @@
 	}
 }
 
-func (a *Attempt) tryClaim(now time.Time, e entry) []Effect {
-	if e.released > a.began {
+func (a *Attempt) startClaim(now time.Time, e entry) []Effect {
+	if e.releasedAt > a.readOffset {
 		return a.reply(a.refusal(ReasonReleased))
 	}
 	reason := a.table.policy.checkKey(now, a.call)
@@ -147,20 +148,21 @@
 		return a.reply(Result{Execution: execution.NotRun, Reason: reason})
 	case reason != ReasonNone:
 		return a.reply(a.refusal(reason))
-	case a.table.blocked:
+	case a.table.newerVersion:
 		return a.reply(a.refusal(ReasonVersion))
-	case a.table.away:
+	case a.table.unavailable:
 		return a.reply(a.refusal(ReasonLogUnavailable))
 	case !now.Before(a.call.Deadline):
 		return a.reply(a.refusal(ReasonTooLate))
 	}
 	a.phase = phaseClaiming
-	a.started = now
+	a.claimedAt = now
 	until := earlier(now.Add(a.table.policy.Dispatch), a.call.Deadline)
 	return []Effect{AppendClaim{Record: a.claimRecord(now), Until: until}, Wait{Until: until}}
 }
 
-// checkClaim looks for the attempt's own claim among the records read.
+// checkClaim checks whether the attempt's own claim holds the key in the records read so
+// far.
 func (a *Attempt) checkClaim(now time.Time) []Effect {
 	e := a.table.lookup(a.call.key())
 	switch {
@@ -169,31 +171,31 @@
 		return []Effect{Confirm{}}
 	case e.claim != "":
 		return a.decide(now)
-	case e.released > a.began:
+	case e.releasedAt > a.readOffset:
 		return a.reply(a.refusal(ReasonReleased))
-	case !a.inTime(now):
-		return a.giveUp(ReasonLogUnavailable)
+	case !a.withinWindow(now):
+		return a.abandon(ReasonLogUnavailable)
 	default:
-		return []Effect{Wait{Until: earlier(a.started.Add(a.table.policy.Dispatch), a.call.Deadline)}}
+		return []Effect{Wait{Until: earlier(a.claimedAt.Add(a.table.policy.Dispatch), a.call.Deadline)}}
 	}
 }
 
-// confirm is the last check before the call is sent.
+// confirm performs the last check before the call is sent.
 func (a *Attempt) confirm(now time.Time) []Effect {
-	if !a.inTime(now) {
-		return a.giveUp(ReasonTooLate)
+	if !a.withinWindow(now) {
+		return a.abandon(ReasonTooLate)
 	}
 	a.phase = phaseSent
 	return []Effect{Send{}}
 }
 
-func (a *Attempt) inTime(now time.Time) bool {
-	return now.Sub(a.started) < a.table.policy.Dispatch && now.Before(a.call.Deadline)
+func (a *Attempt) withinWindow(now time.Time) bool {
+	return now.Sub(a.claimedAt) < a.table.policy.Dispatch && now.Before(a.call.Deadline)
 }
 
-// giveUp ends an attempt that has not sent and will not. A claim is released,
+// abandon ends an attempt that has not sent its call and never will. A claim is released
 // whether or not it has reached the log.
-func (a *Attempt) giveUp(reason Reason) []Effect {
+func (a *Attempt) abandon(reason Reason) []Effect {
 	result := a.refusal(reason)
 	if a.phase == phaseWaiting {
 		return a.reply(result)
@@ -204,7 +206,8 @@
 	return append([]Effect{a.release()}, a.reply(result)...)
 }
 
-// refusal is the result of a call whose earlier attempts, if any, are not known.
+// refusal returns the result of a call that is refused without knowledge of earlier
+// attempts with its key.
 func (a *Attempt) refusal(reason Reason) Result {
 	if a.call.First {
 		return Result{Execution: execution.NotRun, Reason: reason}
@@ -222,7 +225,7 @@
 		Key:         a.call.key(),
 		Fingerprint: a.call.Fingerprint,
 		Claimant:    a.claimant,
-		Began:       a.began,
+		Began:       a.readOffset,
 		Expiry:      a.call.Deadline.Sub(now) + a.table.policy.Grace,
 	}}
 }
@@ -248,7 +251,7 @@
 	return record.Record{ID: a.claim + "/outcome", Outcome: o}
 }
 
-// replay returns the result of a key that has an outcome.
+// replay returns the result for a key that already has an outcome.
 func replay(o *record.Outcome) Result {
 	if !o.Known {
 		return Result{Execution: execution.Unknown, Replayed: true, Reason: ReasonClaimantGone}
--- a/core/order/attempt_test.go
+++ b/core/order/attempt_test.go
@@ -11,9 +11,9 @@
 	"masticbank.example/core/record"
 )
 
-// An attempt that was paused before its claim comes to nothing if a later call
-// with the same key was told not_run meanwhile.
-func TestReleaseEndsEarlierAttempts(t *testing.T) {
+// An attempt that was paused before its claim was appended must not send its call if a
+// later call with the same key was answered not_run in the meantime.
+func TestReleaseInvalidatesEarlierAttempts(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	table := order.NewTable(policy)
 	offset := uint64(0)
@@ -34,7 +34,7 @@
 			offset++
 		}
 	}
-	c := order.Call{Workspace: "w", Service: "s", Key: "k", Fingerprint: "f", Deadline: now.Add(callTime)}
+	c := order.Call{Workspace: "w", Service: "s", Key: "k", Fingerprint: "f", Deadline: now.Add(callTimeout)}
 	paused := order.NewAttempt(table, c, "paused", "a")
 	pausedClaim := paused.Begin(now)
 	repeat := order.NewAttempt(table, c, "repeat", "b")
--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -13,7 +13,8 @@
 	"masticbank.example/core/record"
 )
 
-// BenchmarkTable reads a claim and an outcome with an answer of 200 bytes a key.
+// BenchmarkTable applies, for each key, a claim and an outcome with a response of 200
+// bytes.
 func BenchmarkTable(b *testing.B) {
 	batches := make([]record.Batch, b.N)
 	size := 0
--- a/core/order/key.go
+++ b/core/order/key.go
@@ -15,8 +15,8 @@
 	uuidTimeSize = 6
 )
 
-// KeyDate returns the time in key if it is a UUID of version 7 (RFC 9562,
-// section 5.7).
+// KeyDate returns the timestamp in key if it is a UUID of version 7 (RFC 9562, section
+// 5.7).
 func KeyDate(key string) (time.Time, bool) {
 	if len(key) != uuidLength || strings.Count(key, "-") != uuidGroups-1 {
 		return time.Time{}, false
@@ -32,11 +32,11 @@
 	return time.UnixMilli(ms), true
 }
 
-// checkKey returns the reason why the key of c can't be claimed at now.
+// checkKey returns the reason why the key of c can't be claimed at now, or ReasonNone.
 func (p Policy) checkKey(now time.Time, c Call) Reason {
-	named := c.Workspace != "" && c.Service != "" && c.Key != "" && c.Fingerprint != ""
-	short := max(len(c.Workspace), len(c.Service), len(c.Fingerprint)) <= record.MaxName && len(c.Key) <= record.MaxKey
-	if !named || !short {
+	complete := c.Workspace != "" && c.Service != "" && c.Key != "" && c.Fingerprint != ""
+	withinLimits := max(len(c.Workspace), len(c.Service), len(c.Fingerprint)) <= record.MaxName && len(c.Key) <= record.MaxKey
+	if !complete || !withinLimits {
 		return ReasonMalformed
 	}
 	date, ok := KeyDate(c.Key)
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -1,24 +1,23 @@
-// Package order decides on non-idempotent calls, so that each key is sent to its
-// service at most once. It performs no I/O. A Table holds what the orders stream
-// says of each key; an Attempt takes one call from its arrival to its result.
+// Package order coordinates non-idempotent calls so that each key is sent to its service at
+// most once. It performs no I/O. A Table holds the state of each key from the records of
+// the orders stream; an Attempt handles one call from its arrival to its result.
 //
 // Invariants:
 //
-//  1. The state of a key depends only on its records, in log order: the first
-//     valid claim holds it until an outcome ends it or a release frees it. Time
-//     never frees a key, so a claimant may pause anywhere.
-//  2. An attempt sends only after it has read its own claim as the holder, and
-//     only within the dispatch window, counted from before the append.
-//  3. A claim is valid only if no release of its key lies at or above the offset
-//     that its claimant had read when the call arrived. So a release ends every
-//     attempt that began before it, and copies of claims come to nothing.
-//  4. NotRun is answered only if this attempt will never send, and either its own
-//     claim held the key or the caller vouches that it has not sent the key
-//     before. Otherwise an earlier attempt elsewhere may have run or may still
-//     run, and the answer is Unknown.
-//  5. Keys older than the acceptance window are never claimed. The window is
-//     shorter than the log's retention, so all records of a key that may be
-//     claimed are still kept, or have been read.
+//  1. The state of a key depends only on its records, in log order: the first valid claim holds
+//     the key until an outcome completes it or a release frees it. Time alone never frees a key,
+//     so a claimant may pause at any point.
+//  2. An attempt sends only after it has read its own claim as the holder, and only within the
+//     dispatch window, which starts before the append.
+//  3. A claim is valid only if no release of its key lies at or above the offset up to which its
+//     claimant had read when the call arrived. So a release invalidates every attempt that began
+//     before it, and duplicates of claims have no effect.
+//  4. NotRun is returned only if this attempt will never send, and either its own claim held the
+//     key or the client asserts that it has not sent the key before. Otherwise an earlier attempt
+//     elsewhere may have run or may still run, and the result is Unknown.
+//  5. Keys older than the acceptance window are never claimed. The window is shorter than the
+//     log's retention, so all records of a key that may be claimed are still retained or were
+//     read before.
 package order
 
 import (
@@ -36,16 +35,16 @@
 	Workspace string
 	Service   string
 	Key       string
-	// Fingerprint is a hash of the request; a key is bound to the first one.
+	// Fingerprint is a hash of the request. A key is bound to its first fingerprint.
 	Fingerprint string
-	// Date is when the caller made the key, which must not change when the call
-	// is repeated. The zero value means unknown: the caller then promises not to
-	// repeat the key after the acceptance window. A UUIDv7 key carries its date.
+	// Date is when the client created the key. It must not change when the call is
+	// repeated. The zero value means unknown: the client then guarantees not to repeat the
+	// key after the acceptance window. A UUIDv7 key contains its date.
 	Date time.Time
-	// First is set if the caller vouches that it has not sent this key before.
-	// Without it a refusal is answered NotRun only where the log proves it.
+	// First is set if the client asserts that it has not sent this key before. Without it a
+	// refusal is NotRun only if the log proves it.
 	First bool
-	// Deadline is when the caller gives up. It is required.
+	// Deadline is when the client stops waiting. It is required.
 	Deadline time.Time
 }
 
@@ -53,19 +52,19 @@
 	return record.OrderKey{Workspace: c.Workspace, Service: c.Service, Key: c.Key}
 }
 
-// Answer is the answer of a service to one call.
+// Answer is the response of a service to one call.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Execution is NotRun if nothing was written to the service or if it refused
-	// the call in its protocol.
+	// Execution is NotRun if nothing was written to the service or if the service's
+	// protocol indicates that it refused the call.
 	Execution execution.Status
 }
 
-// Result is what the caller is told.
+// Result is the result of a call as returned to the client.
 type Result struct {
-	// Answer is set if Reason is ReasonNone; an Unknown execution may have none.
+	// Answer is set if Reason is ReasonNone. It may be empty if the execution is Unknown.
 	Answer    Answer
 	Execution execution.Status
 	// Replayed is set if Answer was recorded by an earlier call.
@@ -73,10 +72,10 @@
 	Reason   Reason
 }
 
-// Reason tells why a Result holds no answer.
+// Reason is why a Result contains no response.
 type Reason string
 
-// Reasons of a Result without an answer.
+// Reasons of a Result without a response.
 const (
 	ReasonNone           Reason = ""
 	ReasonMalformed      Reason = "key_malformed"
@@ -94,24 +93,26 @@
 	ReasonVersion        Reason = "log_record_of_newer_version"
 )
 
-// Policy holds the times of the order protocol.
+// Policy holds the timing of the order protocol.
 type Policy struct {
-	// Window is how long after its date a key may be claimed.
+	// Window is how long after its date a key may be claimed (the acceptance window).
 	Window time.Duration
-	// Retention is how long the log keeps a record at least.
+	// Retention is the minimum time for which the log retains a record.
 	Retention time.Duration
-	// Dispatch is how long after a claim's append its claimant may send.
+	// Dispatch is how long after the append of a claim its claimant may send the call (the
+	// dispatch window).
 	Dispatch time.Duration
-	// Skew bounds the differences between the clocks of callers and instances.
+	// Skew bounds the difference between the clocks of clients and instances.
 	Skew time.Duration
-	// Grace is added to a claim's deadline before its claimant counts as gone.
+	// Grace is the time after a call's deadline until its claimant is considered failed.
 	Grace time.Duration
 }
 
-// ErrPolicy means that keys could outlive what the log keeps.
+// ErrPolicy means that keys could be claimed after the log has discarded some of their
+// records.
 var ErrPolicy = errors.New("acceptance window, dispatch window and clock skew must together be shorter than the log's retention")
 
-// Validate checks that the log keeps every record of a key that may be claimed.
+// Validate checks that the log retains every record of a key that may be claimed.
 func (p Policy) Validate() error {
 	if p.Window <= 0 || p.Dispatch <= 0 || p.horizon() >= p.Retention {
 		return ErrPolicy
@@ -119,11 +120,11 @@
 	return nil
 }
 
-// horizon is how long a key is remembered after its last record; by then no
-// instance claims it any more.
+// horizon is how long the state of a key is kept after its last record; by then no instance
+// claims the key any more.
 func (p Policy) horizon() time.Duration { return p.Window + p.Dispatch + 2*p.Skew }
 
-// Shard returns the shard, from 0 to n-1, of a call's key.
+// Shard returns the shard of a call's key, from 0 to n-1.
 func Shard(key record.OrderKey, n int) int {
 	h := xxhash.New()
 	for _, part := range []string{key.Workspace, key.Service, key.Key} {
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -22,11 +22,11 @@
 }
 
 const (
-	instances = 3
-	keys      = 2
-	maxSteps  = 600
-	callTime  = 120 * time.Millisecond
-	maxSkew   = 10 * time.Millisecond
+	instances   = 3
+	keys        = 2
+	maxSteps    = 600
+	callTimeout = 120 * time.Millisecond
+	maxSkew     = 10 * time.Millisecond
 )
 
 var policy = order.Policy{
@@ -37,7 +37,7 @@
 	Grace:     50 * time.Millisecond,
 }
 
-type stored struct {
+type logRecord struct {
 	at   time.Time
 	data []byte
 }
@@ -47,46 +47,46 @@
 	skew  time.Duration
 }
 
-// call is one attempt with the effects that its instance has not carried out.
+// call is one attempt with the effects that its instance has not performed yet.
 type call struct {
-	key     *key
-	on      *instance
-	attempt *order.Attempt
-	todo    []order.Effect
-	claimed time.Time
-	serial  int
+	key      *key
+	instance *instance
+	attempt  *order.Attempt
+	effects  []order.Effect
+	claimed  time.Time
+	serial   int
 }
 
-// key is one order and its caller, who repeats it after giving up the last call.
+// key is one order and its client, which repeats it after abandoning the previous call.
 type key struct {
-	name     string
-	made     time.Time
-	dated    bool
-	waiting  *call
-	calls    int
-	recorded int
-	body     string
-	// notRun is the serial number at which the caller was last told NotRun.
+	name      string
+	createdAt time.Time
+	dated     bool
+	waiting   *call
+	calls     int
+	recorded  int
+	body      string
+	// notRun is the serial number at the last NotRun result that the client received.
 	notRun int
 }
 
-type world struct {
-	rng       *rand.Rand
-	now       time.Time
-	log       []stored
-	first     int
-	down      bool
-	flight    []record.Record
-	instances []*instance
-	calls     []*call
-	keys      []*key
-	serial    int
-	names     int
+type simulation struct {
+	rng            *rand.Rand
+	now            time.Time
+	log            []logRecord
+	first          int
+	logUnavailable bool
+	inFlight       []record.Record
+	instances      []*instance
+	calls          []*call
+	keys           []*key
+	serial         int
+	names          int
 }
 
-func newWorld(t *rapid.T) *world {
+func newWorld(t *rapid.T) *simulation {
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "schedule"), 0))
-	w := &world{rng: rng, now: time.UnixMilli(1_000_000), names: keys}
+	w := &simulation{rng: rng, now: time.UnixMilli(1_000_000), names: keys}
 	for range instances {
 		w.instances = append(w.instances, w.newInstance(t))
 	}
@@ -97,17 +97,17 @@
 	return w
 }
 
-func (w *world) newInstance(t *rapid.T) *instance {
+func (w *simulation) newInstance(t *rapid.T) *instance {
 	skew := time.Duration(w.rng.Int64N(2*int64(maxSkew))) - maxSkew
 	return &instance{table: order.NewTable(policy), skew: skew}
 }
 
 func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
 
-func (w *world) time(i *instance) time.Time { return w.now.Add(i.skew) }
+func (w *simulation) time(i *instance) time.Time { return w.now.Add(i.skew) }
 
-func (w *world) read(i *instance, limit int) {
-	if w.down {
+func (w *simulation) read(i *instance, limit int) {
+	if w.logUnavailable {
 		i.table.SetAway(true)
 		return
 	}
@@ -120,16 +120,17 @@
 	i.table.Apply(w.time(i), b)
 }
 
-func (w *world) truncate() {
+func (w *simulation) truncate() {
 	for w.first < len(w.log) && w.now.Sub(w.log[w.first].at) > policy.Retention {
 		w.first++
 	}
 }
 
-// send is the caller's first call or a repeat, which gives up the last call.
-func (w *world) send(t *rapid.T, k *key) *call {
+// send makes the client's first call with a key, or a repeat that abandons the previous
+// call.
+func (w *simulation) send(t *rapid.T, k *key) *call {
 	if k.calls == 0 {
-		k.made = w.now
+		k.createdAt = w.now
 	}
 	w.serial++
 	k.calls++
@@ -137,46 +138,46 @@
 	c := order.Call{
 		Workspace: "w", Service: "s", Key: k.name, Fingerprint: "f",
 		First:    k.calls == 1,
-		Deadline: w.time(i).Add(callTime),
+		Deadline: w.time(i).Add(callTimeout),
 	}
 	if k.dated {
-		c.Date = k.made
+		c.Date = k.createdAt
 	}
 	claim := record.ID(fmt.Sprint("claim", w.serial))
-	made := &call{key: k, on: i, attempt: order.NewAttempt(i.table, c, claim, "i"), serial: w.serial}
-	made.todo = made.attempt.Begin(w.time(i))
-	k.waiting = made
-	w.calls = append(w.calls, made)
-	return made
+	sent := &call{key: k, instance: i, attempt: order.NewAttempt(i.table, c, claim, "i"), serial: w.serial}
+	sent.effects = sent.attempt.Begin(w.time(i))
+	k.waiting = sent
+	w.calls = append(w.calls, sent)
+	return sent
 }
 
-// run carries out the next effect of c; wake steps a waiting attempt.
-func (w *world) run(t *rapid.T, c *call) {
-	next := c.todo[0]
+// run performs the next effect of c. A Wait effect continues with Wake.
+func (w *simulation) run(t *rapid.T, c *call) {
+	next := c.effects[0]
 	switch e := next.(type) {
 	case order.AppendClaim:
 		c.claimed = w.now
-		w.flight = append(w.flight, e.Record)
-		c.todo = c.todo[1:]
+		w.inFlight = append(w.inFlight, e.Record)
+		c.effects = c.effects[1:]
 	case order.Append:
-		w.flight = append(w.flight, e.Record)
-		c.todo = c.todo[1:]
+		w.inFlight = append(w.inFlight, e.Record)
+		c.effects = c.effects[1:]
 	case order.Wait:
-		c.todo = c.attempt.Step(w.time(c.on), order.Wake)
+		c.effects = c.attempt.Step(w.time(c.instance), order.Wake)
 	case order.Confirm:
-		c.todo = c.attempt.Step(w.time(c.on), order.ConfirmSend)
-		if _, ok := c.todo[0].(order.Send); ok {
+		c.effects = c.attempt.Step(w.time(c.instance), order.ConfirmSend)
+		if _, ok := c.effects[0].(order.Send); ok {
 			require.Less(t, w.now.Sub(c.claimed), policy.Dispatch, "sent after the dispatch window")
 		}
 	case order.Send:
-		c.todo = c.attempt.Answered(w.serve(t, c))
+		c.effects = c.attempt.Answered(w.serve(t, c))
 	case order.Reply:
-		w.reply(t, c, e.Result)
-		c.todo = nil
+		w.handleReply(t, c, e.Result)
+		c.effects = nil
 	}
 }
 
-func (w *world) serve(t *rapid.T, c *call) order.Answer {
+func (w *simulation) serve(t *rapid.T, c *call) order.Answer {
 	fate := pick(w.rng, []string{"ran", "ran", "lost answer", "lost call", "refused"})
 	if fate == "refused" {
 		return order.Answer{Status: 503, Execution: execution.NotRun}
@@ -194,7 +195,7 @@
 	return order.Answer{Status: 200, Body: []byte(c.key.body), Execution: execution.Ran}
 }
 
-func (w *world) reply(t *rapid.T, c *call, r order.Result) {
+func (w *simulation) handleReply(t *rapid.T, c *call, r order.Result) {
 	k := c.key
 	if k.waiting != c {
 		return
@@ -202,7 +203,7 @@
 	k.waiting = nil
 	switch r.Execution {
 	case execution.NotRun:
-		require.Zero(t, k.recorded, "not_run told of recorded key %s: %s", k.name, r.Reason)
+		require.Zero(t, k.recorded, "not_run returned for recorded key %s: %s", k.name, r.Reason)
 		k.notRun = w.serial
 	case execution.Ran:
 		require.Equal(t, 1, k.recorded)
@@ -211,7 +212,7 @@
 	}
 }
 
-func (w *world) drop(c *call) {
+func (w *simulation) removeCall(c *call) {
 	for i, other := range w.calls {
 		if other == c {
 			w.calls = append(w.calls[:i], w.calls[i+1:]...)
@@ -220,49 +221,49 @@
 	}
 }
 
-func (w *world) crash(t *rapid.T) {
+func (w *simulation) crash(t *rapid.T) {
 	i := w.rng.IntN(len(w.instances))
 	for _, c := range append([]*call(nil), w.calls...) {
-		if c.on == w.instances[i] {
-			w.drop(c)
+		if c.instance == w.instances[i] {
+			w.removeCall(c)
 		}
 	}
 	w.instances[i] = w.newInstance(t)
 }
 
-func (w *world) deliver(t *rapid.T) {
-	i := w.rng.IntN(len(w.flight))
-	r := w.flight[i]
+func (w *simulation) deliver(t *rapid.T) {
+	i := w.rng.IntN(len(w.inFlight))
+	r := w.inFlight[i]
 	data, err := record.Encode(r)
 	require.NoError(t, err)
-	w.log = append(w.log, stored{at: w.now, data: data})
+	w.log = append(w.log, logRecord{at: w.now, data: data})
 	repeated := w.rng.IntN(4) == 0
 	if !repeated {
-		w.flight = append(w.flight[:i], w.flight[i+1:]...)
+		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	}
 }
 
-func (w *world) step(t *rapid.T) {
+func (w *simulation) step(t *rapid.T) {
 	if len(w.calls) == 0 {
 		return
 	}
 	c := pick(w.rng, w.calls)
 	for range 1 + w.rng.IntN(3) {
-		if len(c.todo) > 0 {
+		if len(c.effects) > 0 {
 			w.run(t, c)
 		}
 	}
-	if len(c.todo) == 0 {
-		w.drop(c)
+	if len(c.effects) == 0 {
+		w.removeCall(c)
 	}
 }
 
-// act takes one action; those above the last case leave the world as it is.
-func (w *world) act(t *rapid.T) {
+// act performs one random action. Numbers whose condition does not hold change nothing.
+func (w *simulation) act(t *rapid.T) {
 	switch n := w.rng.IntN(40); {
 	case n < 14:
 		w.step(t)
-	case n < 20 && len(w.flight) > 0 && !w.down:
+	case n < 20 && len(w.inFlight) > 0 && !w.logUnavailable:
 		w.deliver(t)
 	case n < 28:
 		w.read(pick(w.rng, w.instances), 1+w.rng.IntN(8))
@@ -273,22 +274,22 @@
 	case n == 35 && w.rng.IntN(3) == 0:
 		w.now = w.now.Add(policy.Retention + policy.Window*time.Duration(w.rng.IntN(2)))
 	case n == 36:
-		w.down = !w.down && w.rng.IntN(6) == 0
+		w.logUnavailable = !w.logUnavailable && w.rng.IntN(6) == 0
 	case n == 37:
 		w.truncate()
 	case n == 38 && w.rng.IntN(4) == 0:
 		w.crash(t)
 	case n == 39:
-		w.callerGone(t)
+		w.clientGone(t)
 	}
 }
 
-// repeat sends a key, of which a new one may take the place.
-func (w *world) repeat(t *rapid.T) {
+// repeat sends a key again or replaces it by a new one.
+func (w *simulation) repeat(t *rapid.T) {
 	i := w.rng.IntN(len(w.keys))
 	k := w.keys[i]
-	promised := k.dated || k.calls == 0 || w.now.Sub(k.made) <= policy.Window
-	replaced := w.now.Sub(k.made) > policy.Window && w.rng.IntN(3) == 0
+	promised := k.dated || k.calls == 0 || w.now.Sub(k.createdAt) <= policy.Window
+	replaced := w.now.Sub(k.createdAt) > policy.Window && w.rng.IntN(3) == 0
 	if promised && (k.calls == 0 || !replaced) {
 		w.send(t, k)
 		return
@@ -297,19 +298,19 @@
 	w.keys[i] = &key{name: strconv.Itoa(w.names), dated: w.rng.IntN(2) == 0}
 }
 
-func (w *world) callerGone(t *rapid.T) {
+func (w *simulation) clientGone(t *rapid.T) {
 	c := pick(w.rng, w.keys).waiting
 	if c == nil {
 		return
 	}
-	if effects := c.attempt.Step(w.time(c.on), order.CallerGone); len(effects) > 0 {
-		c.todo = effects
+	if effects := c.attempt.Step(w.time(c.instance), order.CallerGone); len(effects) > 0 {
+		c.effects = effects
 	}
 }
 
-// Through crashes, pauses at any step, lost answers, outages, forgotten records
-// and repeats through other instances, no order is recorded twice, none that was
-// told not_run is recorded, and a recorded answer is replayed.
+// With crashes, pauses at any step, lost responses, outages, discarded records and repeats
+// through other instances, no order is recorded twice, none with the result not_run is
+// recorded, and a recorded response is replayed.
 func TestOrdersAreRecordedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -320,9 +321,9 @@
 	})
 }
 
-// settle ends all attempts and repeats each key whose outcome is in the log.
-func (w *world) settle(t *rapid.T) {
-	w.down = false
+// settle completes all attempts and repeats each key whose outcome is in the log.
+func (w *simulation) settle(t *rapid.T) {
+	w.logUnavailable = false
 	for len(w.calls) > 0 {
 		w.now = w.now.Add(policy.Dispatch)
 		w.step(t)
@@ -342,14 +343,14 @@
 		w.read(i, len(w.log))
 	}
 	for _, k := range w.keys {
-		tooOld := w.now.Sub(k.made) > policy.Window-policy.Skew
+		tooOld := w.now.Sub(k.createdAt) > policy.Window-policy.Skew
 		if !ended[k.name] || tooOld {
 			continue
 		}
 		c := w.send(t, k)
-		reply, ok := c.todo[0].(order.Reply)
+		reply, ok := c.effects[0].(order.Reply)
 		require.True(t, ok)
 		require.True(t, reply.Result.Replayed)
-		w.reply(t, c, reply.Result)
+		w.handleReply(t, c, reply.Result)
 	}
 }
--- a/core/order/table.go
+++ b/core/order/table.go
@@ -8,60 +8,61 @@
 	"masticbank.example/core/record"
 )
 
-// Table is the state of all keys that may still be claimed or repeated.
-// It is not safe for concurrent use.
+// Table holds the state of all keys that may still be claimed or repeated. It is not safe
+// for concurrent use.
 type Table struct {
 	policy  Policy
 	next    uint64
 	entries map[record.OrderKey]*entry
-	// ages holds the entries in the order of their last record.
-	ages    *list.List
-	away    bool
-	blocked bool
+	// byAge holds the entries in the order of their last record, oldest first.
+	byAge        *list.List
+	unavailable  bool
+	newerVersion bool
 }
 
 type entry struct {
-	key  record.OrderKey
-	age  *list.Element
-	read time.Time
+	key     record.OrderKey
+	element *list.Element
+	readAt  time.Time
 
-	// claim is the ID of the claim that holds the key, or empty.
+	// claim is the record ID of the claim that holds the key, or empty.
 	claim       record.ID
 	fingerprint string
 	expires     time.Time
 	outcome     *record.Outcome
-	// released is the offset after the last release.
-	released uint64
+	// releasedAt is the offset after the last release.
+	releasedAt uint64
 }
 
 // NewTable returns an empty Table at the start of the stream.
 func NewTable(policy Policy) *Table {
-	return &Table{policy: policy, entries: map[record.OrderKey]*entry{}, ages: list.New()}
+	return &Table{policy: policy, entries: map[record.OrderKey]*entry{}, byAge: list.New()}
 }
 
 // Next returns the offset to read next.
 func (t *Table) Next() uint64 { return t.next }
 
-// Len returns the number of keys held.
+// Len returns the number of keys in the table.
 func (t *Table) Len() int { return len(t.entries) }
 
-// SetAway notes whether the log can be read.
-func (t *Table) SetAway(away bool) { t.away = away }
+// SetAway records whether the log is unavailable.
+func (t *Table) SetAway(unavailable bool) { t.unavailable = unavailable }
 
-// Apply takes the batch that a read from Next returned at now. It returns the
-// keys that changed, and whether records were missed and the Table began anew.
+// Apply applies the batch that a read from Next returned at now. It returns the keys that
+// changed, and whether records were missed after earlier ones had been read, so that the
+// Table was reset.
 func (t *Table) Apply(now time.Time, b record.Batch) (changed []record.OrderKey, gap bool) {
-	t.away = false
+	t.unavailable = false
 	if b.First > t.next {
 		gap = t.reset(b.First)
 	}
 	for _, e := range b.Entries {
-		if e.Offset < t.next || t.blocked {
+		if e.Offset < t.next || t.newerVersion {
 			continue
 		}
 		r, err := record.Decode(e.Data)
 		if errors.Is(err, record.ErrVersion) {
-			t.blocked = true
+			t.newerVersion = true
 			continue
 		}
 		t.next = e.Offset + 1
@@ -72,16 +73,16 @@
 			changed = append(changed, key)
 		}
 	}
-	t.forget(now)
+	t.expire(now)
 	return changed, gap
 }
 
-// reset starts again at first. It reports whether anything had been read.
+// reset clears the table and continues at first. It reports whether anything had been read.
 func (t *Table) reset(first uint64) bool {
 	started := t.next > 0
 	t.next = first
 	t.entries = map[record.OrderKey]*entry{}
-	t.ages.Init()
+	t.byAge.Init()
 	return started
 }
 
@@ -98,7 +99,7 @@
 		return r.Outcome.Key, true
 	case r.Release != nil:
 		e := t.touch(now, r.Release.Key)
-		e.released = offset + 1
+		e.releasedAt = offset + 1
 		if e.claim == r.Release.Claim && e.outcome == nil {
 			e.claim = ""
 		}
@@ -110,7 +111,7 @@
 
 func (t *Table) applyClaim(now time.Time, id record.ID, c *record.Claim) {
 	e := t.touch(now, c.Key)
-	if e.claim != "" || c.Began < e.released {
+	if e.claim != "" || c.Began < e.releasedAt {
 		return
 	}
 	e.claim = id
@@ -122,22 +123,22 @@
 	e, ok := t.entries[key]
 	if !ok {
 		e = &entry{key: key}
-		e.age = t.ages.PushBack(e)
+		e.element = t.byAge.PushBack(e)
 		t.entries[key] = e
 	}
-	e.read = now
-	t.ages.MoveToBack(e.age)
+	e.readAt = now
+	t.byAge.MoveToBack(e.element)
 	return e
 }
 
-// forget drops keys that are too old to be claimed.
-func (t *Table) forget(now time.Time) {
-	for front := t.ages.Front(); front != nil; front = t.ages.Front() {
+// expire deletes keys that are too old to be claimed.
+func (t *Table) expire(now time.Time) {
+	for front := t.byAge.Front(); front != nil; front = t.byAge.Front() {
 		e, ok := front.Value.(*entry)
-		if !ok || now.Sub(e.read) <= t.policy.horizon() {
+		if !ok || now.Sub(e.readAt) <= t.policy.horizon() {
 			return
 		}
-		t.ages.Remove(front)
+		t.byAge.Remove(front)
 		delete(t.entries, e.key)
 	}
 }
--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -1,35 +1,37 @@
-// Package readers chooses the few instances that read from a shared source for all. Each
-// instance decides for itself, from the instances that it is connected to: in a group that
-// is cut off from the rest, some read as well. It has no I/O and no clock.
+// Package readers selects the designated readers: the few instances that read from a shared
+// source on behalf of all. Each instance decides by itself from the instances that it is
+// connected to, so that both sides of a network partition have readers. The package
+// performs no I/O and has no clock.
 package readers
 
 import "github.com/cespare/xxhash/v2"
 
-// Among tells whether self is one of the count instances with the highest weights (by a
-// hash of the name) among itself and the others. The chance is the same for each name.
+// Among reports whether self is one of the count instances with the highest weights among
+// itself and the others. The weight is a hash of the name, so that each name is equally
+// likely to be selected.
 func Among(self string, others []string, count int) bool {
-	before := 0
+	higher := 0
 	for _, o := range others {
-		if above(o, self) {
-			before++
+		if outranks(o, self) {
+			higher++
 		}
 	}
-	return before < count
+	return higher < count
 }
 
-// First returns the one with the highest weight, or "" of none.
+// First returns the name with the highest weight, or "" if there are no names.
 func First(names []string) string {
 	first := ""
 	for i, name := range names {
-		if i == 0 || above(name, first) {
+		if i == 0 || outranks(name, first) {
 			first = name
 		}
 	}
 	return first
 }
 
-// above tells whether a has a higher weight than b.
-func above(a, b string) bool {
+// outranks reports whether a has a higher weight than b. Equal weights are ordered by name.
+func outranks(a, b string) bool {
 	wa, wb := xxhash.Sum64String(a), xxhash.Sum64String(b)
 	return wa > wb || (wa == wb && a > b)
 }
--- a/core/readers/readers_test.go
+++ b/core/readers/readers_test.go
@@ -10,9 +10,9 @@
 	"masticbank.example/core/readers"
 )
 
-// TestEachGroupHasReaders cuts the instances into groups that know only themselves: each
-// has exactly count readers, or all if it is smaller.
-func TestEachGroupHasReaders(t *testing.T) {
+// A network partition splits the instances into groups that know only their own members:
+// each group has exactly count readers, or all its members if it is smaller.
+func TestEachPartitionHasDesignatedReaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 8).Draw(t, "count")
 		groups := map[int][]string{}
--- a/core/zoneload/zoneload.go
+++ b/core/zoneload/zoneload.go
@@ -1,8 +1,9 @@
-// Package zoneload adds up the load that entry instances have on the replicas. In large
-// systems an instance tells its load to those of its own zone only. One instance of each
-// zone, its relay, tells the sum to the relays of the other zones, and passes on what they
-// tell. Messages then grow with the instances of a zone and not with the square of all.
-// The package has no I/O and no clock.
+// Package zoneload sums the load that entry instances put on the replicas. In large systems
+// an instance sends its load only to the instances of its own zone. One instance of each
+// zone, its relay, sends the zone's sum to the relays of the other zones and forwards the
+// sum of the other zones to its own. The number of messages per zone then depends on the
+// size of the zone instead of the square of the number of all instances. The package
+// performs no I/O and has no clock.
 package zoneload
 
 import (
@@ -11,14 +12,15 @@
 	"masticbank.example/core/pipeline"
 )
 
-// Loads is the load of one instance, or the sum of several.
+// Loads is the load of one instance or the sum of several.
 type Loads struct {
-	// Upstreams is by replica, Links by pair of zones, in prompt tokens a second.
+	// Upstreams holds the load by replica, Links the prompt tokens per second by pair of
+	// zones.
 	Upstreams map[uint32]pipeline.Load
 	Links     map[uint32]float64
 }
 
-// New returns a Loads without load.
+// New returns an empty Loads.
 func New() Loads { return Loads{Upstreams: map[uint32]pipeline.Load{}, Links: map[uint32]float64{}} }
 
 func (l Loads) add(other Loads) {
@@ -34,58 +36,58 @@
 	}
 }
 
-// Sums holds what one instance was told. It is not safe for concurrent use.
+// Sums holds the loads that one instance received. It is not safe for concurrent use.
 type Sums struct {
-	zone   string
-	peers  map[string]told
-	zones  map[string]told
-	others told
+	zone       string
+	peers      map[string]receivedLoad
+	zones      map[string]receivedLoad
+	otherZones receivedLoad
 }
 
-type told struct {
-	at   time.Time
-	zone string
+type receivedLoad struct {
+	receivedAt time.Time
+	zone       string
 	Loads
 }
 
-// NewSums returns the Sums of an instance in a zone.
+// NewSums returns an empty Sums for an instance in a zone.
 func NewSums(zone string) *Sums {
-	return &Sums{zone: zone, peers: map[string]told{}, zones: map[string]told{}, others: told{Loads: New()}}
+	return &Sums{zone: zone, peers: map[string]receivedLoad{}, zones: map[string]receivedLoad{}, otherZones: receivedLoad{Loads: New()}}
 }
 
-// Peer takes the load of another instance, in place of what it told before.
+// Peer records the load of another instance. It replaces the one recorded before.
 func (s *Sums) Peer(now time.Time, id, zone string, l Loads) {
-	s.peers[id] = told{at: now, zone: zone, Loads: l}
+	s.peers[id] = receivedLoad{receivedAt: now, zone: zone, Loads: l}
 }
 
-// Zone takes the sum of another zone from its relay.
+// Zone records the sum of another zone that its relay sent.
 func (s *Sums) Zone(now time.Time, zone string, l Loads) {
 	if zone != s.zone {
-		s.zones[zone] = told{at: now, zone: zone, Loads: l}
+		s.zones[zone] = receivedLoad{receivedAt: now, zone: zone, Loads: l}
 	}
 }
 
-// Others takes the sum of all other zones from the relay of this one.
-func (s *Sums) Others(now time.Time, l Loads) { s.others = told{at: now, Loads: l} }
+// Others records the sum of all other zones that the relay of this zone sent.
+func (s *Sums) Others(now time.Time, l Loads) { s.otherZones = receivedLoad{receivedAt: now, Loads: l} }
 
-// Expire forgets what was told before oldest.
+// Expire deletes loads that were received before oldest.
 func (s *Sums) Expire(oldest time.Time) {
 	for id, p := range s.peers {
-		if p.at.Before(oldest) {
+		if p.receivedAt.Before(oldest) {
 			delete(s.peers, id)
 		}
 	}
 	for zone, z := range s.zones {
-		if z.at.Before(oldest) {
+		if z.receivedAt.Before(oldest) {
 			delete(s.zones, zone)
 		}
 	}
-	if s.others.at.Before(oldest) {
-		s.others = told{Loads: New()}
+	if s.otherZones.receivedAt.Before(oldest) {
+		s.otherZones = receivedLoad{Loads: New()}
 	}
 }
 
-// OwnZone returns the sum of this zone, with the load of this instance.
+// OwnZone returns the sum of this zone, including the load of this instance.
 func (s *Sums) OwnZone(own Loads) Loads {
 	sum := New()
 	sum.add(own)
@@ -97,7 +99,7 @@
 	return sum
 }
 
-// OtherZones returns the sum of the other zones, as a relay knows it.
+// OtherZones returns the sum of the other zones. It is complete on a relay only.
 func (s *Sums) OtherZones() Loads {
 	sum := New()
 	for _, z := range s.zones {
@@ -106,8 +108,8 @@
 	return sum
 }
 
-// Foreign returns the load of all other instances. A relay knows the other zones from
-// their relays, another instance from its own.
+// Foreign returns the load of all other instances. A relay receives the load of the other
+// zones from their relays, any other instance receives it from the relay of its own zone.
 func (s *Sums) Foreign(relay bool) Loads {
 	sum := New()
 	for _, p := range s.peers {
@@ -118,7 +120,7 @@
 			sum.add(z.Loads)
 		}
 	} else {
-		sum.add(s.others.Loads)
+		sum.add(s.otherZones.Loads)
 	}
 	return sum
 }
--- a/core/zoneload/zoneload_test.go
+++ b/core/zoneload/zoneload_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(1000, 0)
 
-// TestEachInstanceKnowsTheLoadOfAllOthers tells the loads of instances in several zones
-// over their relays, in small systems without them, and compares with the plain sum.
+// Distributes the loads of instances in several zones, through relays or, as in small
+// systems, directly, and compares the result on each instance with the plain sum.
 func TestEachInstanceKnowsTheLoadOfAllOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		relays := rapid.Bool().Draw(t, "relays")
@@ -80,7 +80,7 @@
 			}
 			require.Equal(t, want, b.sums.Foreign(b.relay))
 			b.sums.Expire(start.Add(time.Second))
-			require.Equal(t, zoneload.New(), b.sums.Foreign(b.relay), "old words are forgotten")
+			require.Equal(t, zoneload.New(), b.sums.Foreign(b.relay), "old loads are deleted")
 		}
 	})
 }
