--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -23,8 +23,8 @@
 	instances = 3
 	maxSteps  = 500
 	name      = "snapshots"
-	// drift is the maximum deviation of a clock's rate, in thousandths.
-	drift = 20
+	// maxDrift is the maximum deviation of a clock's rate, in thousandths.
+	maxDrift = 20
 )
 
 var terms = lease.Terms{TTL: time.Second, Margin: 100 * time.Millisecond, Renew: 300 * time.Millisecond}
@@ -65,7 +65,7 @@
 	i := &instance{
 		name:   fmt.Sprint("i", w.names),
 		offset: time.Duration(w.rng.Int64N(int64(time.Hour))),
-		rate:   w.rng.Int64N(2*drift+1) - drift,
+		rate:   w.rng.Int64N(2*maxDrift+1) - maxDrift,
 	}
 	i.machine = lease.New(terms, i.name, i.name)
 	i.machine.Want(name, true)
@@ -93,8 +93,8 @@
 
 func (w *simulation) deliver(t *rapid.T, n int) {
 	w.append(t, w.inFlight[n])
-	answerLost := w.rng.IntN(4) == 0
-	if !answerLost {
+	responseLost := w.rng.IntN(4) == 0
+	if !responseLost {
 		w.inFlight = append(w.inFlight[:n], w.inFlight[n+1:]...)
 	}
 }
@@ -209,7 +209,7 @@
 func TestMarginCoversClockRates(t *testing.T) {
 	w := &simulation{rng: rand.New(rand.NewPCG(1, 0)), holders: map[uint64]string{}, accepted: map[uint64]string{}}
 	slow, fast := w.newInstance(), w.newInstance()
-	slow.rate, fast.rate = -drift, drift
+	slow.rate, fast.rate = -maxDrift, maxDrift
 	w.instances = []*instance{slow, fast}
 	w.read(slow, 1)
 	w.elapsed += 2 * terms.TTL
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -9,7 +9,7 @@
 )
 
 // State is the state of an instance. Within one incarnation it only increases, except that
-// an instance in state Gone returns to its reported state when a message arrives.
+// a message brings an instance that was considered failed back to its reported state.
 type State int
 
 // States of an instance.
@@ -42,7 +42,7 @@
 	// HeartbeatInterval is the maximum time between two messages of a peer.
 	HeartbeatInterval time.Duration
 	// MissedHeartbeats is the number of intervals without a message after which an instance
-	// is Gone.
+	// is considered failed.
 	MissedHeartbeats int
 }
 
@@ -52,7 +52,8 @@
 	DefaultMissedHeartbeats  = 4
 )
 
-// Event is an input of Members: Listed, Heard, SelfChanged or Tick.
+// Event is an input of Members: a list, a message of a peer, a change of the own state, or
+// the passing of time.
 type Event interface{ isEvent() }
 
 // Listed is a snapshot of the platform's list of entry instances.
@@ -135,7 +136,7 @@
 	return &Members{config: config, members: map[string]*Member{config.Self: self}}
 }
 
-// Timeout returns the time without a message after which an instance is Gone.
+// Timeout returns the time without a message after which an instance is considered failed.
 func (m *Members) Timeout() time.Duration {
 	return time.Duration(m.config.MissedHeartbeats) * m.config.HeartbeatInterval
 }
@@ -149,7 +150,7 @@
 	case Listed:
 		m.applyList(now, e.Instances)
 	case Heard:
-		if m.applyHeard(now, e) {
+		if m.applyMessage(now, e) {
 			replaced = e.ID
 		}
 	case SelfChanged:
@@ -179,8 +180,8 @@
 	}
 }
 
-// applyHeard reports whether the message is the first of a higher incarnation.
-func (m *Members) applyHeard(now time.Time, e Heard) (replaced bool) {
+// applyMessage reports whether the message is the first of a higher incarnation.
+func (m *Members) applyMessage(now time.Time, e Heard) (replaced bool) {
 	if e.ID == m.config.Self || e.ID == "" || e.State < Joining || e.State > Leaving {
 		return false
 	}
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -35,25 +35,25 @@
 
 func referenceHoldsWork(history []timedEvent, id string, now time.Time, timeout time.Duration) bool {
 	var incarnation uint64
-	var lastHeard, listedSince time.Time
+	var lastContact, listedSince time.Time
 	reported := Unheard
 	listed, leaving := false, false
 	for _, h := range history {
-		unresponsive := lastHeard.IsZero() || h.at.Sub(lastHeard) >= timeout
+		unresponsive := lastContact.IsZero() || h.at.Sub(lastContact) >= timeout
 		if unresponsive && !listed {
-			incarnation, lastHeard, reported = 0, time.Time{}, Unheard
+			incarnation, lastContact, reported = 0, time.Time{}, Unheard
 		}
 		switch e := h.event.(type) {
 		case Listed:
-			was := listed || !lastHeard.IsZero()
+			known := listed || !lastContact.IsZero()
 			at := slices.IndexFunc(e.Instances, func(l ListedInstance) bool { return l.ID == id })
 			listed = at >= 0
 			leaving = listed && e.Instances[at].Leaving
-			if listed && !was {
+			if listed && !known {
 				listedSince = h.at
 			}
 			if !listed && unresponsive {
-				incarnation, lastHeard, reported = 0, time.Time{}, Unheard
+				incarnation, lastContact, reported = 0, time.Time{}, Unheard
 			}
 		case Heard:
 			if e.ID != id || e.Incarnation < incarnation {
@@ -62,13 +62,13 @@
 			if e.Incarnation > incarnation {
 				reported = Unheard
 			}
-			incarnation, lastHeard, reported = e.Incarnation, h.at, max(reported, e.State)
+			incarnation, lastContact, reported = e.Incarnation, h.at, max(reported, e.State)
 		}
 	}
-	if lastHeard.IsZero() {
+	if lastContact.IsZero() {
 		return listed && !leaving && now.Sub(listedSince) < timeout
 	}
-	return now.Sub(lastHeard) < timeout && (reported >= Ready || leaving)
+	return now.Sub(lastContact) < timeout && (reported >= Ready || leaving)
 }
 
 func drawEvent(t *rapid.T) Event {
@@ -111,7 +111,7 @@
 	})
 }
 
-func heard(id string, incarnation uint64, state State) Heard {
+func message(id string, incarnation uint64, state State) Heard {
 	return Heard{ID: id, Incarnation: incarnation, State: state}
 }
 
@@ -119,9 +119,9 @@
 	members := New(Config{Self: "self"})
 	list := Listed{Instances: []ListedInstance{{ID: "a"}, {ID: "self"}}}
 	members.Step(start, list)
-	members.Step(start, heard("a", 1, Ready))
+	members.Step(start, message("a", 1, Ready))
 	last := start.Add(time.Minute)
-	members.Step(last, heard("a", 1, Ready))
+	members.Step(last, message("a", 1, Ready))
 	timeout := last.Add(DefaultMissedHeartbeats * DefaultHeartbeatInterval)
 	require.Less(t, timeout.Sub(last), 5*time.Second, "slots of a killed instance are used by others in under 5 s")
 	require.Empty(t, members.Step(timeout.Add(-1), list))
@@ -129,25 +129,25 @@
 	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Ready, To: Gone}}, members.Step(timeout, list))
 	require.Equal(t, []string{"self"}, members.Live(timeout))
 	require.Len(t, members.Candidates(), 1, "still listed, so still a candidate for a session")
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Gone, To: Ready}}, members.Step(timeout, heard("a", 1, Ready)))
+	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Gone, To: Ready}}, members.Step(timeout, message("a", 1, Ready)))
 }
 
 func TestLeavingIsAppliedAtOnceAndNotReverted(t *testing.T) {
 	members := New(Config{Self: "self"})
 	members.Step(start, Listed{Instances: []ListedInstance{{ID: "a"}}})
-	members.Step(start, heard("a", 5, Ready))
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 5, From: Ready, To: Leaving}}, members.Step(start, heard("a", 5, Leaving)))
+	members.Step(start, message("a", 5, Ready))
+	require.Equal(t, []Changed{{ID: "a", Incarnation: 5, From: Ready, To: Leaving}}, members.Step(start, message("a", 5, Leaving)))
 	require.Len(t, members.Candidates(), 1, "holds slots until its work ends")
 	require.Equal(t, []string{"a", "self"}, members.Live(start))
-	require.Empty(t, members.Step(start, heard("a", 5, Ready)), "an earlier state that arrives late is ignored")
-	require.Empty(t, members.Step(start, heard("a", 4, Ready)), "earlier incarnation")
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 6, From: Leaving, To: Joining}}, members.Step(start, heard("a", 6, Joining)))
+	require.Empty(t, members.Step(start, message("a", 5, Ready)), "an earlier state that arrives late is ignored")
+	require.Empty(t, members.Step(start, message("a", 4, Ready)), "earlier incarnation")
+	require.Equal(t, []Changed{{ID: "a", Incarnation: 6, From: Leaving, To: Joining}}, members.Step(start, message("a", 6, Joining)))
 	require.Equal(t, []string{"self"}, members.Live(start), "a joining instance accepts no work")
 }
 
 func TestReplacedInstanceIsReportedInSameState(t *testing.T) {
 	members := New(Config{Self: "self"})
-	members.Step(start, heard("a", 1, Ready))
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 2, From: Ready, To: Ready}}, members.Step(start, heard("a", 2, Ready)))
+	members.Step(start, message("a", 1, Ready))
+	require.Equal(t, []Changed{{ID: "a", Incarnation: 2, From: Ready, To: Ready}}, members.Step(start, message("a", 2, Ready)))
 	require.Equal(t, []Changed{{ID: "self", From: Joining, To: Ready}}, members.Step(start, SelfChanged{State: Ready}))
 }
--- a/core/order/attempt.go
+++ b/core/order/attempt.go
@@ -41,7 +41,7 @@
 // Confirm requests to call Step with ConfirmSend immediately before the call is sent.
 type Confirm struct{}
 
-// Send requests to send the call and to pass the response to Answered.
+// Send requests to send the call and to pass the response to the attempt.
 type Send struct{}
 
 // Reply returns the result of the attempt and ends it.
@@ -107,15 +107,15 @@
 }
 
 // Answered handles the response to the call after Send.
-func (a *Attempt) Answered(answer Answer) []Effect {
+func (a *Attempt) Answered(response Answer) []Effect {
 	if a.phase != phaseSent {
 		return nil
 	}
-	result := Result{Answer: answer, Execution: answer.Execution}
-	if answer.Execution == execution.NotRun {
+	result := Result{Answer: response, Execution: response.Execution}
+	if response.Execution == execution.NotRun {
 		return append([]Effect{a.release()}, a.reply(result)...)
 	}
-	return append([]Effect{Append{Record: a.outcome(answer)}}, a.reply(result)...)
+	return append([]Effect{Append{Record: a.outcome(response)}}, a.reply(result)...)
 }
 
 // decide evaluates the key's state while the attempt has no claim.
@@ -237,16 +237,16 @@
 	}}
 }
 
-func (a *Attempt) outcome(answer Answer) record.Record {
+func (a *Attempt) outcome(response Answer) record.Record {
 	o := &record.Outcome{
 		Key:    a.call.key(),
 		Claim:  a.claim,
-		Known:  answer.Execution == execution.Ran,
-		Answer: record.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body},
+		Known:  response.Execution == execution.Ran,
+		Answer: record.Answer{Status: response.Status, ContentType: response.ContentType, Body: response.Body},
 	}
-	if len(answer.Body) > record.MaxAnswer {
+	if len(response.Body) > record.MaxAnswer {
 		o.Oversize = true
-		o.Answer = record.Answer{Status: answer.Status}
+		o.Answer = record.Answer{Status: response.Status}
 	}
 	return record.Record{ID: a.claim + "/outcome", Outcome: o}
 }
@@ -259,13 +259,13 @@
 	if o.Oversize {
 		return Result{Execution: execution.Ran, Replayed: true, Reason: ReasonAnswerTooLarge}
 	}
-	answer := Answer{
+	response := Answer{
 		Status:      o.Answer.Status,
 		ContentType: o.Answer.ContentType,
 		Body:        o.Answer.Body,
 		Execution:   execution.Ran,
 	}
-	return Result{Answer: answer, Execution: execution.Ran, Replayed: true}
+	return Result{Answer: response, Execution: execution.Ran, Replayed: true}
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -67,7 +67,7 @@
 	// Answer is set if Reason is ReasonNone. It may be empty if the execution is Unknown.
 	Answer    Answer
 	Execution execution.Status
-	// Replayed is set if Answer was recorded by an earlier call.
+	// Replayed is set if the response was recorded by an earlier call.
 	Replayed bool
 	Reason   Reason
 }
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -22,18 +22,18 @@
 }
 
 const (
-	instances   = 3
-	keys        = 2
-	maxSteps    = 600
-	callTimeout = 120 * time.Millisecond
-	maxSkew     = 10 * time.Millisecond
+	instances    = 3
+	keys         = 2
+	maxSteps     = 600
+	callTimeout  = 120 * time.Millisecond
+	maxClockSkew = 10 * time.Millisecond
 )
 
 var policy = order.Policy{
 	Window:    700 * time.Millisecond,
 	Retention: 1000 * time.Millisecond,
 	Dispatch:  60 * time.Millisecond,
-	Skew:      4 * maxSkew,
+	Skew:      4 * maxClockSkew,
 	Grace:     50 * time.Millisecond,
 }
 
@@ -98,7 +98,7 @@
 }
 
 func (w *simulation) newInstance(t *rapid.T) *instance {
-	skew := time.Duration(w.rng.Int64N(2*int64(maxSkew))) - maxSkew
+	skew := time.Duration(w.rng.Int64N(2*int64(maxClockSkew))) - maxClockSkew
 	return &instance{table: order.NewTable(policy), skew: skew}
 }
 
@@ -178,18 +178,18 @@
 }
 
 func (w *simulation) serve(t *rapid.T, c *call) order.Answer {
-	fate := pick(w.rng, []string{"ran", "ran", "lost answer", "lost call", "refused"})
-	if fate == "refused" {
+	outcome := pick(w.rng, []string{"ran", "ran", "lost answer", "lost call", "refused"})
+	if outcome == "refused" {
 		return order.Answer{Status: 503, Execution: execution.NotRun}
 	}
-	if fate == "lost call" {
+	if outcome == "lost call" {
 		return order.Answer{Execution: execution.Unknown}
 	}
 	c.key.recorded++
 	c.key.body = fmt.Sprint("answer", c.serial)
 	require.Equal(t, 1, c.key.recorded, "key %s recorded twice", c.key.name)
 	require.Greater(t, c.serial, c.key.notRun, "key %s recorded after not_run", c.key.name)
-	if fate == "lost answer" {
+	if outcome == "lost answer" {
 		return order.Answer{Execution: execution.Unknown}
 	}
 	return order.Answer{Status: 200, Body: []byte(c.key.body), Execution: execution.Ran}
--- a/core/poison/verdict.go
+++ b/core/poison/admit.go
@@ -100,7 +100,7 @@
 	return r != nil && r.blocked
 }
 
-// Blocked returns the number of requests that are blocked.
+// Blocked returns the number of blocked requests.
 func (l *Ledger) Blocked() int {
 	n := 0
 	for _, r := range l.tracked {
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-func process(replica string, born int64) Incarnation {
-	return Incarnation{Replica: replica, Born: born}
+func process(replica string, startTime int64) Incarnation {
+	return Incarnation{Replica: replica, Born: startTime}
 }
 
 // runNumber gives each run a different attempt.
@@ -249,7 +249,7 @@
 			ledgers = append(ledgers, NewLedger(retention))
 		}
 		now := start
-		born := map[string]int64{}
+		startTimes := map[string]int64{}
 		inFlight := 0 // copies sent after the third crash and before all instances have its evidence
 		crashes := 0
 		for i := range rapid.IntRange(10, 60).Draw(t, "steps") {
@@ -264,22 +264,22 @@
 				if crashes >= int(blockThreshold) {
 					inFlight++
 				}
-				innocent := print(fmt.Sprint("innocent", i))
-				r := l.Process(process(id, born[id]), now)
-				l.Lost(now, lostRun(innocent, now, r))
+				harmless := print(fmt.Sprint("innocent", i))
+				r := l.Process(process(id, startTimes[id]), now)
+				l.Lost(now, lostRun(harmless, now, r))
 				crashOnce(l, now, poison, r)
-				born[id] += 10
+				startTimes[id] += 10
 				crashes++
-				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].Succeeded(now, innocent)
+				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].Succeeded(now, harmless)
 			case 1: // a replica fails independently while it runs a harmless request
 				innocent := print(fmt.Sprint("alone", i))
-				crashOnce(l, now, innocent, process(id, born[id]))
-				born[id] += 10
+				crashOnce(l, now, innocent, process(id, startTimes[id]))
+				startTimes[id] += 10
 			case 2:
-				news := l.News()
+				updates := l.News()
 				for _, other := range ledgers {
 					if other != l && rapid.Bool().Draw(t, "heard") {
-						other.Learn(now, news)
+						other.Learn(now, updates)
 					}
 				}
 			default:
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -46,7 +46,7 @@
 	maxCrashes    = 256
 	maxCandidates = 64
 	maxBlocks     = 4096
-	// MaxShared is the largest number of blocks that Recent returns.
+	// MaxShared is the maximum number of blocks that are sent to peers at once.
 	MaxShared = 64
 )
 
@@ -68,7 +68,7 @@
 	return "retry"
 }
 
-// Block is a fingerprint that is refused until Expiry.
+// Block is a fingerprint whose requests are refused until Expiry.
 type Block struct {
 	Fingerprint Fingerprint
 	Expiry      time.Time
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -51,8 +51,8 @@
 
 var poison = print("poison")
 
-// place runs a request on a random replica that it need not avoid.
-func (w *fleet) place(f Fingerprint, exclude ...string) {
+// run places a request on a random replica that it need not avoid.
+func (w *fleet) run(f Fingerprint, exclude ...string) {
 	exclude = append(exclude, w.tracker.Avoid(f)...)
 	var free []string
 	for i := range replicaCount {
@@ -84,7 +84,7 @@
 	}
 	for i, v := range w.tracker.Crash(w.now, id, candidates...) {
 		if v == Retry {
-			w.place(candidates[i], id)
+			w.run(candidates[i], id)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 			switch rapid.IntRange(0, 7).Draw(t, "operation") {
 			case 0:
 				if !w.tracker.Blocked(w.now, poison) {
-					w.place(poison)
+					w.run(poison)
 				}
 			case 1:
 				w.unrelatedCrashes++
@@ -121,7 +121,7 @@
 			default:
 				f := print(fmt.Sprint(i))
 				w.harmless = append(w.harmless, f)
-				w.place(f)
+				w.run(f)
 			}
 			for _, f := range w.harmless {
 				require.False(t, w.tracker.Blocked(w.now, f), "harmless request blocked")
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxState is the maximum number of crashes, and of clears, that State returns.
+// MaxState is the maximum number of crashes, and of clears, that are sent at once.
 const MaxState = 256
 
 // Learn merges evidence of other instances. It returns the crashes of runs lost on this
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -68,7 +68,7 @@
 	return decisions
 }
 
-// queueUpdate adds a crash to the updates that News returns.
+// queueUpdate adds a crash to the updates to send.
 func (t *Tracker) queueUpdate(c Crash) {
 	if len(t.updates.Crashes) < MaxState {
 		t.updates.Crashes = append(t.updates.Crashes, c)
@@ -103,7 +103,7 @@
 	}
 }
 
-// clear clears a fingerprint and reports whether there was any evidence against it.
+// clear discards the evidence against a fingerprint and reports whether there was any.
 func (t *Tracker) clear(now time.Time, f Fingerprint) bool {
 	if t.Blocked(now, f) {
 		t.cleared[f] = now.Add(t.retention)
--- a/core/record/record.go
+++ b/core/record/record.go
@@ -91,7 +91,8 @@
 	Claim ID       `json:"claim"`
 	// Known is false if the claimant does not know whether the upstream executed the call.
 	Known bool `json:"known"`
-	// Oversize is set if the response exceeded MaxAnswer and was omitted.
+	// Oversize is set if the body of the response was too large to be recorded and was
+	// omitted.
 	Oversize bool   `json:"oversize,omitempty"`
 	Answer   Answer `json:"answer"`
 }
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -74,14 +74,14 @@
 
 	state        record.Snapshot
 	attached     bool
-	scan         uint64
+	searchNext   uint64
 	detachReason Reason
 
 	caughtUp    bool
 	offered     bool
 	unavailable bool
 	started     bool
-	shortened   bool
+	truncated   bool
 
 	snapshot     uint64
 	haveSnapshot bool
@@ -101,7 +101,7 @@
 	if m.attached {
 		return m.state.Next
 	}
-	return m.scan
+	return m.searchNext
 }
 
 // CaughtUp reports whether the Machine follows the stream and has reached its end at least
@@ -140,7 +140,7 @@
 
 func (m *Machine) reason() Reason {
 	switch {
-	case m.shortened:
+	case m.truncated:
 		return ReasonShortened
 	case m.unavailable:
 		return ReasonUnavailable
@@ -160,8 +160,8 @@
 func (m *Machine) Apply(b record.Batch) []Verdict {
 	m.unavailable = false
 	from := m.NextRead()
-	m.shortened = b.Next < from && b.First <= from
-	if m.shortened {
+	m.truncated = b.Next < from && b.First <= from
+	if m.truncated {
 		return nil
 	}
 	if b.First > from {
@@ -176,7 +176,7 @@
 
 func (m *Machine) detach(scan uint64, reason Reason) {
 	m.attached = false
-	m.scan = scan
+	m.searchNext = scan
 	m.detachReason = reason
 }
 
@@ -185,30 +185,30 @@
 		m.caughtUp = true
 		return nil
 	}
-	var verdicts []Verdict
+	var results []Verdict
 	for _, e := range b.Entries {
 		if e.Offset < m.state.Next {
 			continue
 		}
 		if e.Offset > m.state.Next {
 			m.detach(e.Offset, ReasonNoAnchor)
-			return verdicts
+			return results
 		}
 		r, err := record.Decode(e.Data)
 		if errors.Is(err, record.ErrVersion) {
 			m.detach(e.Offset+1, ReasonVersion)
-			return verdicts
+			return results
 		}
 		m.state.Next = e.Offset + 1
 		switch {
 		case err != nil:
 		case r.Proposal != nil:
-			verdicts = append(verdicts, m.evaluate(r.ID, r.Proposal))
+			results = append(results, m.evaluate(r.ID, r.Proposal))
 		case r.Snapshot != nil:
 			m.noteSnapshot(r.Snapshot)
 		}
 	}
-	return verdicts
+	return results
 }
 
 func (m *Machine) evaluate(id record.ID, p *record.Proposal) Verdict {
@@ -259,7 +259,7 @@
 // search looks for a snapshot to start from according to the anchor rule.
 func (m *Machine) search(b record.Batch) {
 	for _, e := range b.Entries {
-		m.scan = e.Offset + 1
+		m.searchNext = e.Offset + 1
 		r, err := record.Decode(e.Data)
 		if err != nil || r.Snapshot == nil {
 			continue
--- a/core/roster/departed.go
+++ b/core/roster/departed.go
@@ -29,8 +29,8 @@
 	d.order = append(d.order, p.ID)
 }
 
-// has reports whether the process or a later one of the same replica has left.
-func (d *departures) has(p Process) bool {
+// contains reports whether the process or a later one of the same replica was added.
+func (d *departures) contains(p Process) bool {
 	born, known := d.born[p.ID]
 	return known && born >= p.Born
 }
--- a/core/roster/feed.go
+++ b/core/roster/feed.go
@@ -61,8 +61,8 @@
 }
 
 // Due returns how long this instance may still rely on the forwarding instance before it
-// must read by itself. Each forwarded set of updates, even an empty one, sets this to
-// timeout again.
+// must read by itself: until timeout has passed since updates, or an empty set of them,
+// were last forwarded.
 func (f *Feed) Due(now time.Time, timeout time.Duration) time.Duration {
 	if !f.initialized || f.forwardedAt.IsZero() {
 		return 0
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -105,9 +105,9 @@
 	// restoreGrace after it, and may be restored.
 	expiredAt time.Time
 	leaving   bool
-	// removed is set if another instance reported that the entry was removed. A later
+	// reportedRemoved is set if another instance reported the removal of the entry. A later
 	// heartbeat resets it.
-	removed bool
+	reportedRemoved bool
 }
 
 // New returns an empty roster.
@@ -159,7 +159,7 @@
 	if e.State == Draining {
 		r.departed.add(Process{ID: e.ID, Born: e.Born})
 	}
-	leaving := e.State == Draining || r.departed.has(Process{ID: e.ID, Born: e.Born})
+	leaving := e.State == Draining || r.departed.contains(Process{ID: e.ID, Born: e.Born})
 	old := r.entries[e.ID]
 	if old == nil {
 		r.claimAddress(e)
@@ -184,13 +184,13 @@
 	old.expiredAt = time.Time{}
 	// A leaving replica accepts no new work until it restarts.
 	old.leaving = leaving || (!restarted && previous.leaving)
-	old.removed = previous.removed && !restarted && e.Sequence == previous.Sequence
+	old.reportedRemoved = previous.reportedRemoved && !restarted && e.Sequence == previous.Sequence
 	switch {
 	case restarted:
 		return joinedOrLeft(leaving)
 	case old.leaving != previous.leaving:
 		return Left
-	case !sameRouting(previous.Entry, e) || !previous.expiredAt.IsZero() || old.removed != previous.removed:
+	case !sameRouting(previous.Entry, e) || !previous.expiredAt.IsZero() || old.reportedRemoved != previous.reportedRemoved:
 		return Updated
 	default:
 		return Same
@@ -320,10 +320,10 @@
 // reports whether a replica that accepted new work no longer does.
 func (r *Roster) Removed(id string) bool {
 	old := r.entries[id]
-	if old == nil || old.leaving || old.removed {
+	if old == nil || old.leaving || old.reportedRemoved {
 		return false
 	}
-	old.removed = true
+	old.reportedRemoved = true
 	return true
 }
 
@@ -334,7 +334,7 @@
 func (r *Roster) Usable(service string) []Entry {
 	var out []Entry
 	for _, e := range r.entries {
-		if e.Service == service && !e.leaving && !e.removed {
+		if e.Service == service && !e.leaving && !e.reportedRemoved {
 			out = append(out, e.Entry)
 		}
 	}
@@ -348,5 +348,5 @@
 	if old == nil {
 		return Entry{}, false, false
 	}
-	return old.Entry, old.leaving || old.removed, true
+	return old.Entry, old.leaving || old.reportedRemoved, true
 }
