--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -31,7 +31,7 @@
 // maxPending bounds the records of a task that this instance wrote and has not read back.
 const maxPending = 4
 
-// Terms holds the timing of all tasks of one stream.
+// Terms holds the durations that apply to all tasks of one stream.
 type Terms struct {
 	// TTL is how long other instances wait after a record before they acquire the task.
 	TTL time.Duration
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -95,12 +95,11 @@
 
 // Policy holds the timing of the order protocol.
 type Policy struct {
-	// Window is how long after its date a key may be claimed (the acceptance window).
+	// Window is how long after its date a key may be claimed.
 	Window time.Duration
 	// Retention is the minimum time for which the log retains a record.
 	Retention time.Duration
-	// Dispatch is how long after the append of a claim its claimant may send the call (the
-	// dispatch window).
+	// Dispatch is how long after the append of a claim its claimant may send the call.
 	Dispatch time.Duration
 	// Skew bounds the difference between the clocks of clients and instances.
 	Skew time.Duration
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -46,7 +46,8 @@
 	At          time.Time
 }
 
-// State is evidence that instances exchange. Merging is commutative and idempotent.
+// State holds crashes and successes that instances exchange. Merging is commutative and
+// idempotent.
 type State struct {
 	Crashes []Crash
 	Clears  []Clear
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -50,7 +50,7 @@
 	MaxShared = 64
 )
 
-// Verdict is the decision about a request after a crash.
+// Verdict states whether a request may run again after a crash.
 type Verdict int
 
 const (
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -11,7 +11,7 @@
 // MaxState is the maximum number of crashes, and of clears, that are sent at once.
 const MaxState = 256
 
-// Learn merges evidence of other instances. It returns the crashes of runs lost on this
+// Learn adds evidence of other instances. It returns the crashes of runs lost on this
 // instance that the evidence proves.
 func (l *Ledger) Learn(now time.Time, s State) []Crash {
 	for _, c := range s.Clears {
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -82,7 +82,7 @@
 	return updates
 }
 
-// LearnEvidence merges the observations of another instance.
+// LearnEvidence adds the observations of another instance.
 func (t *Tracker) LearnEvidence(now time.Time, s State) {
 	t.expireCrashes(now)
 	for _, c := range s.Crashes {
