--- a/core/zoneload/zoneload.go
+++ b/core/zoneload/zoneload.go
@@ -39,12 +39,12 @@
 // Sums holds the loads that one instance received. It is not safe for concurrent use.
 type Sums struct {
 	zone       string
-	peers      map[string]receivedLoad
-	zones      map[string]receivedLoad
-	otherZones receivedLoad
+	peers      map[string]received
+	zones      map[string]received
+	otherZones received
 }
 
-type receivedLoad struct {
+type received struct {
 	receivedAt time.Time
 	zone       string
 	Loads
@@ -52,23 +52,23 @@
 
 // NewSums returns an empty Sums for an instance in a zone.
 func NewSums(zone string) *Sums {
-	return &Sums{zone: zone, peers: map[string]receivedLoad{}, zones: map[string]receivedLoad{}, otherZones: receivedLoad{Loads: New()}}
+	return &Sums{zone: zone, peers: map[string]received{}, zones: map[string]received{}, otherZones: received{Loads: New()}}
 }
 
 // Peer records the load of another instance. It replaces the one recorded before.
 func (s *Sums) Peer(now time.Time, id, zone string, l Loads) {
-	s.peers[id] = receivedLoad{receivedAt: now, zone: zone, Loads: l}
+	s.peers[id] = received{receivedAt: now, zone: zone, Loads: l}
 }
 
 // Zone records the sum of another zone that its relay sent.
 func (s *Sums) Zone(now time.Time, zone string, l Loads) {
 	if zone != s.zone {
-		s.zones[zone] = receivedLoad{receivedAt: now, zone: zone, Loads: l}
+		s.zones[zone] = received{receivedAt: now, zone: zone, Loads: l}
 	}
 }
 
 // Others records the sum of all other zones that the relay of this zone sent.
-func (s *Sums) Others(now time.Time, l Loads) { s.otherZones = receivedLoad{receivedAt: now, Loads: l} }
+func (s *Sums) Others(now time.Time, l Loads) { s.otherZones = received{receivedAt: now, Loads: l} }
 
 // Expire deletes loads that were received before oldest.
 func (s *Sums) Expire(oldest time.Time) {
@@ -83,7 +83,7 @@
 		}
 	}
 	if s.otherZones.receivedAt.Before(oldest) {
-		s.otherZones = receivedLoad{Loads: New()}
+		s.otherZones = received{Loads: New()}
 	}
 }
 
