--- a/core/neighbor/neighbor_test.go
+++ b/core/neighbor/neighbor_test.go
@@ -233,7 +233,7 @@
 			}
 		}
 		if added > 1 {
-			t.Fatalf("%d places moved", added)
+			t.Fatalf("%d replicas added", added)
 		}
 	})
 }
--- a/core/poison/evidence.go
+++ b/core/poison/evidence.go
@@ -70,7 +70,7 @@
 			n++
 		}
 	}
-	return n >= maxUnrelatedCrashes
+	return n >= unrelatedCrashThreshold
 }
 
 // isBurst reports whether many other replicas, which were not running f, crashed at about
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -28,9 +28,9 @@
 	// certainReplicas is the number of crashed replicas from which a candidate is stopped
 	// even if the crashes have other possible explanations.
 	certainReplicas = 3
-	// maxUnrelatedCrashes is the number of crashes within the retention period from which a
+	// unrelatedCrashThreshold is the number of crashes within the retention period from which a
 	// replica is assumed to fail independently of the requests that it runs.
-	maxUnrelatedCrashes = 3
+	unrelatedCrashThreshold = 3
 	// burstReplicas is the number of other replicas that crash within burstWindow without
 	// having run a candidate from which a common cause is assumed.
 	burstReplicas = 4
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -224,7 +224,7 @@
 func TestReplicaThatFailsIndependently(t *testing.T) {
 	tr := NewTracker(retention)
 	now := start
-	for i := range maxUnrelatedCrashes {
+	for i := range unrelatedCrashThreshold {
 		require.False(t, tr.FailsAlone(now, "x"))
 		now = now.Add(time.Minute)
 		tr.Crash(now, "x", print(fmt.Sprint(i)))
