--- a/core/pipeline/bench_test.go
+++ b/core/pipeline/bench_test.go
@@ -7,7 +7,7 @@
 	"masticbank.example/core/pipeline"
 )
 
-// fleetOf returns zones of 13 replicas that each hold all 80 layers.
+// fleetOf returns zones of 13 replicas that together hold all 80 layers.
 func fleetOf(replicas int) *pipeline.Fleet {
 	m := model(80)
 	f := pipeline.NewFleet(m)
@@ -22,7 +22,7 @@
 	return f
 }
 
-// BenchmarkChoose measures one choice of a path with its reservation.
+// BenchmarkChoose measures choosing a path and reserving it.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{39, 104, 1001} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/core/pipeline/herd_test.go
+++ b/core/pipeline/herd_test.go
@@ -11,33 +11,33 @@
 	"masticbank.example/core/pipeline"
 )
 
-// crowd replays many instances that choose paths over the same replicas and tell each
-// other their load once in a period.
-type crowd struct {
+// cluster simulates many instances that choose paths over the same replicas and exchange their load
+// once per period.
+type cluster struct {
 	t         require.TestingT
 	random    *rand.Rand
 	model     *pipeline.Model
 	instances []*pipeline.Fleet
 	list      []pipeline.Replica
-	// held is the KV cache that the requests of all instances reserve, by replica.
-	held map[string]float64
-	ends []ending
-	// placed counts requests, over those that found a part of their path full, refused
-	// those without a path.
-	placed, over, refused int
+	// reserved is the KV cache reserved by the requests of all instances, by replica.
+	reserved map[string]float64
+	running  []runningRequest
+	// placed counts all requests, overCapacity those that exceeded the capacity of a replica
+	// on their path, and refused those without a path.
+	placed, overCapacity, refused int
 }
 
-type ending struct {
-	at       time.Time
+type runningRequest struct {
+	endsAt   time.Time
 	instance int
 	path     pipeline.Path
 	demand   pipeline.Demand
 }
 
-// newCrowd returns five zones with three copies of the model each, of four parts. One
-// copy of each zone is faster than the others, by a factor.
-func newCrowd(t require.TestingT, instances int, faster float64) *crowd {
-	c := &crowd{t: t, random: rand.New(rand.NewPCG(3, 4)), model: model(80), held: map[string]float64{}}
+// newCluster returns five zones with three pipeline replicas each, of four stages. One pipeline
+// replica of each zone is faster than the others by the given factor.
+func newCluster(t require.TestingT, instances int, faster float64) *cluster {
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(3, 4)), model: model(80), reserved: map[string]float64{}}
 	c.model.KVTokenBytes = 10_000
 	c.model.LinkMbps = 6300
 	c.model.ActivationBytes = 29_500
@@ -63,8 +63,8 @@
 	return c
 }
 
-// tell gives an instance what all others have placed by now.
-func (c *crowd) tell(i int) {
+// exchangeLoad updates an instance with the current load of all others.
+func (c *cluster) exchangeLoad(i int) {
 	sum := map[string]pipeline.Load{}
 	for k, f := range c.instances {
 		if k == i {
@@ -81,16 +81,16 @@
 	c.instances[i].SetForeign(func(id string) pipeline.Load { return sum[id] }, func(pipeline.Link) float64 { return 0 })
 }
 
-func (c *crowd) hold(p pipeline.Path, d pipeline.Demand, sign float64) (over bool) {
+func (c *cluster) reserve(p pipeline.Path, d pipeline.Demand, sign float64) (over bool) {
 	for _, h := range p {
-		c.held[h.ID] += sign * (d.Prompt + 0.6*d.Output) * float64(h.To-h.From)
+		c.reserved[h.ID] += sign * (d.Prompt + 0.6*d.Output) * float64(h.To-h.From)
 		room := c.model.Room(c.kind(h.ID), 20)
-		over = over || c.held[h.ID] > room
+		over = over || c.reserved[h.ID] > room
 	}
 	return over
 }
 
-func (c *crowd) kind(id string) string {
+func (c *cluster) kind(id string) string {
 	for _, r := range c.list {
 		if r.ID == id {
 			return r.Kind
@@ -99,30 +99,30 @@
 	return ""
 }
 
-// play sends perSecond requests, which last some five seconds each, to random instances.
-func (c *crowd) play(seconds, perSecond int, period time.Duration) {
+// run sends perSecond requests, which last about five seconds each, to random instances.
+func (c *cluster) run(seconds, perSecond int, period time.Duration) {
 	step := time.Second / time.Duration(perSecond)
-	told := make([]time.Time, len(c.instances))
-	for i := range told {
-		told[i] = start.Add(-time.Duration(c.random.Float64() * float64(period)))
+	lastExchange := make([]time.Time, len(c.instances))
+	for i := range lastExchange {
+		lastExchange[i] = start.Add(-time.Duration(c.random.Float64() * float64(period)))
 	}
 	for now := start; now.Before(start.Add(time.Duration(seconds) * time.Second)); now = now.Add(step) {
-		for i := range told {
-			if now.Sub(told[i]) >= period {
-				told[i] = now
-				c.tell(i)
+		for i := range lastExchange {
+			if now.Sub(lastExchange[i]) >= period {
+				lastExchange[i] = now
+				c.exchangeLoad(i)
 			}
 		}
-		kept := c.ends[:0]
-		for _, e := range c.ends {
-			if now.Before(e.at) {
+		kept := c.running[:0]
+		for _, e := range c.running {
+			if now.Before(e.endsAt) {
 				kept = append(kept, e)
 				continue
 			}
 			c.instances[e.instance].Release(e.path, e.demand)
-			c.hold(e.path, e.demand, -1)
+			c.reserve(e.path, e.demand, -1)
 		}
-		c.ends = kept
+		c.running = kept
 		i := c.random.IntN(len(c.instances))
 		d := pipeline.Demand{Prompt: 200 + 1100*c.random.Float64(), Output: 60 + 160*c.random.Float64()}
 		choice, ok := c.instances[i].Choose(now, d, pipeline.Constraint{})
@@ -132,44 +132,43 @@
 			continue
 		}
 		c.instances[i].Reserve(now, choice.Path, d)
-		if c.hold(choice.Path, d, 1) {
-			c.over++
+		if c.reserve(choice.Path, d, 1) {
+			c.overCapacity++
 		}
 		lasts := time.Duration((4 + 2*c.random.Float64()) * float64(time.Second))
-		c.ends = append(c.ends, ending{at: now.Add(lasts), instance: i, path: choice.Path, demand: d})
+		c.running = append(c.running, runningRequest{endsAt: now.Add(lasts), instance: i, path: choice.Path, demand: d})
 	}
 }
 
-// TestInstancesThatKnowNothingScatterTheirRequests replays the second after a start of 66
-// instances together: broken streams come back, and nobody knows of anybody. They need
-// half of the room.
-func TestInstancesThatKnowNothingScatterTheirRequests(t *testing.T) {
-	over := func(blind bool) float64 {
-		c := newCrowd(t, 66, 1.25)
+// All of 66 instances start together, clients of broken streams reconnect, and no instance knows
+// the load of the others. The requests need half of the capacity and must not all go to the
+// fastest replicas.
+func TestUninformedInstancesSpreadTheirRequests(t *testing.T) {
+	overCapacityShare := func(blind bool) float64 {
+		c := newCluster(t, 66, 1.25)
 		for _, f := range c.instances {
 			f.SetSharing(pipeline.Sharing{Random: c.random.Float64, Uninformed: blind})
 		}
-		c.play(1, int(c.room()*0.5), time.Hour)
-		return float64(c.over) / float64(c.placed)
+		c.run(1, int(c.capacity()*0.5), time.Hour)
+		return float64(c.overCapacity) / float64(c.placed)
 	}
-	require.GreaterOrEqual(t, over(false), 0.2, "all take the fastest parts")
-	require.LessOrEqual(t, over(true), 0.02)
+	require.GreaterOrEqual(t, overCapacityShare(false), 0.2, "all choose the fastest replicas")
+	require.LessOrEqual(t, overCapacityShare(true), 0.02)
 }
 
-// room returns the number of usual requests that fit at the same time.
-func (c *crowd) room() float64 { return 15 * c.model.Room("small", 20) / 20 / 890 }
+// capacity returns the number of average requests that fit at the same time.
+func (c *cluster) capacity() float64 { return 15 * c.model.Room("small", 20) / 20 / 890 }
 
-// TestManyInstancesSpreadTheirRequests replays 95 instances whose knowledge of each
-// other's load is up to 0.95 s old. At six tenths of the room none of the paths need be
-// full.
+// Up to 95 instances choose paths with load information that is up to 0.95 s old. At 60 % of the
+// capacity hardly any path may exceed the capacity of a replica.
 func TestManyInstancesSpreadTheirRequests(t *testing.T) {
 	for _, instances := range []int{1, 9, 95} {
-		c := newCrowd(t, instances, 4)
-		perSecond := int(c.room() * 0.6 / 5)
+		c := newCluster(t, instances, 4)
+		perSecond := int(c.capacity() * 0.6 / 5)
 		period := max(200*time.Millisecond, time.Duration(instances)*10*time.Millisecond)
-		c.play(8, perSecond, period)
-		t.Logf("%d instances, %d requests: %.4f found a full part, %.4f no path", instances, c.placed,
-			float64(c.over)/float64(c.placed), float64(c.refused)/float64(c.placed))
-		require.LessOrEqual(t, c.over+c.refused, c.placed/100)
+		c.run(8, perSecond, period)
+		t.Logf("%d instances, %d requests: %.4f exceeded a replica's capacity, %.4f found no path", instances, c.placed,
+			float64(c.overCapacity)/float64(c.placed), float64(c.refused)/float64(c.placed))
+		require.LessOrEqual(t, c.overCapacity+c.refused, c.placed/100)
 	}
 }
--- a/core/pipeline/link.go
+++ b/core/pipeline/link.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// linkMemory is the time over which the prompts sent between two zones are
-	// averaged. A prompt of a thousand tokens takes some 20 ms on a link.
-	linkMemory = time.Second
-	// linkFull bounds the estimated use of a link in the cost of a hop.
-	linkFull    = 0.9
-	bitsPerByte = 8
+	// linkTimeConstant is the time constant of the moving average of the prompt tokens sent between
+	// two zones. The transfer of a prompt of a thousand tokens takes about 20 ms.
+	linkTimeConstant = time.Second
+	// maxLinkUtilization is the upper bound of the link utilization in the cost of a transfer.
+	maxLinkUtilization = 0.9
+	bitsPerByte        = 8
 )
 
-// Link is the link between two zones, in alphabetical order.
+// Link identifies the link between two zones, which are in alphabetical order.
 type Link struct{ A, B string }
 
 // LinkBetween returns the link between two different zones.
@@ -25,28 +25,28 @@
 	return Link{A: a, B: b}
 }
 
-// linkLoad is a moving mean of the prompt tokens sent over a link.
+// linkLoad is an exponentially decaying sum of the prompt tokens sent over a link.
 type linkLoad struct {
-	// sum decays with linkMemory.
-	sum     float64
-	at      time.Time
-	foreign float64 // tokens a second
+	// sum decays with the time constant linkTimeConstant.
+	sum        float64
+	at         time.Time
+	remoteRate float64 // of all other instances, in tokens per second
 }
 
 func (l *linkLoad) decay(now time.Time) {
 	if dt := now.Sub(l.at); dt > 0 {
-		l.sum *= math.Exp(-dt.Seconds() / linkMemory.Seconds())
+		l.sum *= math.Exp(-dt.Seconds() / linkTimeConstant.Seconds())
 		l.at = now
 	}
 }
 
-// rate returns the tokens a second of this instance.
+// rate returns the prompt tokens per second that this instance sends.
 func (l *linkLoad) rate(now time.Time) float64 {
 	l.decay(now)
-	return l.sum / linkMemory.Seconds()
+	return l.sum / linkTimeConstant.Seconds()
 }
 
-// link returns the load between two zones.
+// link returns the load of the link between two zones.
 func (f *Fleet) link(a, b string) *linkLoad {
 	k := LinkBetween(a, b)
 	l := f.links[k]
@@ -57,8 +57,8 @@
 	return l
 }
 
-// sendPrompt notes the prompt that passes between the zones of a path.
-func (f *Fleet) sendPrompt(now time.Time, p Path, d Demand) {
+// recordTransfers records the transfer of a prompt between the zones of a path.
+func (f *Fleet) recordTransfers(now time.Time, p Path, d Demand) {
 	for i := 1; i < len(p); i++ {
 		if p[i].Zone == p[i-1].Zone {
 			continue
@@ -69,8 +69,7 @@
 	}
 }
 
-// OwnLinks returns what this instance sends between zones, in prompt tokens a
-// second.
+// OwnLinks returns the prompt tokens per second that this instance sends over each link.
 func (f *Fleet) OwnLinks(now time.Time) map[Link]float64 {
 	out := map[Link]float64{}
 	for k, l := range f.links {
@@ -81,27 +80,26 @@
 	return out
 }
 
-// crossHop returns the cost of a hop between two zones for each token, in
-// milliseconds. It grows with the use of the link, as all transfers on it wait
-// for each other.
-func (f *Fleet) crossHop(now time.Time, a, b string) float64 {
+// crossZoneCost returns the cost in milliseconds of passing one token between two zones. It grows
+// with the utilization of the link, as all transfers on it queue behind each other.
+func (f *Fleet) crossZoneCost(now time.Time, a, b string) float64 {
 	if f.model.LinkMbps <= 0 {
-		return crossHopMS
+		return crossZoneTransferMS
 	}
 	l := f.link(a, b)
-	bits := (l.rate(now) + l.foreign) * f.model.ActivationBytes * bitsPerByte
-	use := min(linkFull, bits/(f.model.LinkMbps*bytesPerMB))
-	return crossHopMS / ((1 - use) * (1 - use))
+	bits := (l.rate(now) + l.remoteRate) * f.model.ActivationBytes * bitsPerByte
+	utilization := min(maxLinkUtilization, bits/(f.model.LinkMbps*bytesPerMB))
+	return crossZoneTransferMS / ((1 - utilization) * (1 - utilization))
 }
 
-// linkMS is the time until the tokens of a request have passed a link behind those
-// that wait for it.
-func (f *Fleet) linkMS(now time.Time, a, b string, d Demand) float64 {
+// linkTransferMS returns the time in milliseconds until the prompt of a request has been sent
+// over a link, queued behind the transfers that wait for it.
+func (f *Fleet) linkTransferMS(now time.Time, a, b string, d Demand) float64 {
 	if f.model.LinkMbps <= 0 {
 		return 0
 	}
 	l := f.link(a, b)
 	perToken := f.model.ActivationBytes * bitsPerByte / (f.model.LinkMbps * bytesPerMB) // seconds
-	waiting := max(0, (l.rate(now)+l.foreign)*perToken-1) * linkMemory.Seconds()
+	waiting := max(0, (l.rate(now)+l.remoteRate)*perToken-1) * linkTimeConstant.Seconds()
 	return (waiting + d.Prompt*perToken) * float64(time.Second/time.Millisecond)
 }
--- a/core/pipeline/model.go
+++ b/core/pipeline/model.go
@@ -1,53 +1,54 @@
-// Package pipeline chooses the replicas that a request passes through when the
-// layers of its model lie on several replicas, and keeps the load that this
-// needs. It has no I/O and no clock.
+// Package pipeline chooses the replicas that a request passes through when the layers of its
+// model are spread over several replicas, and keeps track of the load that this requires. It
+// performs no I/O and reads no clock.
 package pipeline
 
-// Kind holds what differs between the accelerators of a fleet.
+// Kind holds the properties of one kind of accelerator.
 type Kind struct {
 	Name string
-	// MemoryMB holds the layers and the KV cache.
+	// MemoryMB is the memory for layers and KV cache.
 	MemoryMB float64
-	// StepFactor multiplies the time of a token step.
+	// StepFactor multiplies the time of a decoding step.
 	StepFactor float64
-	// ReadFactor multiplies the time to read a prompt.
+	// ReadFactor multiplies the prefill time.
 	ReadFactor float64
 }
 
-// Model holds the published figures of a model and of the engines that run it.
+// Model holds the published parameters of a model and of the engines that run it.
 type Model struct {
 	Name    string
 	Layers  int
 	LayerMB float64
-	// ActivationBytes pass between two replicas for each token.
+	// ActivationBytes is the size of the activations passed between two replicas for each
+	// token.
 	ActivationBytes float64
-	// KVTokenBytes is the KV cache of one token in all layers.
+	// KVTokenBytes is the size of the KV cache of one token over all layers.
 	KVTokenBytes float64
-	// StepMS is the time of one token step through all layers, PerSequenceMS
-	// what each sequence adds, PerContextMS what 1,000 tokens of context add.
+	// StepMS is the time of one decoding step through all layers. Each sequence in the batch
+	// adds PerSequenceMS, each 1,000 tokens of context PerContextMS.
 	StepMS        float64
 	PerSequenceMS float64
 	PerContextMS  float64
-	// ReadPerMS is the number of prompt tokens read in a millisecond.
+	// ReadPerMS is the number of prompt tokens processed per millisecond of prefill.
 	ReadPerMS float64
 	// LoadSeconds is the time to load all layers on one replica.
 	LoadSeconds float64
-	// LoadsAtOnce is the number of loads that run side by side at full speed.
+	// LoadsAtOnce is the number of replicas that can load weights concurrently at full speed.
 	LoadsAtOnce int
-	// Slots is the number of requests that a replica runs as first of a path.
+	// Slots is the maximum number of running requests whose path starts at a replica.
 	Slots int
-	// LinkMbps is shared by all transfers between zones.
+	// LinkMbps is the bandwidth between zones, shared by all transfers.
 	LinkMbps float64
-	// UsualPrompt and UsualOutput are mean numbers of tokens.
+	// UsualPrompt and UsualOutput are the mean numbers of prompt and output tokens.
 	UsualPrompt float64
 	UsualOutput float64
 	Kinds       map[string]Kind
 }
 
-// bytesPerMB converts the memory figures.
+// bytesPerMB is the number of bytes in a megabyte, also of bits in a megabit.
 const bytesPerMB = 1e6
 
-// Room returns the KV cache, in tokens times layers, of a replica of the kind
+// Room returns the capacity of the KV cache, in tokens times layers, of a replica of the kind
 // that holds the number of layers.
 func (m *Model) Room(kind string, layers int) float64 {
 	k, ok := m.Kinds[kind]
@@ -57,7 +58,7 @@
 	return m.CacheTokens(k.MemoryMB - float64(layers)*m.LayerMB)
 }
 
-// CacheTokens returns the KV cache, in tokens times layers, that fits into memory.
+// CacheTokens returns the capacity of a KV cache of the given size, in tokens times layers.
 func (m *Model) CacheTokens(mb float64) float64 {
 	return max(0, mb*bytesPerMB/m.KVTokenBytes*float64(m.Layers))
 }
--- a/core/pipeline/pipeline.go
+++ b/core/pipeline/pipeline.go
@@ -4,32 +4,34 @@
 	"time"
 )
 
-// Replica is a holder of consecutive layers.
+// Replica is a process of an upstream that holds a range of consecutive layers.
 type Replica struct {
 	ID      string
 	Address string
 	Zone    string
 	Kind    string
-	// Born tells a restart of the replica.
+	// Born is the start time of the process in Unix milliseconds; it changes when the replica
+	// restarts.
 	Born int64
 	// From and To bound the layers that serve requests: From <= layer < To.
 	From, To int
 }
 
-// Hop is one replica of a path with the layers that it runs.
+// Hop is one stage of a path: a replica and the layers that it runs.
 type Hop struct {
 	ID       string
 	Address  string
 	Zone     string
 	From, To int
-	// Born tells the process of the replica from an earlier one.
+	// Born is the start time of the replica's process; it distinguishes the process from an
+	// earlier one of the same replica.
 	Born int64
 }
 
-// Path runs all layers in order.
+// Path lists the stages that together run all layers, in order.
 type Path []Hop
 
-// Uses tells whether the path passes through a replica.
+// Uses reports whether the path includes the replica.
 func (p Path) Uses(id string) bool {
 	for _, h := range p {
 		if h.ID == id {
@@ -39,60 +41,62 @@
 	return false
 }
 
-// Demand is what one request asks of every replica on its path.
+// Demand holds the number of tokens that one request processes on every replica of its path.
 type Demand struct {
-	// Prompt is the number of tokens to read.
+	// Prompt is the number of prompt tokens.
 	Prompt float64
-	// Output is the expected number of tokens to write.
+	// Output is the expected number of output tokens.
 	Output float64
 }
 
-// outputShare is the part of the expected output that is reserved: a request
-// holds none of it at first and all of it at its end.
-const outputShare = 0.6
+// reservedOutputShare is the share of the expected output for which KV cache is reserved: a
+// request uses none of it at the start and all of it at the end.
+const reservedOutputShare = 0.6
 
-// tokens returns the context to reserve.
-func (d Demand) tokens() float64 { return d.Prompt + d.Output*outputShare }
+// reservedTokens returns the context length for which KV cache is reserved.
+func (d Demand) reservedTokens() float64 { return d.Prompt + d.Output*reservedOutputShare }
 
-// load is the work on one replica.
+// load holds the requests and the measured state of one replica.
 type load struct {
-	// room is the KV cache in tokens times layers. nextRoom takes its place at
-	// roomAt, if that is set.
-	room     float64
-	nextRoom float64
-	roomAt   time.Time
-	// reserved is the KV cache of requests of this instance, in tokens times
-	// layers; foreign that of other instances.
-	reserved, foreign float64
-	// sequences and foreignSequences count requests that pass through.
-	sequences, foreignSequences float64
-	// reading is the number of prompt tokens times layers not read yet.
-	reading, foreignReading float64
-	// first counts the requests of this instance that enter the path here.
-	first int
-	// pace over 1 means that the replica is slower than its kind.
-	pace       float64
-	observed   Observed
-	observedAt time.Time
-	// layersAt is when a report last told the layers.
-	layersAt time.Time
-	// blockedUntil takes the replica out of use.
+	// cacheCapacity is the capacity of the KV cache in tokens times layers. At
+	// nextCapacityAt, if set, nextCapacity replaces it.
+	cacheCapacity  float64
+	nextCapacity   float64
+	nextCapacityAt time.Time
+	// reserved is the KV cache reserved for requests of this instance, in tokens times
+	// layers; remoteReserved is the same for all other instances.
+	reserved, remoteReserved float64
+	// sequences and remoteSequences count the requests of this and of the other instances
+	// whose path includes the replica.
+	sequences, remoteSequences float64
+	// prefill and remotePrefill are the prefill work that is still to be done, in prompt
+	// tokens times layers.
+	prefill, remotePrefill float64
+	// entering counts the requests of this instance whose path starts at the replica.
+	entering int
+	// stepTimeRatio is the step time divided by the usual step time; above 1 the replica is
+	// slower than its kind of accelerator.
+	stepTimeRatio float64
+	observed      Observed
+	observedAt    time.Time
+	// layersReportedAt is the time of the last report that contained the layers.
+	layersReportedAt time.Time
+	// blockedUntil is the time until which no path may use the replica.
 	blockedUntil time.Time
 }
 
-// Fleet holds the replicas of one model and their load. It is not safe for
-// concurrent use.
+// Fleet holds the replicas of one model and their load. It is not safe for concurrent use.
 type Fleet struct {
 	model    *Model
 	replicas map[string]*member
-	// atLayer lists the usable replicas that hold each layer.
+	// atLayer holds, by layer, the listed replicas that hold it.
 	atLayer [][]*member
 	ordered []*member
-	// zones holds the names of the zones; members know theirs by index.
+	// zones holds the names of the zones; members refer to them by index.
 	zones []string
 	links map[Link]*linkLoad
-	// orphansUntil is the time until which replicas may run requests of processes
-	// that are gone, which no reservation shows.
+	// orphansUntil is the time until which replicas may still run requests that ended
+	// processes of instances left behind and that no reservation covers.
 	orphansUntil time.Time
 	sharing      Sharing
 }
@@ -100,92 +104,94 @@
 type member struct {
 	Replica
 	load
-	index int
-	zone  int
-	seen  bool
+	index  int
+	zone   int
+	listed bool
 }
 
-// NewFleet returns a fleet without replicas.
+// NewFleet returns a Fleet without replicas.
 func NewFleet(m *Model) *Fleet {
 	return &Fleet{model: m, replicas: map[string]*member{}, links: map[Link]*linkLoad{}}
 }
 
-// orphanTime is how long replicas go on with the requests of a process that lost
-// power: about a long request.
-const orphanTime = 8 * time.Second
+// orphanDuration is how long replicas may continue requests of an instance that lost power: about
+// the duration of a long request.
+const orphanDuration = 8 * time.Second
 
-// ExpectOrphans makes the use that replicas report count for a while after the
-// start of the process. Later the reservations are better: reports lag.
-func (f *Fleet) ExpectOrphans(now time.Time) { f.orphansUntil = now.Add(orphanTime) }
+// ExpectOrphans makes the KV cache usage that replicas report count for orphanDuration after the
+// start of the process. After that only reservations count, because reports lag behind them.
+func (f *Fleet) ExpectOrphans(now time.Time) { f.orphansUntil = now.Add(orphanDuration) }
 
-// Model returns the figures in use.
+// Model returns the model's parameters.
 func (f *Fleet) Model() *Model { return f.model }
 
-// SetModel puts changed figures in force.
+// SetModel replaces the model's parameters and recomputes the capacity of all replicas.
 func (f *Fleet) SetModel(m *Model) {
 	f.model = m
 	for _, r := range f.replicas {
-		r.room = m.Room(r.Kind, r.To-r.From)
+		r.cacheCapacity = m.Room(r.Kind, r.To-r.From)
 	}
-	f.index()
+	f.rebuildIndex()
 }
 
-// releaseDelay is how long a replica that gave up layers keeps their weights, until
-// the requests that pass through them have ended: about a usual request.
+// releaseDelay is how long a replica keeps the weights of layers that it no longer serves: until
+// the requests that use them have ended, about the duration of a usual request.
 const releaseDelay = 6 * time.Second
 
-// setRoom puts less room in force at once and more room when it is free.
-func (m *member) setRoom(now time.Time, room float64, fresh bool) {
-	if fresh || room <= m.room {
-		m.room, m.roomAt = room, time.Time{}
+// setCapacity applies a lower capacity at once and a higher one after releaseDelay, when the memory
+// is free. For a new process of the replica both apply at once.
+func (m *member) setCapacity(now time.Time, capacity float64, fresh bool) {
+	if fresh || capacity <= m.cacheCapacity {
+		m.cacheCapacity, m.nextCapacityAt = capacity, time.Time{}
 		return
 	}
-	if room != m.nextRoom || m.roomAt.IsZero() {
-		m.nextRoom, m.roomAt = room, now.Add(releaseDelay)
+	if capacity != m.nextCapacity || m.nextCapacityAt.IsZero() {
+		m.nextCapacity, m.nextCapacityAt = capacity, now.Add(releaseDelay)
 	}
 }
 
-// free puts room in force whose time has come.
-func (m *member) free(now time.Time) {
-	if !m.roomAt.IsZero() && !now.Before(m.roomAt) {
-		m.room, m.roomAt = m.nextRoom, time.Time{}
+// applyNextCapacity applies the pending capacity once its time has come.
+func (m *member) applyNextCapacity(now time.Time) {
+	if !m.nextCapacityAt.IsZero() && !now.Before(m.nextCapacityAt) {
+		m.cacheCapacity, m.nextCapacityAt = m.nextCapacity, time.Time{}
 	}
 }
 
-// Set replaces the list of replicas. The load on replicas that stay is kept.
+// Set replaces the list of replicas and keeps the load of replicas that stay. Recently reported
+// layers take precedence over those in the list, unless the replica has restarted.
 func (f *Fleet) Set(now time.Time, list []Replica) {
 	for _, m := range f.replicas {
-		m.seen = false
+		m.listed = false
 	}
 	for _, r := range list {
 		m := f.replicas[r.ID]
 		fresh := m == nil || m.Born != r.Born
 		if m == nil {
-			m = &member{load: load{pace: 1}}
+			m = &member{load: load{stepTimeRatio: 1}}
 			f.replicas[r.ID] = m
 		}
 		if from, to, ok := f.Layers(now, r.ID); ok && !fresh {
 			r.From, r.To = from, to
 		}
 		m.Replica = r
-		m.seen = true
-		m.setRoom(now, f.model.Room(r.Kind, r.To-r.From), fresh)
+		m.listed = true
+		m.setCapacity(now, f.model.Room(r.Kind, r.To-r.From), fresh)
 	}
 	for id, m := range f.replicas {
-		if !m.seen && m.sequences == 0 {
+		if !m.listed && m.sequences == 0 {
 			delete(f.replicas, id)
 		}
 	}
-	f.index()
+	f.rebuildIndex()
 }
 
-func (f *Fleet) index() {
+func (f *Fleet) rebuildIndex() {
 	f.atLayer = make([][]*member, f.model.Layers)
 	f.ordered = f.ordered[:0]
 	f.zones = f.zones[:0]
 	zones := map[string]int{}
 	for _, m := range f.replicas {
-		if !m.seen {
+		if !m.listed {
 			continue
 		}
 		f.ordered = append(f.ordered, m)
@@ -206,24 +212,25 @@
 	}
 }
 
-// Block takes a replica out of use until a time.
+// Block excludes a replica from new paths until the given time, or longer if it is blocked longer
+// already.
 func (f *Fleet) Block(id string, until time.Time) {
 	if m := f.replicas[id]; m != nil && until.After(m.blockedUntil) {
 		m.blockedUntil = until
 	}
 }
 
-// Unblock puts a replica back into use.
+// Unblock allows a replica in new paths again.
 func (f *Fleet) Unblock(id string) {
 	if m := f.replicas[id]; m != nil {
 		m.blockedUntil = time.Time{}
 	}
 }
 
-// Blocked tells whether the replica is out of use at now.
+// Blocked reports whether the replica is blocked at now or not listed.
 func (f *Fleet) Blocked(id string, now time.Time) bool {
 	m := f.replicas[id]
-	return m == nil || !m.seen || now.Before(m.blockedUntil)
+	return m == nil || !m.listed || now.Before(m.blockedUntil)
 }
 
 // IDAt returns the ID of the listed replica with the address, or "".
@@ -236,16 +243,16 @@
 	return ""
 }
 
-// Replica returns a replica in the list.
+// Replica returns the listed replica with the ID.
 func (f *Fleet) Replica(id string) (Replica, bool) {
 	m := f.replicas[id]
-	if m == nil || !m.seen {
+	if m == nil || !m.listed {
 		return Replica{}, false
 	}
 	return m.Replica, true
 }
 
-// Covered tells whether every layer is held by a usable replica.
+// Covered reports whether every layer is held by a replica that is not blocked.
 func (f *Fleet) Covered(now time.Time) bool {
 	if len(f.atLayer) == 0 {
 		return false
@@ -262,87 +269,88 @@
 	return true
 }
 
-// CoveredAt returns when every layer will be held by a replica that may be used, if it
-// is held at all: blocked replicas count from the end of their block, others from now.
-// Only blocks for which counts returns true are taken into account; it returns false if a
-// layer has no replica, or only such as are blocked for another reason.
+// CoveredAt returns the earliest time at which every layer is held by a replica that is not
+// blocked. A replica that is blocked now is available from the end of its block, but only if
+// counts returns true for it and a time not before that end; other blocked replicas are ignored.
+// CoveredAt returns false if a layer has no replica that can become available.
 func (f *Fleet) CoveredAt(now time.Time, counts func(id string) (time.Time, bool)) (time.Time, bool) {
-	at := now
+	covered := now
 	for _, members := range f.atLayer {
-		var first time.Time
+		var earliest time.Time
 		for _, m := range members {
-			free := now
+			available := now
 			if now.Before(m.blockedUntil) {
 				end, ok := counts(m.ID)
 				if !ok || m.blockedUntil.After(end) {
 					continue
 				}
-				free = end
+				available = end
 			}
-			if first.IsZero() || free.Before(first) {
-				first = free
+			if earliest.IsZero() || available.Before(earliest) {
+				earliest = available
 			}
 		}
-		if first.IsZero() {
+		if earliest.IsZero() {
 			return time.Time{}, false
 		}
-		if first.After(at) {
-			at = first
+		if earliest.After(covered) {
+			covered = earliest
 		}
 	}
-	return at, len(f.atLayer) > 0
+	return covered, len(f.atLayer) > 0
 }
 
-// Reserve adds the load of a request on its path.
+// Reserve adds the load of a request to the replicas and links of its path.
 func (f *Fleet) Reserve(now time.Time, p Path, d Demand) {
-	f.shift(p, d, 1)
-	f.sendPrompt(now, p, d)
+	f.adjustLoad(p, d, 1)
+	f.recordTransfers(now, p, d)
 }
 
-// Release takes away what Reserve added.
-func (f *Fleet) Release(p Path, d Demand) { f.shift(p, d, -1) }
+// Release removes the load that Reserve added to the replicas.
+func (f *Fleet) Release(p Path, d Demand) { f.adjustLoad(p, d, -1) }
 
-func (f *Fleet) shift(p Path, d Demand, sign float64) {
+func (f *Fleet) adjustLoad(p Path, d Demand, sign float64) {
 	for i, h := range p {
 		m := f.replicas[h.ID]
 		if m == nil {
 			continue
 		}
-		m.reserved = max(0, m.reserved+sign*d.tokens()*float64(h.To-h.From))
+		m.reserved = max(0, m.reserved+sign*d.reservedTokens()*float64(h.To-h.From))
 		m.sequences = max(0, m.sequences+sign)
 		if i == 0 {
-			m.first = max(0, m.first+int(sign))
+			m.entering = max(0, m.entering+int(sign))
 		}
 	}
 }
 
-// Reading adds (sign 1) or takes away (sign -1) a prompt that is being read.
+// Reading adds (sign 1) or removes (sign -1) the prefill work of a request on all replicas of its
+// path.
 func (f *Fleet) Reading(p Path, d Demand, sign float64) {
 	for _, h := range p {
 		if m := f.replicas[h.ID]; m != nil {
-			m.reading = max(0, m.reading+sign*d.Prompt*float64(h.To-h.From))
+			m.prefill = max(0, m.prefill+sign*d.Prompt*float64(h.To-h.From))
 		}
 	}
 }
 
-// Load is the work of one instance on one replica.
+// Load is the load that requests of one instance, or of several, put on one replica.
 type Load struct {
-	// Reserved is in tokens times layers.
+	// Reserved is the reserved KV cache in tokens times layers.
 	Reserved  float64
 	Sequences float64
-	// Reading is in prompt tokens times layers.
+	// Reading is the prefill work still to be done, in prompt tokens times layers.
 	Reading float64
 }
 
-// State is what is known of a replica.
+// State is a snapshot of a replica and its load.
 type State struct {
 	Replica
-	// Room is its KV cache in tokens times layers.
+	// Room is the capacity of the KV cache in tokens times layers.
 	Room         float64
 	Own, Foreign Load
 }
 
-// Use returns the share of the KV cache that is reserved.
+// Use returns the reserved share of the KV cache, or 1 if the replica has none.
 func (s State) Use() float64 {
 	if s.Room <= 0 {
 		return 1
@@ -350,7 +358,7 @@
 	return (s.Own.Reserved + s.Foreign.Reserved) / s.Room
 }
 
-// State returns what is known of a replica; the zero value if it is not listed.
+// State returns a snapshot of the replica, or the zero value if the replica is unknown.
 func (f *Fleet) State(id string) State {
 	m := f.replicas[id]
 	if m == nil {
@@ -358,33 +366,33 @@
 	}
 	return State{
 		Replica: m.Replica,
-		Room:    m.room,
-		Own:     Load{Reserved: m.reserved, Sequences: m.sequences, Reading: m.reading},
-		Foreign: Load{Reserved: m.foreign, Sequences: m.foreignSequences, Reading: m.foreignReading},
+		Room:    m.cacheCapacity,
+		Own:     Load{Reserved: m.reserved, Sequences: m.sequences, Reading: m.prefill},
+		Foreign: Load{Reserved: m.remoteReserved, Sequences: m.remoteSequences, Reading: m.remotePrefill},
 	}
 }
 
-// Own returns the load of this instance by replica ID; replicas without load
-// are left out.
+// Own returns the load of this instance's requests by replica ID, without replicas that have
+// none.
 func (f *Fleet) Own() map[string]Load {
 	out := map[string]Load{}
 	for id, m := range f.replicas {
 		if m.sequences > 0 {
-			out[id] = Load{Reserved: m.reserved, Sequences: m.sequences, Reading: m.reading}
+			out[id] = Load{Reserved: m.reserved, Sequences: m.sequences, Reading: m.prefill}
 		}
 	}
 	return out
 }
 
-// SetForeign replaces the load of all other instances together: by replica, and
-// by link in prompt tokens a second.
+// SetForeign sets the total load of all other instances: by replica, and by link in prompt tokens
+// per second.
 func (f *Fleet) SetForeign(of func(id string) Load, link func(Link) float64) {
 	for k, l := range f.links {
-		l.foreign = link(k)
+		l.remoteRate = link(k)
 	}
 	for id, m := range f.replicas {
 		l := of(id)
-		m.foreign, m.foreignSequences, m.foreignReading = l.Reserved, l.Sequences, l.Reading
+		m.remoteReserved, m.remoteSequences, m.remotePrefill = l.Reserved, l.Sequences, l.Reading
 	}
 }
 
--- a/core/pipeline/pipeline_test.go
+++ b/core/pipeline/pipeline_test.go
@@ -29,8 +29,8 @@
 	return pipeline.Replica{ID: id, Address: id + ":1", Zone: zone, Kind: kind, From: from, To: to}
 }
 
-// requireTiling checks that the path runs every layer once and in order on
-// replicas that hold them, each replica once.
+// requireTiling checks that the path runs every layer once and in order, on replicas that hold
+// them, and uses each replica once.
 func requireTiling(t require.TestingT, layers int, list []pipeline.Replica, p pipeline.Path) {
 	held := map[string]pipeline.Replica{}
 	for _, r := range list {
@@ -68,13 +68,13 @@
 		if ok {
 			requireTiling(t, layers, list, c.Path)
 		} else {
-			require.False(t, f.Covered(start), "all layers are held, and yet there is no path")
+			require.False(t, f.Covered(start), "all layers are held, but there is no path")
 		}
 	})
 }
 
-// TestChooseMatchesBruteForce compares with all paths over whole ranges: when no
-// two replicas overlap, nothing else is possible.
+// TestChooseMatchesBruteForce compares the choice with all possible paths. The replicas do not
+// overlap, so each path consists of whole replicas.
 func TestChooseMatchesBruteForce(t *testing.T) {
 	const layers = 9
 	random := rand.New(rand.NewPCG(1, 2))
@@ -138,7 +138,7 @@
 	f := pipeline.NewFleet(m)
 	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
 	d := pipeline.Demand{Prompt: 1000, Output: 100}
-	room := m.Room("small", 4) / 4 / 1060
+	maxRequests := m.Room("small", 4) / 4 / 1060
 	n := 0
 	for ; n < 10_000; n++ {
 		c, ok := f.Choose(start, d, pipeline.Constraint{})
@@ -148,11 +148,11 @@
 		f.Reserve(start, c.Path, d)
 	}
 	require.Positive(t, n)
-	require.LessOrEqual(t, float64(n), room)
-	require.Greater(t, float64(n+2), room*0.9)
+	require.LessOrEqual(t, float64(n), maxRequests)
+	require.Greater(t, float64(n+2), maxRequests*0.9)
 }
 
-func TestForeignLoadCounts(t *testing.T) {
+func TestRemoteLoadCounts(t *testing.T) {
 	m := model(4)
 	f := pipeline.NewFleet(m)
 	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 4), replica("b", "z", "small", 0, 4)})
@@ -167,7 +167,7 @@
 	require.Equal(t, "b", c.Path[0].ID)
 }
 
-func TestRepathKeepsTheFirstPart(t *testing.T) {
+func TestRepathKeepsTheFirstStage(t *testing.T) {
 	f := pipeline.NewFleet(model(8))
 	f.Set(start, []pipeline.Replica{
 		replica("a1", "a", "large", 0, 4), replica("a2", "a", "large", 4, 8), replica("a3", "a", "small", 4, 8),
@@ -190,7 +190,7 @@
 	require.True(t, ok)
 }
 
-func TestReleaseGivesBackWhatReserveTook(t *testing.T) {
+func TestReleaseRevertsReserve(t *testing.T) {
 	f := pipeline.NewFleet(model(4))
 	f.Set(start, []pipeline.Replica{replica("a", "z", "large", 0, 4)})
 	d := pipeline.Demand{Prompt: 100, Output: 50}
@@ -203,7 +203,7 @@
 	require.Empty(t, f.Own())
 }
 
-func TestRoomOfGivenUpLayersIsFreeLater(t *testing.T) {
+func TestCapacityOfReleasedLayersIsAvailableLater(t *testing.T) {
 	m := model(4)
 	f := pipeline.NewFleet(m)
 	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
@@ -213,11 +213,11 @@
 	require.True(t, ok)
 	require.Equal(t, m.Room("small", 2), f.State("a").Room)
 	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 3)})
-	require.Equal(t, m.Room("small", 3), f.State("a").Room, "less room is in force at once")
+	require.Equal(t, m.Room("small", 3), f.State("a").Room, "a lower capacity applies at once")
 }
 
-// TestBusyLinksAreAvoided has a cheap replica in another zone, which is worth the
-// hop only while the link is idle.
+// TestBusyLinksAreAvoided checks that a cheaper replica in another zone is used only while the
+// link between the zones is idle.
 func TestBusyLinksAreAvoided(t *testing.T) {
 	m := model(8)
 	m.LinkMbps, m.ActivationBytes = 100, 10_000
@@ -232,14 +232,14 @@
 	f.Reserve(start, first.Path, d)
 	second, ok := f.Choose(start, d, pipeline.Constraint{})
 	require.True(t, ok)
-	require.False(t, second.Path.Uses("b2"), "700 tokens of 10 kB fill 100 Mbit for half a second")
+	require.False(t, second.Path.Uses("b2"), "700 tokens of 10 kB occupy 100 Mbit/s for half a second")
 	require.Len(t, f.OwnLinks(start), 1)
 	later, ok := f.Choose(start.Add(10*time.Second), d, pipeline.Constraint{})
 	require.True(t, ok)
 	require.True(t, later.Path.Uses("b2"))
 }
 
-func TestReportedUseCountsAfterAStart(t *testing.T) {
+func TestReportedUsageCountsAfterStart(t *testing.T) {
 	m := model(4)
 	f := pipeline.NewFleet(m)
 	f.ExpectOrphans(start)
@@ -247,14 +247,14 @@
 	f.Observe(start, "a", pipeline.Observed{Pace: 1, Used: m.Room("small", 4), Room: m.Room("small", 4)})
 	d := pipeline.Demand{Prompt: 100}
 	_, ok := f.Choose(start.Add(time.Second), d, pipeline.Constraint{})
-	require.False(t, ok, "requests of a process that is gone fill the replica")
+	require.False(t, ok, "orphaned requests fill the replica")
 	later := start.Add(20 * time.Second)
 	f.Observe(later, "a", pipeline.Observed{Pace: 1, Used: m.Room("small", 4), Room: m.Room("small", 4)})
 	_, ok = f.Choose(later, d, pipeline.Constraint{})
-	require.True(t, ok, "later the reservations tell")
+	require.True(t, ok, "later only reservations count")
 }
 
-func TestReportsTellLayersAndPace(t *testing.T) {
+func TestReportsSetLayersAndStepTimeRatio(t *testing.T) {
 	f := pipeline.NewFleet(model(8))
 	f.Set(start, []pipeline.Replica{
 		replica("a", "z", "large", 0, 8), replica("b", "z", "large", 0, 4), replica("c", "z", "large", 4, 8),
@@ -267,17 +267,17 @@
 	f.Observe(start, "c", pipeline.Observed{Pace: 1, From: 5, To: 8, HasLayers: true})
 	c, ok = f.Choose(start, pipeline.Demand{Prompt: 10, Output: 10}, pipeline.Constraint{})
 	require.True(t, ok)
-	require.True(t, c.Path.Uses("a"), "nobody else holds layer 4")
+	require.True(t, c.Path.Uses("a"), "no other replica holds layer 4")
 	f.Set(start, []pipeline.Replica{replica("a", "z", "large", 0, 8), replica("b", "z", "large", 0, 4), replica("c", "z", "large", 4, 8)})
 	from, _, ok := f.Layers(start, "c")
 	require.True(t, ok)
-	require.Equal(t, 5, from, "a report is newer than an entry")
-	require.Equal(t, 1.0, f.Pace(start.Add(time.Minute), "a"), "old reports do not count")
+	require.Equal(t, 5, from, "a report takes precedence over an entry")
+	require.Equal(t, 1.0, f.Pace(start.Add(time.Minute), "a"), "old reports are ignored")
 }
 
-// TestReportsWithoutLayersKeepThoseTold has the report of another instance, which comes late
-// and tells no layers, after one that told what an order has brought about.
-func TestReportsWithoutLayersKeepThoseTold(t *testing.T) {
+// A report without layers, relayed late by another instance, must not discard the layers of an
+// earlier report, which show the effect of a layer assignment.
+func TestReportsWithoutLayersKeepReportedLayers(t *testing.T) {
 	f := pipeline.NewFleet(model(8))
 	f.Set(start, []pipeline.Replica{replica("a", "z", "large", 0, 4), replica("b", "z", "large", 4, 8)})
 	f.Observe(start, "a", pipeline.Observed{Pace: 1, From: 0, To: 6, HasLayers: true})
@@ -288,5 +288,5 @@
 	require.Equal(t, []int{0, 6}, []int{from, to})
 	require.Equal(t, 2.0, f.Pace(late, "a"))
 	_, _, ok = f.Layers(start.Add(2*time.Second), "a")
-	require.False(t, ok, "the later report does not make the layers newer")
+	require.False(t, ok, "a report without layers does not renew them")
 }
--- a/core/pipeline/rejections_test.go
+++ b/core/pipeline/rejections_test.go
@@ -10,19 +10,19 @@
 	"masticbank.example/core/pipeline"
 )
 
-// TestManyInstancesAskALeavingPartRarely replays an outage of the store in which a
-// part leaves: sixty instances have a request for it all the time. Those that are told
-// ask after the one that was rejected.
-func TestManyInstancesAskALeavingPartRarely(t *testing.T) {
+// While the store is unavailable a replica leaves, and each of sixty instances always has a
+// request for it. Only few requests may reach it: the other instances retry later than the one
+// that was rejected.
+func TestManyInstancesRarelyRetryALeavingReplica(t *testing.T) {
 	const instances = 60
 	random := rand.New(rand.NewPCG(1, 2))
-	const way = 3 * time.Millisecond // of a message between instances
+	const messageDelay = 3 * time.Millisecond // between instances
 	all := make([]*pipeline.Rejections, instances)
 	until := make([]time.Time, instances)
 	for i := range all {
 		all[i] = pipeline.NewRejections()
 	}
-	asked := 0
+	requests := 0
 	type notice struct {
 		at    time.Time
 		from  int
@@ -41,21 +41,21 @@
 			notices = notices[1:]
 		}
 		for i := range all {
-			if now.Before(until[i]) || (asked == 0 && i > 0) {
+			if now.Before(until[i]) || (requests == 0 && i > 0) {
 				continue
 			}
-			asked++
+			requests++
 			count, d := all[i].Add(now, "b")
 			until[i] = now.Add(d)
-			notices = append(notices, notice{at: now.Add(way), from: i, count: count})
+			notices = append(notices, notice{at: now.Add(messageDelay), from: i, count: count})
 		}
 	}
-	// The first is not known to the others for the time of a message, in which each
-	// asks once. Later a few do each second.
-	require.LessOrEqual(t, asked, instances+3*10)
+	// The first rejection reaches the others after the delay of a message, in which each
+	// sends one request. Later there are a few requests per second.
+	require.LessOrEqual(t, requests, instances+3*10)
 }
 
-func TestRejectionsEndWithWhatTookARequest(t *testing.T) {
+func TestAcceptedRequestResetsRejections(t *testing.T) {
 	r := pipeline.NewRejections()
 	_, d := r.Add(start, "b")
 	count, longer := r.Add(start.Add(time.Second), "b")
@@ -63,7 +63,7 @@
 	require.Equal(t, 2*d, longer)
 	r.Took("b", start.Add(500*time.Millisecond))
 	count, _ = r.Add(start.Add(2*time.Second), "b")
-	require.Equal(t, 3, count, "a request that was there before shows nothing")
+	require.Equal(t, 3, count, "a request that was sent before the rejection is ignored")
 	r.Took("b", start.Add(3*time.Second))
 	count, _ = r.Add(start.Add(4*time.Second), "b")
 	require.Equal(t, 1, count)
@@ -72,12 +72,12 @@
 	require.Equal(t, 1, count)
 }
 
-func TestWhatOthersToldCounts(t *testing.T) {
+func TestRejectionsOfOtherInstancesCount(t *testing.T) {
 	r := pipeline.NewRejections()
 	d := r.Told(start, "b", 2, 0)
 	require.Greater(t, r.Told(start, "b", 2, 0.5), d)
-	require.Equal(t, d, r.Told(start, "b", 1, 0), "an older message does not shorten it")
+	require.Equal(t, d, r.Told(start, "b", 1, 0), "an older message does not shorten the time")
 	count, own := r.Add(start.Add(time.Second), "b")
 	require.Equal(t, 3, count)
-	require.Greater(t, r.Told(start, "b", 3, 0), own, "the one that was rejected asks first")
+	require.Greater(t, r.Told(start, "b", 3, 0), own, "the instance that was rejected retries first")
 }
--- a/core/pipeline/sharing.go
+++ b/core/pipeline/sharing.go
@@ -1,52 +1,55 @@
 package pipeline
 
-// Sharing tells a Fleet that other instances choose paths over the same replicas.
+// Sharing describes the other instances that choose paths over the same replicas.
 type Sharing struct {
-	// Random returns numbers from 0 to 1; nil without other instances.
+	// Random returns numbers from 0 to 1; it is nil if there are no other instances.
 	Random func() float64
 	// Instances is the number of instances, this one included.
 	Instances int
-	// Uninformed is true while there are others of which nothing is known, as after a start of
-	// all together.
+	// Uninformed is true while the load of other instances is unknown, for example after all
+	// instances started together.
 	Uninformed bool
 }
 
 const (
-	// passOverForPeer is the share of a part's room for each other instance, below its
-	// limit, over which the part is passed over more and more often. The more instances
-	// there are, the later they learn of each other's requests.
-	passOverForPeer = 0.01
-	// passOverMost bounds that share, so that a part that is nearly empty is always used.
-	passOverMost = 0.9
+	// skipWidthPerPeer is the share of a replica's KV cache, per other instance, over which
+	// the probability of skipping the replica rises to 1. It lies below the reservation
+	// limit. It grows with the number of instances because with more of them each learns
+	// later of the others' requests.
+	skipWidthPerPeer = 0.01
+	// maxSkipWidth is the upper bound of that share, so that a nearly empty replica is always
+	// used.
+	maxSkipWidth = 0.9
 )
 
-// uninformedSpread is the largest share that is added to the cost of a replica at random while
-// nothing is known of the other instances.
-const uninformedSpread = 4
+// maxRandomCost is the largest random addition to the cost of a replica, relative to the cost,
+// while the load of other instances is unknown.
+const maxRandomCost = 4
 
-// costFactor returns a random factor for the cost of a replica in one choice. The load that it
-// answers: all instances start together, the callers of broken streams come back to all of
-// them at once, and each takes the fleet to be empty.
-func (f *Fleet) costFactor() float64 {
+// randomCostFactor returns a random factor for the cost of a replica in one choice. It spreads
+// requests when all instances start together: the clients of broken streams reconnect to all
+// instances at once, and each instance assumes an empty fleet.
+func (f *Fleet) randomCostFactor() float64 {
 	if !f.sharing.Uninformed || f.sharing.Random == nil {
 		return 1
 	}
-	return 1 + uninformedSpread*f.sharing.Random()
+	return 1 + maxRandomCost*f.sharing.Random()
 }
 
-// SetSharing tells how many instances choose paths over the same replicas.
+// SetSharing sets the information about other instances.
 func (f *Fleet) SetSharing(s Sharing) { f.sharing = s }
 
-// passedOver tells whether a choice is to pass over a part that has room and is used to a
-// share of it. The load that it answers: the fastest parts are the cheapest until they
-// are full, and what other instances have placed there is known some tenths of a second
-// late. All of them would fill such a part far beyond its room, where requests wait for
-// memory. With random early detection they fill it ever more slowly.
-func (f *Fleet) passedOver(use float64) bool {
+// skip reports whether a choice skips a replica that has capacity and whose KV cache is
+// used to the given share. The fastest replicas are the cheapest ones until they are full, and
+// the requests that other instances have placed there become known some tenths of a second late.
+// Without skipping, all instances would together reserve far more than the capacity of such a
+// replica, and requests would wait there for memory. As with random early detection, the replica
+// fills ever more slowly.
+func (f *Fleet) skip(utilization float64) bool {
 	peers := f.sharing.Instances - 1
 	if f.sharing.Random == nil || peers < 1 {
 		return false
 	}
-	width := min(passOverMost, passOverForPeer*float64(peers))
-	return f.sharing.Random() > (fullAt-use)/width
+	width := min(maxSkipWidth, skipWidthPerPeer*float64(peers))
+	return f.sharing.Random() > (maxReservedShare-utilization)/width
 }
