--- a/core/layout/balance.go
+++ b/core/layout/balance.go
@@ -5,57 +5,57 @@
 	"slices"
 )
 
-// chains sorts the nodes with layers into rows, one for each copy of the model,
-// in which they follow each other as well as they do now.
-func (p *plan) chains() [][]*Node {
-	var held []*Node
-	for i := range p.nodes {
-		if !p.nodes[i].empty() {
-			held = append(held, &p.nodes[i])
+// groupPipelines groups the replicas with layers into pipeline replicas, so that their ranges
+// follow each other as closely as they do now.
+func (p *plan) groupPipelines() [][]*Node {
+	var loaded []*Node
+	for i := range p.replicas {
+		if !p.replicas[i].isEmpty() {
+			loaded = append(loaded, &p.replicas[i])
 		}
 	}
-	slices.SortStableFunc(held, func(a, b *Node) int {
+	slices.SortStableFunc(loaded, func(a, b *Node) int {
 		return cmp.Compare(middle(a), middle(b))
 	})
-	rows := make([][]*Node, p.copies)
-	ends := make([]int, p.copies)
-	for _, n := range held {
-		from, to := n.span()
+	pipelines := make([][]*Node, p.pipelineCount)
+	ends := make([]int, p.pipelineCount)
+	for _, n := range loaded {
+		from, to := n.plannedRange()
 		best := 0
-		for i := range rows {
+		for i := range pipelines {
 			if distance(ends[i], from) < distance(ends[best], from) {
 				best = i
 			}
 		}
-		rows[best] = append(rows[best], n)
+		pipelines[best] = append(pipelines[best], n)
 		ends[best] = to
 	}
-	return rows
+	return pipelines
 }
 
 func middle(n *Node) int {
-	from, to := n.span()
+	from, to := n.plannedRange()
 	return from + to
 }
 
 func distance(a, b int) int { return max(a-b, b-a) }
 
-// fillRow puts the empty nodes into the rows, where they change least, and gives
-// them their share of the layers. The others give way later.
-func (p *plan) fillRow() {
-	rows := p.chains()
-	for i := range p.nodes {
-		n := &p.nodes[i]
-		if !n.empty() {
+// fillPipeline inserts the empty replicas where the others need to change least, and assigns them
+// their share of the layers. The others release these layers later.
+func (p *plan) fillPipeline() {
+	pipelines := p.groupPipelines()
+	for i := range p.replicas {
+		n := &p.replicas[i]
+		if !n.isEmpty() {
 			continue
 		}
-		least := 0
-		for r := range rows {
-			if p.memoryOfAll(rows[r]) < p.memoryOfAll(rows[least]) {
-				least = r
+		smallest := 0
+		for r := range pipelines {
+			if p.memoryOfAll(pipelines[r]) < p.memoryOfAll(pipelines[smallest]) {
+				smallest = r
 			}
 		}
-		rows[least] = p.insert(rows[least], n)
+		pipelines[smallest] = p.insertReplica(pipelines[smallest], n)
 	}
 }
 
@@ -67,14 +67,15 @@
 	return sum
 }
 
-// insert orders the layers for an empty node at the place in the row that leaves
-// the others nearest to what they hold. It returns the row with the node.
-func (p *plan) insert(row []*Node, n *Node) []*Node {
+// insertReplica assigns layers to an empty replica at the position in the pipeline replica that
+// leaves the others closest to what they hold. It returns the members of the pipeline replica
+// with the new one.
+func (p *plan) insertReplica(members []*Node, n *Node) []*Node {
 	best, bestMoved := -1, 0
 	var bestFrom, bestTo int
-	for at := 0; at <= len(row); at++ {
-		with := slices.Insert(slices.Clone(row), at, n)
-		sizes, ok := p.sizes(with, p.model.Layers, leastCacheShare)
+	for at := 0; at <= len(members); at++ {
+		with := slices.Insert(slices.Clone(members), at, n)
+		sizes, ok := p.splitLayers(with, p.model.Layers, minCacheShare)
 		if !ok {
 			continue
 		}
@@ -93,67 +94,69 @@
 		}
 	}
 	if best < 0 {
-		return p.insertIntoGap(row, n)
+		return p.insertIntoGap(members, n)
 	}
-	p.order(n, bestFrom, bestTo, "empty")
-	return slices.Insert(slices.Clone(row), best, n)
+	p.assign(n, bestFrom, bestTo, "empty")
+	return slices.Insert(slices.Clone(members), best, n)
 }
 
-// insertIntoGap is for groups that cannot hold the model: the node takes what it
-// can of the widest gap.
-func (p *plan) insertIntoGap(row []*Node, n *Node) []*Node {
-	from, to := p.gap()
+// insertIntoGap handles groups that cannot hold the model: the replica is assigned as much as it
+// can hold of the longest gap.
+func (p *plan) insertIntoGap(members []*Node, n *Node) []*Node {
+	from, to := p.longestGap()
 	if to == from {
-		return row
+		return members
 	}
-	p.order(n, from, min(to, from+most(p.model, n.Kind, leastCacheShare)), "gap")
-	return append(slices.Clone(row), n)
+	p.assign(n, from, min(to, from+maxLayers(p.model, n.Kind, minCacheShare)), "gap")
+	return append(slices.Clone(members), n)
 }
 
-// missing counts the layers from..to that the node does not hold.
+// missing returns how many of the layers from..to the replica does not hold.
 func (p *plan) missing(n *Node, from, to int) int {
-	heldFrom, heldTo := n.span()
+	heldFrom, heldTo := n.plannedRange()
 	common := max(0, min(to, heldTo)-max(from, heldFrom))
 	return to - from - common
 }
 
-// underWay tells whether an order is not done yet.
-func (p *plan) underWay() bool {
-	return slices.ContainsFunc(p.nodes, func(n Node) bool { return n.ordered() })
+// anyPending reports whether an assignment is pending.
+func (p *plan) anyPending() bool {
+	return slices.ContainsFunc(p.replicas, func(n Node) bool { return n.pending() })
 }
 
-// weakest returns the number of tokens that fit at the layer with the least room.
-func (p *plan) weakest() float64 { return slices.Min(p.tokens()) }
+// weakestCapacity returns the number of tokens that fit at the layer with the least KV cache.
+func (p *plan) weakestCapacity() float64 { return slices.Min(p.tokenCapacity()) }
 
-// balance moves layers between nodes that work, if the weakest layer gains by it:
-// first nodes load what they are to hold, then others give up what is held twice.
+// balance moves layers between working replicas if this helps the weakest layer or removes
+// redundant layers. First replicas load the layers of their target, then others release the
+// layers that are held redundantly.
 func (p *plan) balance() {
-	target, ok := p.balanced()
+	target, ok := p.balanceTarget()
 	if !ok {
 		return
 	}
-	if target.weakest() < p.weakest()*worthwhile && !p.heldTwice(target) {
+	if target.weakestCapacity() < p.weakestCapacity()*minBalanceGain && !p.hasRedundantLayers(target) {
 		return
 	}
-	if p.grow(target) {
+	if p.loadTarget(target) {
 		return
 	}
-	p.giveUp(target)
+	p.releaseRedundant(target)
 }
 
-// balanced returns the plan with each row shared in proportion to memory.
-func (p *plan) balanced() (*plan, bool) {
-	target := &plan{model: p.model, nodes: slices.Clone(p.nodes), copies: p.copies, memory: p.memory}
-	for _, row := range target.chains() {
-		if len(row) == 0 {
+// balanceTarget returns the target: a plan in which each pipeline replica is split in proportion to
+// memory.
+func (p *plan) balanceTarget() (*plan, bool) {
+	target := &plan{model: p.model, replicas: slices.Clone(p.replicas), pipelineCount: p.pipelineCount, memory: p.memory}
+	for _, members := range target.groupPipelines() {
+		if len(members) == 0 {
 			continue
 		}
-		sizes, ok := target.sizes(row, p.model.Layers, leastCacheShare)
+		sizes, ok := target.splitLayers(members, p.model.Layers, minCacheShare)
 		if !ok {
 			return nil, false
 		}
 		at := 0
-		for i, n := range row {
+		for i, n := range members {
 			n.From, n.To = at, at+sizes[i]
 			at += sizes[i]
 		}
@@ -161,11 +164,11 @@
 	return target, true
 }
 
-// heldTwice tells whether a node holds layers beyond its target, so that its KV
-// cache is smaller than it needs to be.
-func (p *plan) heldTwice(target *plan) bool {
-	for i := range p.nodes {
-		n, t := &p.nodes[i], &target.nodes[i]
+// hasRedundantLayers reports whether a replica holds layers beyond its target, so that its KV
+// cache is smaller than necessary.
+func (p *plan) hasRedundantLayers(target *plan) bool {
+	for i := range p.replicas {
+		n, t := &p.replicas[i], &target.replicas[i]
 		if n.From <= t.From && n.To >= t.To && n.To-n.From > t.To-t.From+1 {
 			return true
 		}
@@ -173,49 +176,50 @@
 	return false
 }
 
-// grow orders nodes to load layers of their target beside what they hold, as
-// many as may load at once. It returns false when nothing is left to load.
-func (p *plan) grow(target *plan) bool {
-	before := len(p.orders)
-	for i := range p.nodes {
-		n, t := &p.nodes[i], &target.nodes[i]
+// loadTarget assigns replicas the missing layers of their target in addition to what they hold,
+// for as many replicas as may load concurrently. It returns false if there is nothing left to
+// load.
+func (p *plan) loadTarget(target *plan) bool {
+	before := len(p.assignments)
+	for i := range p.replicas {
+		n, t := &p.replicas[i], &target.replicas[i]
 		if p.missing(n, t.From, t.To) == 0 {
 			continue
 		}
-		if p.model.LoadsAtOnce > 0 && len(p.orders)-before >= p.model.LoadsAtOnce {
+		if p.model.LoadsAtOnce > 0 && len(p.assignments)-before >= p.model.LoadsAtOnce {
 			break
 		}
-		from, to := p.toward(n, t)
-		p.order(n, from, to, "balance")
+		from, to := p.extendToward(n, t)
+		p.assign(n, from, to, "balance")
 	}
-	return len(p.orders) > before
+	return len(p.assignments) > before
 }
 
-// toward returns what the node holds with as much of its target beside it as its
-// memory allows. Nothing is given up for it.
-func (p *plan) toward(n, t *Node) (from, to int) {
-	spare := max(0, most(p.model, n.Kind, balanceCacheShare)-(n.To-n.From))
+// extendToward returns the layers held, extended by as much of the target as the replica's memory
+// allows. No layer is released.
+func (p *plan) extendToward(n, t *Node) (from, to int) {
+	spare := max(0, maxLayers(p.model, n.Kind, balanceCacheShare)-(n.To-n.From))
 	if t.To > n.To {
 		return n.From, min(t.To, n.To+spare)
 	}
 	return max(t.From, n.From-spare), n.To
 }
 
-// giveUp lets nodes give up the layers at their ends that are beyond their target
-// and that others hold.
-func (p *plan) giveUp(target *plan) {
-	held := p.held()
-	for i := range p.nodes {
-		n, t := &p.nodes[i], &target.nodes[i]
+// releaseRedundant lets replicas release the layers at their ends that are outside their target
+// and that enough other replicas hold.
+func (p *plan) releaseRedundant(target *plan) {
+	holders := p.remainingHolders()
+	for i := range p.replicas {
+		n, t := &p.replicas[i], &target.replicas[i]
 		from, to := n.From, n.To
-		for from < min(t.From, to-1) && held[from] > p.copies {
-			held[from]--
+		for from < min(t.From, to-1) && holders[from] > p.pipelineCount {
+			holders[from]--
 			from++
 		}
-		for to > max(t.To, from+1) && held[to-1] > p.copies {
-			held[to-1]--
+		for to > max(t.To, from+1) && holders[to-1] > p.pipelineCount {
+			holders[to-1]--
 			to--
 		}
-		p.order(n, from, to, "held twice")
+		p.assign(n, from, to, "held twice")
 	}
 }
--- a/core/layout/bench_test.go
+++ b/core/layout/bench_test.go
@@ -7,8 +7,8 @@
 	"masticbank.example/core/layout"
 )
 
-// BenchmarkPlan measures one look at a layout that needs nothing, and one after
-// the loss of a replica.
+// BenchmarkPlan measures planning a layout that needs no change, and one after the loss of a
+// replica.
 func BenchmarkPlan(b *testing.B) {
 	for _, zones := range []int{3, 8, 80} {
 		m := model()
@@ -16,7 +16,7 @@
 		for z := range zones {
 			nodes = append(nodes, zone(fmt.Sprintf("z%02d", z), map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})...)
 		}
-		settle(b, m, nodes)
+		converge(b, m, nodes)
 		for name, list := range map[string][]layout.Node{"calm": nodes, "loss": without(nodes, nodes[3].ID)} {
 			b.Run(fmt.Sprintf("%s-%d", name, len(list)), func(b *testing.B) {
 				for b.Loop() {
--- a/core/layout/gap.go
+++ b/core/layout/gap.go
@@ -1,27 +1,28 @@
 package layout
 
-// depth counts the nodes that hold or will hold each layer.
-func (p *plan) depth() []int {
-	d := make([]int, p.model.Layers)
-	for i := range p.nodes {
-		from, to := p.nodes[i].span()
-		for l := from; l < min(to, len(d)); l++ {
-			d[l]++
+// plannedHolders returns, for each layer, the number of replicas that hold it once pending
+// assignments are carried out.
+func (p *plan) plannedHolders() []int {
+	holders := make([]int, p.model.Layers)
+	for i := range p.replicas {
+		from, to := p.replicas[i].plannedRange()
+		for l := from; l < min(to, len(holders)); l++ {
+			holders[l]++
 		}
 	}
-	return d
+	return holders
 }
 
-// gap returns the longest run of layers that nobody holds.
-func (p *plan) gap() (from, to int) {
-	d := p.depth()
-	for l := 0; l < len(d); {
-		if d[l] > 0 {
+// longestGap returns the longest run of layers that no replica holds or has been assigned.
+func (p *plan) longestGap() (from, to int) {
+	holders := p.plannedHolders()
+	for l := 0; l < len(holders); {
+		if holders[l] > 0 {
 			l++
 			continue
 		}
 		end := l
-		for end < len(d) && d[end] == 0 {
+		for end < len(holders) && holders[end] == 0 {
 			end++
 		}
 		if end-l > to-from {
@@ -32,39 +33,39 @@
 	return from, to
 }
 
-// fillWithNeighbors closes gaps by nodes that hold the layers beside them. Nobody
-// gives anything up for it: where the neighbours have too little memory, part of
-// a gap stays until the group is balanced.
+// fillWithNeighbors closes gaps with replicas that hold the adjacent layers. No layer is released
+// for this: if the neighbors have too little memory, part of a gap remains until the group is
+// rebalanced.
 func (p *plan) fillWithNeighbors() {
-	for range len(p.nodes) {
-		from, to := p.gap()
+	for range len(p.replicas) {
+		from, to := p.longestGap()
 		if to <= from || !p.closeGap(from, to) {
 			return
 		}
 	}
 }
 
-// fillWithFreed closes what is left of a gap by nodes whose layers others hold.
-// If there is none, it lets the neighbours of one take its layers over, so that
-// it is free the next time.
-func (p *plan) fillWithFreed() {
-	for range len(p.nodes) {
-		from, to := p.gap()
+// fillWithRedundant closes the rest of a gap with replicas whose layers are held redundantly. If
+// there is none, the neighbors of one replica take its layers over, so that it is free in a later
+// round.
+func (p *plan) fillWithRedundant() {
+	for range len(p.replicas) {
+		from, to := p.longestGap()
 		if to <= from {
 			return
 		}
-		n := p.freeNode()
+		n := p.redundantReplica()
 		if n == nil {
 			break
 		}
-		p.order(n, from, min(to, from+most(p.model, n.Kind, leastCacheShare)), "held elsewhere")
+		p.assign(n, from, min(to, from+maxLayers(p.model, n.Kind, minCacheShare)), "held elsewhere")
 	}
-	from, to := p.gap()
-	if p.underWay() {
+	from, to := p.longestGap()
+	if p.anyPending() {
 		return
 	}
 	for left := to - from; left > 0; {
-		size := p.relieveOne(left)
+		size := p.freeReplica(left)
 		if size == 0 {
 			return
 		}
@@ -72,59 +73,59 @@
 	}
 }
 
-// freeNode returns a node without orders whose layers are all held by others, or
-// nil. Orders under way do not count: until they are done, the layers are not
-// there.
-func (p *plan) freeNode() *Node {
-	held := p.held()
-	for i := range p.nodes {
-		n := &p.nodes[i]
-		if n.ordered() || n.To <= n.From {
+// redundantReplica returns a replica without a pending assignment whose layers are all held
+// redundantly, or nil. Layers that other replicas are yet to load do not count as held.
+func (p *plan) redundantReplica() *Node {
+	holders := p.remainingHolders()
+	for i := range p.replicas {
+		n := &p.replicas[i]
+		if n.pending() || n.To <= n.From {
 			continue
 		}
-		free := true
-		for l := n.From; l < min(n.To, len(held)); l++ {
-			free = free && held[l] > p.copies
+		redundant := true
+		for l := n.From; l < min(n.To, len(holders)); l++ {
+			redundant = redundant && holders[l] > p.pipelineCount
 		}
-		if free {
+		if redundant {
 			return n
 		}
 	}
 	return nil
 }
 
-// held counts the nodes that hold each layer now and go on doing so.
-func (p *plan) held() []int {
-	out := make([]int, p.model.Layers)
-	for i := range p.nodes {
-		n := &p.nodes[i]
+// remainingHolders returns, for each layer, the number of replicas that hold it now and keep it
+// after their pending assignment.
+func (p *plan) remainingHolders() []int {
+	holders := make([]int, p.model.Layers)
+	for i := range p.replicas {
+		n := &p.replicas[i]
 		from, to := n.From, n.To
-		if n.ordered() {
+		if n.pending() {
 			from, to = max(from, n.WantFrom), min(to, n.WantTo)
 		}
-		for l := from; l < min(to, len(out)); l++ {
-			out[l]++
+		for l := from; l < min(to, len(holders)); l++ {
+			holders[l]++
 		}
 	}
-	return out
+	return holders
 }
 
-// relieveOne chooses a node that its two neighbours can relieve of all layers, and
-// orders them to: the smallest one that can take the wanted layers, or the
-// largest. It returns the number of layers that the node can take then, 0 if there
+// freeReplica chooses a replica whose two neighbors can take over all of its layers, and assigns
+// these to them: the smallest replica that can hold the wanted number of layers, or else the
+// largest. It returns the number of layers that this replica can hold afterwards, or 0 if there
 // is none.
-func (p *plan) relieveOne(want int) int {
+func (p *plan) freeReplica(layers int) int {
 	var best, bestLeft, bestRight *Node
 	bestByLeft := 0
-	for i := range p.nodes {
-		n := &p.nodes[i]
-		if n.ordered() || n.To <= n.From || p.freed[n.ID] {
+	for i := range p.replicas {
+		n := &p.replicas[i]
+		if n.pending() || n.To <= n.From || p.freed[n.ID] {
 			continue
 		}
 		left, spareLeft := p.neighbor(func(_, t int) bool { return t == n.From })
 		right, spareRight := p.neighbor(func(f, _ int) bool { return f == n.To })
 		size := n.To - n.From
-		if spareLeft+spareRight < size || (best != nil && !p.betterToFree(n, best, want)) {
+		if spareLeft+spareRight < size || (best != nil && !p.preferFreeing(n, best, layers)) {
 			continue
 		}
 		best, bestLeft, bestRight = n, left, right
@@ -136,15 +137,15 @@
 	p.freed[best.ID] = true
 	middle := best.From + bestByLeft
 	if bestByLeft > 0 {
-		p.order(bestLeft, bestLeft.From, middle, "frees a replica")
+		p.assign(bestLeft, bestLeft.From, middle, "frees a replica")
 	}
 	if middle < best.To {
-		p.order(bestRight, middle, bestRight.To, "frees a replica")
+		p.assign(bestRight, middle, bestRight.To, "frees a replica")
 	}
-	return most(p.model, best.Kind, leastCacheShare)
+	return maxLayers(p.model, best.Kind, minCacheShare)
 }
 
-// closeGap shares a gap between one node on each side, by the layers that they
+// closeGap splits a gap between one replica on each side, in proportion to the layers that they
 // can take. It returns false if neither can take any.
 func (p *plan) closeGap(from, to int) bool {
 	left, spareLeft := p.neighbor(func(f, t int) bool { return t == from })
@@ -157,41 +158,41 @@
 	byLeft = min(spareLeft, max(byLeft, size-spareRight))
 	byRight := min(spareRight, size-byLeft)
 	if byLeft > 0 {
-		f, t := left.span()
-		p.order(left, f, t+byLeft, "replica gone")
+		f, t := left.plannedRange()
+		p.assign(left, f, t+byLeft, "replica gone")
 	}
 	if byRight > 0 {
-		f, t := right.span()
-		p.order(right, f-byRight, t, "replica gone")
+		f, t := right.plannedRange()
+		p.assign(right, f-byRight, t, "replica gone")
 	}
 	return true
 }
 
-// neighbor returns the node without orders whose span fits and that can take the
-// most layers more, and that number.
+// neighbor returns the replica without a pending assignment whose range fits and that can take
+// the most additional layers, and that number.
 func (p *plan) neighbor(fits func(from, to int) bool) (*Node, int) {
 	var best *Node
 	spare := 0
-	for i := range p.nodes {
-		n := &p.nodes[i]
-		from, to := n.span()
-		if to <= from || n.ordered() || p.freed[n.ID] || !fits(from, to) {
+	for i := range p.replicas {
+		n := &p.replicas[i]
+		from, to := n.plannedRange()
+		if to <= from || n.pending() || p.freed[n.ID] || !fits(from, to) {
 			continue
 		}
-		if more := most(p.model, n.Kind, leastCacheShare) - (to - from); more > spare {
+		if more := maxLayers(p.model, n.Kind, minCacheShare) - (to - from); more > spare {
 			best, spare = n, more
 		}
 	}
 	return best, spare
 }
 
-func (p *plan) betterToFree(a, b *Node, want int) bool {
-	takesA := most(p.model, a.Kind, leastCacheShare) >= want
-	takesB := most(p.model, b.Kind, leastCacheShare) >= want
-	if takesA != takesB {
-		return takesA
+func (p *plan) preferFreeing(a, b *Node, layers int) bool {
+	fitsA := maxLayers(p.model, a.Kind, minCacheShare) >= layers
+	fitsB := maxLayers(p.model, b.Kind, minCacheShare) >= layers
+	if fitsA != fitsB {
+		return fitsA
 	}
-	if takesA {
+	if fitsA {
 		return p.memoryOf(a) < p.memoryOf(b)
 	}
 	return p.memoryOf(a) > p.memoryOf(b)
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -1,10 +1,10 @@
-// Package layout decides which replica holds which layers of a model when the
-// replicas have accelerators of different kinds. A zone with enough memory holds
-// whole copies of the model, so that requests need not leave it; smaller zones
-// are taken together.
+// Package layout decides which replica holds which layers of a model when the replicas have
+// different kinds of accelerators. A zone with enough memory holds complete pipeline replicas of
+// the model, so that requests need not leave it; the zones without enough memory are laid out
+// together as one group.
 //
-// Plan is a function of what the replicas hold now and needs no memory of
-// earlier plans, so that any instance can go on with the duty at any time.
+// Plan depends only on what the replicas hold and have been assigned, not on earlier plans, so
+// any instance can take over the leader task at any time.
 package layout
 
 import (
@@ -15,48 +15,48 @@
 )
 
 const (
-	// cacheShare is the part of a group's memory that is kept for the KV cache
-	// when the number of copies is chosen. With less, requests wait for memory
-	// long before the accelerators are busy.
+	// cacheShare is the share of a group's memory that is kept for the KV cache when the
+	// number of pipeline replicas is chosen. With less, requests wait for memory long before
+	// the accelerators are busy.
 	cacheShare = 0.3
-	// leastCacheShare is the part of a replica's memory that is kept for the KV
-	// cache in any case.
-	leastCacheShare = 0.18
-	// worthwhile is the factor by which the room of the weakest layer must grow for
-	// layers to be moved between replicas that work.
-	worthwhile = 1.3
-	// balanceCacheShare is the part of a replica's memory that is kept for the KV
-	// cache while layers are moved between replicas that work: until the requests
-	// that pass through have ended, a replica keeps what it gives up.
+	// minCacheShare is the minimum share of a replica's memory that is kept for the KV
+	// cache.
+	minCacheShare = 0.18
+	// minBalanceGain is the factor by which the capacity of the layer with the least KV cache
+	// must grow for layers to be moved between working replicas.
+	minBalanceGain = 1.3
+	// balanceCacheShare is the share of a replica's memory that is kept for the KV cache
+	// while layers are moved between working replicas: a replica keeps the layers that it
+	// releases until the requests that use them have ended.
 	balanceCacheShare = 0.25
 )
 
-// Node is a replica that takes layers.
+// Node is a replica that can hold layers.
 type Node struct {
 	ID   string
 	Zone string
 	Kind string
-	// From and To bound the layers held; both are 0 for an empty replica.
+	// From and To bound the layers held: From <= layer < To. Both are 0 for an empty replica.
 	From, To int
-	// WantFrom and WantTo bound the layers of an order under way; both are 0
-	// without one.
+	// WantFrom and WantTo bound the layers of a pending assignment; both are 0 without one.
 	WantFrom, WantTo int
 }
 
-func (n *Node) empty() bool { return n.From == n.To && n.WantFrom == n.WantTo }
+func (n *Node) isEmpty() bool { return n.From == n.To && n.WantFrom == n.WantTo }
 
-// span returns the layers that the node will hold.
-func (n *Node) span() (from, to int) {
+// plannedRange returns the layers that the replica holds once a pending assignment is carried
+// out.
+func (n *Node) plannedRange() (from, to int) {
 	if n.WantFrom != n.WantTo {
 		return n.WantFrom, n.WantTo
 	}
 	return n.From, n.To
 }
 
-// ordered tells whether an order is under way.
-func (n *Node) ordered() bool { return n.WantFrom != n.WantTo }
+// pending reports whether an assignment is pending.
+func (n *Node) pending() bool { return n.WantFrom != n.WantTo }
 
-// Order makes a replica hold the layers From <= layer < To.
+// Order assigns the layers From <= layer < To to a replica.
 type Order struct {
 	ID       string
 	From, To int
@@ -64,24 +64,24 @@
 	Why string
 }
 
-// Plan returns the orders that bring the fleet nearer to a layout in which each
-// group runs all layers. It returns none when nothing is to be done.
+// Plan returns the assignments that bring the fleet closer to a layout in which each group runs
+// all layers, or none if nothing needs to change.
 //
-// calm tells that a zone has not changed for a while. Only then are all layers moved
-// to where they belong: a replica that gives layers up takes no other order until the
-// requests that pass through them have ended. Groups with several copies reinforce
-// their weakest layers at any time.
-func Plan(m *pipeline.Model, nodes []Node, calm func(zone string) bool) []Order {
+// stable reports whether a zone has not changed for a while. The layers of working replicas are
+// rebalanced only if all zones of their group are stable, because a replica that releases layers
+// accepts no other assignment until the requests that use them have ended. Groups with several
+// pipeline replicas reinforce their weakest layers at any time.
+func Plan(m *pipeline.Model, nodes []Node, stable func(zone string) bool) []Order {
 	var out []Order
 	for _, group := range groups(m, nodes) {
-		quiet := !slices.ContainsFunc(group, func(n Node) bool { return !calm(n.Zone) })
-		out = append(out, planGroup(m, group, quiet)...)
+		allStable := !slices.ContainsFunc(group, func(n Node) bool { return !stable(n.Zone) })
+		out = append(out, planGroup(m, group, allStable)...)
 	}
 	return out
 }
 
-// groups groups the nodes by zone. Zones that cannot hold the model on their
-// own are one group.
+// groups groups the replicas by zone. All zones that cannot hold the model on their own form one
+// group.
 func groups(m *pipeline.Model, nodes []Node) [][]Node {
 	byZone := map[string][]Node{}
 	var zones []string
@@ -98,7 +98,7 @@
 	var out [][]Node
 	var rest []Node
 	for _, z := range zones {
-		if capacity(m, byZone[z], leastCacheShare) >= m.Layers {
+		if totalLayers(m, byZone[z], minCacheShare) >= m.Layers {
 			out = append(out, byZone[z])
 		} else {
 			rest = append(rest, byZone[z]...)
@@ -113,151 +113,151 @@
 	return out
 }
 
-// most returns the largest number of layers on a node that leaves the share of
-// its memory free.
-func most(m *pipeline.Model, kind string, free float64) int {
-	return min(m.MaxLayers(kind), int(m.Kinds[kind].MemoryMB*(1-free)/m.LayerMB))
+// maxLayers returns the largest number of layers that a replica of the kind can hold while the
+// given share of its memory stays free.
+func maxLayers(m *pipeline.Model, kind string, freeShare float64) int {
+	return min(m.MaxLayers(kind), int(m.Kinds[kind].MemoryMB*(1-freeShare)/m.LayerMB))
 }
 
-func capacity(m *pipeline.Model, nodes []Node, free float64) int {
+func totalLayers(m *pipeline.Model, nodes []Node, freeShare float64) int {
 	sum := 0
 	for _, n := range nodes {
-		sum += most(m, n.Kind, free)
+		sum += maxLayers(m, n.Kind, freeShare)
 	}
 	return sum
 }
 
-// copies returns the number of times that the group holds each layer.
-func copies(m *pipeline.Model, group []Node) int {
-	return max(1, capacity(m, group, cacheShare)/m.Layers)
+// countPipelines returns the number of pipeline replicas that the group holds, at least 1.
+func countPipelines(m *pipeline.Model, group []Node) int {
+	return max(1, totalLayers(m, group, cacheShare)/m.Layers)
 }
 
-func planGroup(m *pipeline.Model, group []Node, calm bool) []Order {
-	p := &plan{model: m, nodes: group, copies: copies(m, group), freed: map[string]bool{}}
+func planGroup(m *pipeline.Model, group []Node, stable bool) []Order {
+	p := &plan{model: m, replicas: group, pipelineCount: countPipelines(m, group), freed: map[string]bool{}}
 	for _, n := range group {
 		p.memory += m.Kinds[n.Kind].MemoryMB
 	}
 	if p.allEmpty() {
-		p.fresh()
-		return p.orders
+		p.layOut()
+		return p.assignments
 	}
-	if p.copies == 1 {
-		p.planRow(calm)
+	if p.pipelineCount == 1 {
+		p.planSingle(stable)
 	} else {
-		p.planCopies()
+		p.planSeveral()
 	}
-	return p.orders
+	return p.assignments
 }
 
-// planRow plans a group with one copy, which is a row of nodes. All its boundaries
-// can be moved to where they belong, which takes several rounds of loads.
-func (p *plan) planRow(calm bool) {
-	p.fillRow()
+// planSingle plans a group with a single pipeline replica. All boundaries between its replicas can
+// be moved to their target, which takes several rounds of loads.
+func (p *plan) planSingle(stable bool) {
+	p.fillPipeline()
 	p.fillWithNeighbors()
-	p.fillWithFreed()
-	if calm && len(p.orders) == 0 && !p.underWay() {
+	p.fillWithRedundant()
+	if stable && len(p.assignments) == 0 && !p.anyPending() {
 		p.balance()
 	}
 }
 
-// planCopies plans a group with several copies, which after losses are no rows any
-// more.
-func (p *plan) planCopies() {
+// planSeveral plans a group with several pipeline replicas. After failures their stages need not
+// line up any more, so each layer is considered on its own.
+func (p *plan) planSeveral() {
 	p.fillWeakest()
 	p.fillWithNeighbors()
-	p.fillWithFreed()
+	p.fillWithRedundant()
 	p.reinforce()
 }
 
 type plan struct {
-	model  *pipeline.Model
-	nodes  []Node
-	copies int
-	// memory is the sum over the group, in MB.
-	memory float64
-	orders []Order
-	// freed are nodes that are about to give up all their layers.
+	model         *pipeline.Model
+	replicas      []Node
+	pipelineCount int
+	// memory is the total memory of the group in MB.
+	memory      float64
+	assignments []Order
+	// freed holds the IDs of the replicas whose layers are being taken over by others.
 	freed map[string]bool
 }
 
 func (p *plan) allEmpty() bool {
-	for i := range p.nodes {
-		if !p.nodes[i].empty() {
+	for i := range p.replicas {
+		if !p.replicas[i].isEmpty() {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *plan) order(n *Node, from, to int, why string) {
-	if f, t := n.span(); f == from && t == to {
+func (p *plan) assign(n *Node, from, to int, reason string) {
+	if f, t := n.plannedRange(); f == from && t == to {
 		return
 	}
 	n.WantFrom, n.WantTo = from, to
-	p.orders = append(p.orders, Order{ID: n.ID, From: from, To: to, Why: why})
+	p.assignments = append(p.assignments, Order{ID: n.ID, From: from, To: to, Why: reason})
 }
 
-// fresh lays out a group without layers: columns of about equal memory, each
-// with all layers in proportion to the memory of its nodes.
-func (p *plan) fresh() {
-	byMemory := make([]*Node, len(p.nodes))
-	for i := range p.nodes {
-		byMemory[i] = &p.nodes[i]
+// layOut lays out a group that holds no layers: it forms pipeline replicas of about equal memory,
+// and within each the layers are split in proportion to memory.
+func (p *plan) layOut() {
+	byMemory := make([]*Node, len(p.replicas))
+	for i := range p.replicas {
+		byMemory[i] = &p.replicas[i]
 	}
 	slices.SortStableFunc(byMemory, func(a, b *Node) int {
 		return cmp.Compare(p.memoryOf(b), p.memoryOf(a))
 	})
-	columns := make([][]*Node, p.copies)
-	sums := make([]float64, p.copies)
+	pipelines := make([][]*Node, p.pipelineCount)
+	sums := make([]float64, p.pipelineCount)
 	for _, n := range byMemory {
-		least := 0
+		smallest := 0
 		for i := range sums {
-			if sums[i] < sums[least] {
-				least = i
+			if sums[i] < sums[smallest] {
+				smallest = i
 			}
 		}
-		columns[least] = append(columns[least], n)
-		sums[least] += p.memoryOf(n)
+		pipelines[smallest] = append(pipelines[smallest], n)
+		sums[smallest] += p.memoryOf(n)
 	}
-	for _, column := range columns {
-		// The smallest come first: the first replica of a path serves a bounded
-		// number of requests, and small parts can be had twice.
-		slices.Reverse(column)
-		p.split(column, 0, p.model.Layers, "first layout")
+	for _, members := range pipelines {
+		// The smallest replicas come first: the first replica of a path serves a
+		// limited number of requests, and a small stage can be provided twice.
+		slices.Reverse(members)
+		p.assignInOrder(members, 0, p.model.Layers, "first layout")
 	}
 }
 
 func (p *plan) memoryOf(n *Node) float64 { return p.model.Kinds[n.Kind].MemoryMB }
 
-// split gives the layers from..to to the nodes in order, in proportion to their
-// memory. It returns false when they do not fit.
-func (p *plan) split(nodes []*Node, from, to int, why string) bool {
-	sizes, ok := p.sizes(nodes, to-from, leastCacheShare)
+// assignInOrder assigns the layers from..to to the replicas in order, in proportion to their
+// memory. It returns false if they do not fit.
+func (p *plan) assignInOrder(nodes []*Node, from, to int, reason string) bool {
+	sizes, ok := p.splitLayers(nodes, to-from, minCacheShare)
 	if !ok {
 		return false
 	}
 	at := from
 	for i, n := range nodes {
 		if sizes[i] > 0 {
-			p.order(n, at, at+sizes[i], why)
+			p.assign(n, at, at+sizes[i], reason)
 		}
 		at += sizes[i]
 	}
 	return true
 }
 
-// sizes shares a number of layers in proportion to memory, by largest remainder,
-// within what each node can hold.
-func (p *plan) sizes(nodes []*Node, layers int, free float64) ([]int, bool) {
+// splitLayers splits a number of layers in proportion to memory by the largest remainder method,
+// limited by what each replica can hold.
+func (p *plan) splitLayers(nodes []*Node, layers int, freeShare float64) ([]int, bool) {
 	total := 0.0
 	limit := make([]int, len(nodes))
-	room := 0
+	capacity := 0
 	for i, n := range nodes {
 		total += p.memoryOf(n)
-		limit[i] = most(p.model, n.Kind, free)
-		room += limit[i]
+		limit[i] = maxLayers(p.model, n.Kind, freeShare)
+		capacity += limit[i]
 	}
-	if room < layers {
+	if capacity < layers {
 		return nil, false
 	}
 	sizes := make([]int, len(nodes))
@@ -281,13 +281,13 @@
 	return sizes, true
 }
 
-// tokens returns, for each layer, the number of tokens that the KV caches of its
-// holders take.
-func (p *plan) tokens() []float64 {
+// tokenCapacity returns, for each layer, the number of tokens that fit into the KV caches of all
+// replicas that hold it.
+func (p *plan) tokenCapacity() []float64 {
 	out := make([]float64, p.model.Layers)
-	for i := range p.nodes {
-		n := &p.nodes[i]
-		from, to := n.span()
+	for i := range p.replicas {
+		n := &p.replicas[i]
+		from, to := n.plannedRange()
 		if to <= from {
 			continue
 		}
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -36,14 +36,14 @@
 	return out
 }
 
-// fleet is one zone with a large accelerator, one with many middle ones.
+// fleet returns one zone with a large accelerator and one zone with many medium ones.
 func fleet() []layout.Node {
 	nodes := zone("quito", map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})
 	return append(nodes, zone("ambato", map[string]int{"a100s": 1, "l4": 8, "t4": 3})...)
 }
 
-// carryOut does what the orders say, as if each load had ended.
-func carryOut(nodes []layout.Node, orders []layout.Order) {
+// apply carries out the assignments as if all loads had finished.
+func apply(nodes []layout.Node, orders []layout.Order) {
 	for _, o := range orders {
 		for i := range nodes {
 			if nodes[i].ID == o.ID {
@@ -53,16 +53,16 @@
 	}
 }
 
-// settle plans until nothing is left to do.
-func settle(t require.TestingT, m *pipeline.Model, nodes []layout.Node) int {
+// converge plans and applies assignments until none is left. It returns the number of rounds.
+func converge(t require.TestingT, m *pipeline.Model, nodes []layout.Node) int {
 	for round := range 60 {
 		orders := layout.Plan(m, nodes, always)
 		if len(orders) == 0 {
 			return round
 		}
-		carryOut(nodes, orders)
+		apply(nodes, orders)
 	}
-	require.Fail(t, "the layout does not settle", "%v", layout.Plan(m, nodes, always))
+	require.Fail(t, "the layout does not converge", "%v", layout.Plan(m, nodes, always))
 	return 0
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-func depths(m *pipeline.Model, nodes []layout.Node, zone string) []int {
+func holders(m *pipeline.Model, nodes []layout.Node, zone string) []int {
 	out := make([]int, m.Layers)
 	for _, n := range nodes {
 		if zone != "" && n.Zone != zone {
@@ -88,7 +88,7 @@
 }
 
 func requireCovered(t require.TestingT, m *pipeline.Model, nodes []layout.Node, zone string) {
-	for l, d := range depths(m, nodes, zone) {
+	for l, d := range holders(m, nodes, zone) {
 		require.Positive(t, d, "layer %d in zone %q", l, zone)
 	}
 }
@@ -103,28 +103,28 @@
 	return out
 }
 
-func TestFreshZonesHoldWholeModels(t *testing.T) {
+func TestNewZonesHoldCompleteModels(t *testing.T) {
 	m := model()
 	nodes := fleet()
-	carryOut(nodes, layout.Plan(m, nodes, always))
+	apply(nodes, layout.Plan(m, nodes, always))
 	requireFits(t, m, nodes)
 	for _, z := range []string{"quito", "ambato"} {
 		requireCovered(t, m, nodes, z)
 	}
-	require.Empty(t, layout.Plan(m, nodes, always), "a fresh layout is left alone")
+	require.Empty(t, layout.Plan(m, nodes, always), "a new layout is not changed")
 }
 
-func TestFreshLayoutFollowsMemory(t *testing.T) {
+func TestNewLayoutFollowsMemory(t *testing.T) {
 	m := model()
 	nodes := fleet()
-	carryOut(nodes, layout.Plan(m, nodes, always))
+	apply(nodes, layout.Plan(m, nodes, always))
 	for _, n := range nodes {
 		room := m.Room(n.Kind, n.To-n.From) / float64(n.To-n.From)
 		require.Greater(t, room, 50_000.0, "tokens that fit beside the layers of %s", n.ID)
 	}
 }
 
-// weakest returns the tokens that fit at the layer of a zone with the least room.
+// weakest returns the number of tokens that fit at the layer of a zone with the least KV cache.
 func weakest(m *pipeline.Model, nodes []layout.Node, zone string) float64 {
 	tokens := make([]float64, m.Layers)
 	for _, n := range nodes {
@@ -135,73 +135,73 @@
 	return slices.Min(tokens)
 }
 
-// rounds is the number of times that replicas may load one after another until a
-// zone is whole again after the loss of its largest replica. A round takes about a
-// second, and the users allow 12 s for recovery.
+// rounds is the number of consecutive rounds of loads in which a zone must hold all layers again
+// after the loss of its largest replica. A round takes about a second, and the users allow 12 s
+// for recovery.
 const rounds = 12
 
-// TestAnyOneReplicaIsReplaced loses each replica in turn: a few rounds of orders
-// close the gap, and in the end the zone has nearly the room of a fresh layout.
+// After the loss of any single replica, a few rounds of assignments close the gap, and in the end
+// the zone has nearly the capacity of a new layout.
 func TestAnyOneReplicaIsReplaced(t *testing.T) {
 	m := model()
 	for _, lost := range fleet() {
 		nodes := fleet()
-		settle(t, m, nodes)
+		converge(t, m, nodes)
 		nodes = without(nodes, lost.ID)
 		for range rounds {
-			carryOut(nodes, layout.Plan(m, nodes, always))
+			apply(nodes, layout.Plan(m, nodes, always))
 		}
 		requireCovered(t, m, nodes, lost.Zone)
-		settle(t, m, nodes)
+		converge(t, m, nodes)
 		requireFits(t, m, nodes)
 		requireCovered(t, m, nodes, lost.Zone)
 		fresh := without(fleet(), lost.ID)
-		settle(t, m, fresh)
+		converge(t, m, fresh)
 		require.GreaterOrEqual(t, weakest(m, nodes, lost.Zone), 0.8*weakest(m, fresh, lost.Zone), "after the loss of %s", lost.ID)
 	}
 }
 
-func TestReturnedReplicaRelievesItsNeighbours(t *testing.T) {
+func TestReturnedReplicaGetsLayers(t *testing.T) {
 	m := model()
 	nodes := fleet()
-	settle(t, m, nodes)
+	converge(t, m, nodes)
 	lost := nodes[1]
 	nodes = without(nodes, lost.ID)
-	settle(t, m, nodes)
+	converge(t, m, nodes)
 	nodes = append(nodes, layout.Node{ID: lost.ID, Zone: lost.Zone, Kind: lost.Kind})
-	settle(t, m, nodes)
+	converge(t, m, nodes)
 	requireCovered(t, m, nodes, lost.Zone)
 	require.Positive(t, nodes[len(nodes)-1].To)
 }
 
-func TestRandomLossesKeepZonesWhole(t *testing.T) {
+func TestZonesStayCompleteAfterRandomLosses(t *testing.T) {
 	m := model()
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := fleet()
-		settle(t, m, nodes)
+		converge(t, m, nodes)
 		for range rapid.IntRange(1, 4).Draw(t, "losses") {
 			lost := rapid.IntRange(0, len(nodes)-1).Draw(t, "lost")
 			nodes = without(nodes, nodes[lost].ID)
 			if rapid.Bool().Draw(t, "settles") {
-				settle(t, m, nodes)
+				converge(t, m, nodes)
 			}
 		}
-		settle(t, m, nodes)
+		converge(t, m, nodes)
 		requireFits(t, m, nodes)
 		requireCovered(t, m, nodes, "")
 	})
 }
 
-func TestSmallZonesAreTakenTogether(t *testing.T) {
+func TestSmallZonesFormOneGroup(t *testing.T) {
 	m := model()
 	nodes := zone("a", map[string]int{"l4": 5})
 	nodes = append(nodes, zone("b", map[string]int{"l4": 5})...)
-	settle(t, m, nodes)
+	converge(t, m, nodes)
 	requireFits(t, m, nodes)
 	requireCovered(t, m, nodes, "")
 }
 
-func TestUnknownKindsGetNoOrders(t *testing.T) {
+func TestUnknownKindsGetNoAssignments(t *testing.T) {
 	m := model()
 	nodes := append(fleet(), layout.Node{ID: "x", Zone: "quito", Kind: "unknown"})
 	for _, o := range layout.Plan(m, nodes, always) {
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestOrdersUnderWayAreNotRepeated(t *testing.T) {
+func TestPendingAssignmentsAreNotRepeated(t *testing.T) {
 	m := model()
 	nodes := fleet()
 	for _, o := range layout.Plan(m, nodes, always) {
@@ -222,56 +222,54 @@
 	require.Empty(t, layout.Plan(m, nodes, always))
 }
 
-// TestWeakLayersAreReinforcedWhileTheFleetChanges loses four replicas of a large zone
-// that never becomes calm: within a few rounds the weakest layer has at least 0.6 of
-// the room that it had, of which a ninth was lost.
+// A large zone that never becomes stable loses four replicas. Within a few rounds the weakest
+// layer must have at least 0.6 of its former capacity; a ninth of the total was lost.
 func TestWeakLayersAreReinforcedWhileTheFleetChanges(t *testing.T) {
 	m := model()
 	m.LoadsAtOnce = 4
 	large := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
 	for k := range large {
 		nodes := slices.Clone(large)
-		settle(t, m, nodes)
+		converge(t, m, nodes)
 		before := weakest(m, nodes, "quito")
 		for _, lost := range []int{k, k + 1, k + 7, k + 15} {
 			nodes = without(nodes, large[lost%len(large)].ID)
 		}
 		for range 5 {
-			carryOut(nodes, layout.Plan(m, nodes, never))
+			apply(nodes, layout.Plan(m, nodes, never))
 		}
 		requireFits(t, m, nodes)
 		require.GreaterOrEqual(t, weakest(m, nodes, "quito"), 0.6*before, "after the loss of %s", large[k].ID)
 	}
 }
 
-// TestReinforcementEnds has random losses in a zone that never becomes calm: after
-// some rounds nothing is left to do.
+// After random losses in a zone that never becomes stable, reinforcement must end after some
+// rounds.
 func TestReinforcementEnds(t *testing.T) {
 	m := model()
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
-		settle(t, m, nodes)
+		converge(t, m, nodes)
 		for range rapid.IntRange(1, 6).Draw(t, "losses") {
 			nodes = without(nodes, nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "lost")].ID)
 		}
 		for range 40 {
-			carryOut(nodes, layout.Plan(m, nodes, never))
+			apply(nodes, layout.Plan(m, nodes, never))
 		}
 		requireFits(t, m, nodes)
 		require.Empty(t, layout.Plan(m, nodes, never))
 	})
 }
 
-// TestEmptyReplicaGoesToTheWeakestLayers returns a replica after its layers were given
-// to others.
+// A replica that returns after its layers were assigned to others must get the weakest layers.
 func TestEmptyReplicaGoesToTheWeakestLayers(t *testing.T) {
 	m := model()
 	nodes := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
-	settle(t, m, nodes)
+	converge(t, m, nodes)
 	lost := nodes[9]
 	nodes = without(nodes, lost.ID)
 	weak := weakest(m, nodes, "quito")
 	nodes = append(nodes, layout.Node{ID: "new", Zone: lost.Zone, Kind: lost.Kind})
-	carryOut(nodes, layout.Plan(m, nodes, never))
+	apply(nodes, layout.Plan(m, nodes, never))
 	require.Greater(t, weakest(m, nodes, "quito"), 1.2*weak)
 }
