--- a/core/placement/benchmark_test.go
+++ b/core/placement/benchmark_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// crossing holds layer ranges in eighths of a model, as of three kinds of
+// overlappingRanges holds layer ranges in eighths of a model, as held by three kinds of
 // accelerators.
-var crossing = [][2]int{{0, 3}, {4, 7}, {0, 1}, {2, 3}, {4, 5}, {6, 7}, {0, 2}, {3, 5}, {2, 5}}
+var overlappingRanges = [][2]int{{0, 3}, {4, 7}, {0, 1}, {2, 3}, {4, 5}, {6, 7}, {0, 2}, {3, 5}, {2, 5}}
 
-// benchmarkInput returns engines of models with 80 layers, in 15 zones.
+// benchmarkInput returns engines in 15 zones for models with 80 layers.
 func benchmarkInput(models, engines int) Input {
 	in := Input{Epoch: 1, MaxLoads: max(2, engines/120)}
 	for m := range models {
@@ -17,8 +17,8 @@
 		in.Models = append(in.Models, Model{Name: name, Version: "1", Layers: 80, Demand: engines / models / 2})
 	}
 	for i := range engines {
-		kind := i / models % len(crossing)
-		r := crossing[kind]
+		kind := i / models % len(overlappingRanges)
+		r := overlappingRanges[kind]
 		in.Engines = append(in.Engines, Engine{
 			ID: fmt.Sprintf("e%05d", i), Zone: fmt.Sprint("z", i%15), Accelerator: fmt.Sprint("k", kind%6), Live: true, Units: 8,
 			Held: Assignment{in.Models[i%models].Name, "1", r[0] * 10, r[1]*10 + 9},
--- a/core/placement/extend.go
+++ b/core/placement/extend.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// maxSearches bounds the paths tried for one model in one decision.
-const maxSearches = 16
+// maxPaths is the maximum number of paths tried for one model in one planning step.
+const maxPaths = 16
 
-// placeholder is the units of a range of a path whose engine is not known yet.
-const placeholder = 1
+// placeholderUnits is the number of units assumed for a range of a path while its engine is not
+// chosen yet.
+const placeholderUnits = 1
 
-// step is one load of a path that adds capacity.
+// step is one load that is part of a path that adds capacity.
 type step struct {
 	engine int
 	target Assignment
@@ -20,16 +21,16 @@
 	inPlace bool
 }
 
-// extend finds the fewest loads that raise the planned capacity of the wanted
-// version. It returns nil when the engines for no path can be spared.
+// extend returns the smallest set of loads that raises the planned capacity of the wanted
+// version. It returns nil if no path can be provided with engines.
 func (v *view) extend(m *Model) []step {
 	banned := map[Assignment]bool{}
-	for range maxSearches {
-		path := v.search(m, banned)
+	for range maxPaths {
+		path := v.cheapestPath(m, banned)
 		if path == nil {
 			return nil
 		}
-		steps, missing := v.staff(m, path)
+		steps, missing := v.assignEngines(m, path)
 		if steps != nil {
 			return steps
 		}
@@ -38,32 +39,32 @@
 	return nil
 }
 
-// staff finds an engine for every range of the path, all to be taken at once, or
-// returns a range without one. It leaves the view as it was.
-func (v *view) staff(m *Model, path []Assignment) (steps []step, missing Assignment) {
+// assignEngines chooses an engine for every range of the path, all of them together, or returns a
+// range for which there is none. It leaves the view unchanged.
+func (v *view) assignEngines(m *Model, path []Assignment) (steps []step, missing Assignment) {
 	before := v.plannedUnits(m)
 	held, planned := maps.Clone(v.held), maps.Clone(v.planned)
-	var taken []int
+	var chosen []int
 	defer func() {
 		v.held, v.planned = held, planned
-		for _, i := range taken {
+		for _, i := range chosen {
 			v.target[i] = v.engines[i].Held
-			delete(v.changed, v.engines[i].ID)
+			delete(v.reassigned, v.engines[i].ID)
 		}
 	}()
 	for _, target := range path {
-		v.planned.add(target, placeholder)
+		v.planned.add(target, placeholderUnits)
 	}
 	for _, target := range path {
-		i := v.donor(m, target, before)
+		i := v.chooseEngine(m, target, before)
 		if i < 0 {
 			return nil, target
 		}
 		e := &v.engines[i]
-		taken = append(taken, i)
-		v.changed[e.ID] = true
+		chosen = append(chosen, i)
+		v.reassigned[e.ID] = true
 		v.held.add(e.Held, -e.units())
-		v.planned.add(target, -placeholder)
+		v.planned.add(target, -placeholderUnits)
 		v.setTarget(i, target)
 		steps = append(steps, step{engine: i, target: target, inPlace: sameRange(e.Held, target)})
 	}
@@ -74,17 +75,17 @@
 	return a.Model == b.Model && a.First == b.First && a.Last == b.Last
 }
 
-// donor returns the engine to load target, or -1: the old version of the same
-// range first, then engines without a wanted model, then the old version of
-// other ranges, other ranges, and other models; of these the one in the zone that
-// has fewest units of target. before is what was planned for m without the path.
-func (v *view) donor(m *Model, target Assignment, before int) int {
+// chooseEngine returns the engine that should load target, or -1. It prefers, in this order, the
+// old version of the same range, engines without a wanted model, the old version of other ranges,
+// other ranges of the model, and other models; among equal ones the zone with the fewest units of
+// target. before is the number of units planned for m without the path.
+func (v *view) chooseEngine(m *Model, target Assignment, before int) int {
 	groups := v.groups()
-	there := v.zoneUnits(target)
+	unitsByZone := v.zoneUnits(target)
 	slices.SortStableFunc(groups, func(a, b group) int {
 		return cmp.Or(
-			cmp.Compare(v.class(m, target, a), v.class(m, target, b)),
-			cmp.Compare(there[v.engines[a.engine].Zone], there[v.engines[b.engine].Zone]),
+			cmp.Compare(v.preference(m, target, a), v.preference(m, target, b)),
+			cmp.Compare(unitsByZone[v.engines[a.engine].Zone], unitsByZone[v.engines[b.engine].Zone]),
 		)
 	})
 	for _, g := range groups {
@@ -92,15 +93,15 @@
 		if e.Held == target || v.maxLayers(e) < target.layers() {
 			continue
 		}
-		own := e.Held.Model == m.Name && e.Held.Version == m.Version
-		if own && v.mayShift(m, e, before) || !own && v.mayTake(e) {
+		sameVersion := e.Held.Model == m.Name && e.Held.Version == m.Version
+		if sameVersion && v.mayChangeRange(m, e, before) || !sameVersion && v.mayReassign(e) {
 			return g.engine
 		}
 	}
 	return -1
 }
 
-// zoneUnits returns the units that each zone is to have of an assignment.
+// zoneUnits returns the units of an assignment that are planned in each zone.
 func (v *view) zoneUnits(a Assignment) map[string]int {
 	units := map[string]int{}
 	for i := range v.engines {
@@ -112,7 +113,7 @@
 	return units
 }
 
-func (v *view) class(m *Model, target Assignment, g group) int {
+func (v *view) preference(m *Model, target Assignment, g group) int {
 	held := v.engines[g.engine].Held
 	other, wanted := v.models[held.Model]
 	switch {
@@ -129,15 +130,14 @@
 	}
 }
 
-// search returns the ranges to load along a shortest augmenting path (Ford and
-// Fulkerson, 1956): a range with spare units costs nothing, a version change in
-// place little and an engine from elsewhere much. It returns nil when there is
-// no path.
-func (v *view) search(m *Model, banned map[Assignment]bool) []Assignment {
+// cheapestPath returns the ranges to load along a shortest augmenting path (Ford and Fulkerson,
+// 1956), or nil if there is no path. A range with spare units costs nothing, a version change in
+// place little, and an engine from elsewhere much.
+func (v *view) cheapestPath(m *Model, banned map[Assignment]bool) []Assignment {
 	g := v.graph(m)
 	g.saturate()
 	v.addCandidates(g, m, banned)
-	return g.cheapest(m)
+	return g.cheapestLoads(m)
 }
 
 func (v *view) graph(m *Model) *search {
@@ -148,8 +148,8 @@
 			all = append(all, v.target[i])
 		}
 	}
-	cuts := split(boundaries(m.Layers, all), v.longest())
-	g := newSearch(cuts)
+	bounds := splitLongRanges(boundaries(m.Layers, all), v.longestRange())
+	g := newSearch(bounds)
 	for a, units := range v.planned {
 		if a.Model == m.Name && a.Version == m.Version {
 			g.addUnits(a, units)
@@ -158,46 +158,46 @@
 	return g
 }
 
-// longest returns the longest range that any movable engine can hold.
-func (v *view) longest() int {
+// longestRange returns the largest number of layers that any reassignable engine can hold.
+func (v *view) longestRange() int {
 	longest := 1
 	for i := range v.engines {
 		e := &v.engines[i]
-		if e.usable() && !v.changed[e.ID] {
+		if e.usable() && !v.reassigned[e.ID] {
 			longest = max(longest, v.maxLayers(e))
 		}
 	}
 	return longest
 }
 
-// addCandidates prices every range that an engine could load.
+// addCandidates sets the cost of every range that an engine could load.
 func (v *view) addCandidates(g *search, m *Model, banned map[Assignment]bool) {
-	price := func(a Assignment, cost int) {
+	setCost := func(a Assignment, cost int) {
 		if !banned[a] {
 			g.setCost(a, cost)
 		}
 	}
-	longest := v.longest()
-	for i, first := range g.cuts {
-		for _, next := range g.cuts[i+1:] {
+	longest := v.longestRange()
+	for i, first := range g.boundaries {
+		for _, next := range g.boundaries[i+1:] {
 			if next-first <= longest {
 				a := Assignment{Model: m.Name, Version: m.Version, First: first, Last: next - 1}
-				price(a, costMove)
+				setCost(a, costMove)
 			}
 		}
 	}
 	for a := range v.held {
 		if a.Model == m.Name && a.Version != m.Version {
 			a.Version = m.Version
-			price(a, costRoll)
+			setCost(a, costRoll)
 		}
 	}
 }
 
-// split adds boundaries where the distance is more than longest.
-func split(cuts []int, longest int) []int {
-	out := cuts[:1:1]
-	for _, c := range cuts[1:] {
+// splitLongRanges adds boundaries where two of them are more than longest layers apart.
+func splitLongRanges(bounds []int, longest int) []int {
+	out := bounds[:1:1]
+	for _, c := range bounds[1:] {
 		for out[len(out)-1]+longest < c {
 			out = append(out, out[len(out)-1]+longest)
 		}
--- a/core/placement/limit.go
+++ b/core/placement/limit.go
@@ -1,34 +1,34 @@
 package placement
 
-// Limit learns how many loads at once the weight store gives. A refusal lowers
-// it to the loads that ran, and each completed run of as many loads without a
-// refusal raises it by one. It is not safe for concurrent use.
+// Limit estimates the number of concurrent loads that the weight store allows. A refusal lowers
+// it to the number of loads that were running, and each time as many loads as the limit have
+// finished without a refusal, it rises by one. It is not safe for concurrent use.
 type Limit struct {
-	top      int
+	maximum  int
 	value    int
 	finished int
 }
 
-// NewLimit returns a Limit that starts at top, its largest value.
-func NewLimit(top int) *Limit {
-	top = max(top, 1)
-	return &Limit{top: top, value: top}
+// NewLimit returns a Limit that starts at maximum, its largest value.
+func NewLimit(maximum int) *Limit {
+	maximum = max(maximum, 1)
+	return &Limit{maximum: maximum, value: maximum}
 }
 
-// Value returns the number of loads at once.
+// Value returns the number of concurrent loads.
 func (l *Limit) Value() int { return l.value }
 
-// Refused notes that the store refused a load while running others were going on.
+// Refused records that the store refused a load while the given number of others was running.
 func (l *Limit) Refused(running int) {
 	l.value = max(1, min(l.value, running))
 	l.finished = 0
 }
 
-// Finished notes that a load was completed.
+// Finished records that a load has finished.
 func (l *Limit) Finished() {
 	l.finished++
 	if l.finished >= l.value {
-		l.value = min(l.top, l.value+1)
+		l.value = min(l.maximum, l.value+1)
 		l.finished = 0
 	}
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,30 +1,29 @@
-// Package placement decides which engine holds which layers of which model. It
-// performs no I/O.
+// Package placement decides which engine holds which layers of which model. It performs no I/O.
 //
-// A Planner compares what the engines hold, as read back, with the wanted models
-// and returns orders. An order carries the whole target state of one engine and
-// the epoch of the duty as its fence, so that repeating it changes nothing.
+// A Planner compares what the engines report to hold with the wanted models and returns orders.
+// An order contains the complete target state of one engine and the epoch of the leader as its
+// fencing number, so repeating it changes nothing.
 //
-// Invariants, for one holder of the duty:
+// Invariants during one leader's epoch:
 //
-//  1. At most MaxLoads engines load at once; engines that were loading before
-//     the holder took over count.
-//  2. The units that exact tilings of a model carry, summed over its versions,
-//     never fall through an order below the smaller of what they were and the
-//     floor. For a version change that is RollShare of the demand, or of what the
-//     model's engines would carry with one version if that is less, so that an
-//     overloaded model can change too; for any other change it is Slack times
-//     the demand; and it is at least one unit. So the last replicas of a range
-//     that is in use are never taken, and a model that can be served stays so.
-//  3. With steady demand and engines, orders end. Every change of range or model
-//     lowers the sum of the models' shortfalls; every other change lowers the
-//     number of engines with an old version.
-//  4. An engine that another holder's late order has changed is ordered back to
-//     its target, unless that would break invariant 2; then what it holds becomes
-//     its target. An engine that fences is told the epoch as soon as it is seen.
+//  1. At most MaxLoads engines load at the same time. Engines that were loading before the leader
+//     took over count.
+//  2. The units that exact tilings of a model carry, summed over its versions, never fall through
+//     an order below the smaller of their previous value and a floor, which is at least one unit.
+//     For a version change the floor is RollShare times the demand, or times what the model's
+//     engines would carry with a single version if that is less, so that an overloaded model can
+//     change its version too. For any other change it is Slack times the demand. So the last
+//     replicas of a range that is in use are never reassigned, and a model that can be served
+//     remains so.
+//  3. With steady demand and engines, orders end. Every change of range or model lowers the sum
+//     of the models' shortages; every other change lowers the number of engines with an old
+//     version.
+//  4. An engine that a late order of another leader has changed is ordered back to its target,
+//     unless that would violate invariant 2; in that case what it holds becomes its target. An
+//     engine that checks fencing numbers receives the current epoch as soon as it is seen.
 //
-// Every token crosses all layers of a model, so all its ranges have the same
-// demand; the range that is needed most has the smallest capacity.
+// Every token passes through all layers of a model, so all its ranges have the same demand; the
+// range that needs capacity most is the one with the smallest capacity.
 package placement
 
 import (
@@ -34,7 +33,7 @@
 	"slices"
 )
 
-// Assignment is what an engine holds or is to hold.
+// Assignment is what an engine holds or should hold.
 type Assignment struct {
 	Model   string
 	Version string
@@ -45,82 +44,83 @@
 
 func (a Assignment) layers() int { return a.Last - a.First + 1 }
 
-// Engine is the state of one engine as read back.
+// Engine is the state of one engine as last read.
 type Engine struct {
 	ID          string
 	Zone        string
 	Accelerator string
-	// MaxLayers is the number of layers that the engine can hold; 0 means as many
-	// as any engine with the same accelerator holds.
+	// MaxLayers is the number of layers that the engine can hold; 0 means as many as any
+	// engine with the same accelerator holds.
 	MaxLayers int
 	Held      Assignment
-	// Loading is true while the engine fetches what it holds.
+	// Loading is true while the engine loads the weights of Held.
 	Loading bool
-	// Fence is the highest fencing number seen.
+	// Fence is the highest fencing number that the engine has received.
 	Fence uint64
-	// Fencing is true when the engine refuses orders with an old fence.
+	// Fencing is true if the engine refuses orders with a lower fencing number than Fence.
 	Fencing bool
-	// Live is false when the engine is down; Held and Loading are then the last
-	// known ones.
+	// Live is false if the engine is down; Held and Loading are then the last known values.
 	Live bool
-	// Silent is true when the last reading failed, which does not prove that the
-	// engine is down. Nobody counts on it, but nobody replaces it either.
+	// Silent is true if the last attempt to read the state failed, which does not prove that
+	// the engine is down: its capacity is not relied on, and it is not replaced either.
 	Silent bool
-	// Leaving is true when the engine takes no new work.
+	// Leaving is true if the engine accepts no new work.
 	Leaving bool
-	// Units is what the engine carries at once, in sequences; 0 means 1.
+	// Units is the number of sequences that the engine runs concurrently; 0 means 1.
 	Units int
 }
 
-// read tells whether the state is a fresh one.
-func (e *Engine) read() bool { return e.Live && !e.Silent }
+// isCurrent reports whether the state is current.
+func (e *Engine) isCurrent() bool { return e.Live && !e.Silent }
 
-func (e *Engine) usable() bool { return e.read() && !e.Leaving && !e.Loading }
+func (e *Engine) usable() bool { return e.isCurrent() && !e.Leaving && !e.Loading }
 
 func (e *Engine) units() int { return max(e.Units, 1) }
 
 // Model is a wanted model.
 type Model struct {
 	Name string
-	// Version is the wanted version; empty means the one that is held most.
+	// Version is the wanted version; empty means the version that most of the capacity is
+	// planned for.
 	Version string
 	Layers  int
-	// Demand is the number of sequences to carry at once; 0 means 1.
+	// Demand is the number of sequences to run concurrently; 0 means 1.
 	Demand int
 }
 
 func (m *Model) demand() int { return max(m.Demand, 1) }
 
-// Terms are the planner's margins.
+// Terms holds the planner's margins.
 type Terms struct {
-	// RollShare is the fraction of the demand that a model carries during a
-	// version change.
+	// RollShare is the share of its demand that a model still carries during a version
+	// change.
 	RollShare float64
-	// Slack times its demand is what a model keeps when it gives an engine to
-	// another range or model. The gap between 1 and Slack is the hysteresis.
+	// Slack times its demand is the capacity that a model keeps when one of its engines is
+	// reassigned to another range or model. The distance between 1 and Slack is the
+	// hysteresis.
 	Slack float64
 }
 
-// DefaultTerms returns the usual margins.
+// DefaultTerms returns the default margins.
 func DefaultTerms() Terms { return Terms{RollShare: 0.8, Slack: 1.25} }
 
-// Input is what one decision is based on.
+// Input holds the state on which one planning step is based.
 type Input struct {
-	// Epoch is the fencing number of the holder.
+	// Epoch is the fencing number of the leader.
 	Epoch   uint64
 	Engines []Engine
 	Models  []Model
-	// MaxLoads is the number of loads at once that the weight store gives.
+	// MaxLoads is the number of concurrent loads that the weight store allows.
 	MaxLoads int
 }
 
-// Reason tells why an order is given.
+// Reason is the reason for an order.
 type Reason uint8
 
 const (
-	// ReasonFence raises the fence of an engine and changes nothing else.
+	// ReasonFence raises the fencing number of an engine and changes nothing else.
 	ReasonFence Reason = iota
-	// ReasonRepeat returns an engine to its target.
+	// ReasonRepeat restores the target of an engine.
 	ReasonRepeat
 	// ReasonShortage adds capacity where it is smallest relative to demand.
 	ReasonShortage
@@ -136,26 +136,26 @@
 	Reason Reason
 }
 
-// Plan is the outcome of one decision.
+// Plan is the result of one planning step.
 type Plan struct {
 	Orders []Order
-	// Loading is the number of engines that load, without those of Orders.
+	// Loading is the number of engines that were loading before Orders.
 	Loading int
-	// Short holds the models whose planned capacity is below their demand,
-	// the most needed one first.
+	// Short holds the models whose planned capacity is below their demand, the one with the
+	// smallest ratio first.
 	Short []Shortage
 	// Outdated is the number of engines with an old version of a wanted model.
 	Outdated int
 }
 
-// Shortage is a model that the engines can't carry in full.
+// Shortage is a model whose planned capacity is below its demand.
 type Shortage struct {
 	Model   string
 	Planned int
 	Demand  int
 }
 
-// Planner remembers the targets of one holder's epoch. It is not safe for
+// Planner holds the targets of the engines during one leader's epoch. It is not safe for
 // concurrent use.
 type Planner struct {
 	terms   Terms
@@ -168,35 +168,35 @@
 	return &Planner{terms: terms, targets: map[string]Assignment{}}
 }
 
-// Target returns the target of an engine, once it has been seen live.
+// Target returns the target of an engine, or false before its state has been read.
 func (p *Planner) Target(engine string) (Assignment, bool) {
 	t, ok := p.targets[engine]
 	return t, ok
 }
 
-// Step decides on the engines as read and returns the orders to send now. Call
-// it again with a fresh reading; orders that were lost are repeated then.
+// Step returns the orders to send now, given the state of the engines. It must be called again
+// with the state read afterwards, and then repeats orders that were lost.
 func (p *Planner) Step(in Input) Plan {
-	p.adopt(in)
+	p.syncTargets(in)
 	v := newView(p.terms, in, p.targets)
 	plan := Plan{Loading: v.loading}
-	v.repeat(p.targets)
-	for v.budget > 0 && v.relieveShortage() {
+	v.restoreTargets(p.targets)
+	for v.loadBudget > 0 && v.relieveShortage() {
 	}
-	for v.budget > 0 && v.rollOne() {
+	for v.loadBudget > 0 && v.rollOneEngine() {
 	}
-	for _, c := range v.changes {
+	for _, c := range v.orders {
 		p.targets[c.Engine] = c.Target
 	}
-	plan.Orders = append(v.changes, fences(in, p.targets, v.changed)...)
+	plan.Orders = append(v.orders, fenceOrders(in, p.targets, v.reassigned)...)
 	plan.Short = v.shortages()
 	plan.Outdated = v.outdated()
 	return plan
 }
 
-// adopt forgets the targets of an older epoch and of engines that are gone, and
-// takes what a new engine holds as its target.
-func (p *Planner) adopt(in Input) {
+// syncTargets deletes the targets of an earlier epoch and of engines that are no longer listed. The
+// target of a new engine is what it holds.
+func (p *Planner) syncTargets(in Input) {
 	if in.Epoch != p.epoch {
 		p.targets = map[string]Assignment{}
 		p.epoch = in.Epoch
@@ -205,46 +205,47 @@
 	for i := range in.Engines {
 		e := &in.Engines[i]
 		seen[e.ID] = true
-		if _, known := p.targets[e.ID]; !known && e.read() {
+		if _, known := p.targets[e.ID]; !known && e.isCurrent() {
 			p.targets[e.ID] = e.Held
 		}
 	}
 	maps.DeleteFunc(p.targets, func(id string, _ Assignment) bool { return !seen[id] })
 }
 
-// fences returns the orders that only raise fences.
-func fences(in Input, targets map[string]Assignment, changed map[string]bool) []Order {
+// fenceOrders returns the orders that only raise fencing numbers.
+func fenceOrders(in Input, targets map[string]Assignment, reassigned map[string]bool) []Order {
 	var orders []Order
 	for i := range in.Engines {
 		e := &in.Engines[i]
-		behind := e.read() && e.Fencing && e.Fence < in.Epoch
-		if behind && !changed[e.ID] && targets[e.ID] == e.Held {
+		behind := e.isCurrent() && e.Fencing && e.Fence < in.Epoch
+		if behind && !reassigned[e.ID] && targets[e.ID] == e.Held {
 			orders = append(orders, Order{Engine: e.ID, Fence: in.Epoch, Target: e.Held, Reason: ReasonFence})
 		}
 	}
 	return orders
 }
 
-// repeat orders engines back to their targets.
-func (v *view) repeat(targets map[string]Assignment) {
+// restoreTargets orders engines back to their targets. If an engine is leaving, or its model
+// cannot do without what it holds now, that becomes its target instead.
+func (v *view) restoreTargets(targets map[string]Assignment) {
 	for i := range v.engines {
 		e := &v.engines[i]
 		target, known := targets[e.ID]
-		if !e.read() || !known || target == e.Held {
+		if !e.isCurrent() || !known || target == e.Held {
 			continue
 		}
 		switch {
-		case e.Leaving || !v.mayRepeat(e):
+		case e.Leaving || !v.mayRestore(e):
 			targets[e.ID] = e.Held
 			v.setTarget(i, e.Held)
-		case v.budget > 0 || e.Loading:
-			v.order(i, target, ReasonRepeat)
+		case v.loadBudget > 0 || e.Loading:
+			v.addOrder(i, target, ReasonRepeat)
 		}
 	}
 }
 
-// mayRepeat tells whether the model that the engine holds can do without it.
-func (v *view) mayRepeat(e *Engine) bool {
+// mayRestore reports whether the model that the engine holds can do without it.
+func (v *view) mayRestore(e *Engine) bool {
 	m, wanted := v.models[e.Held.Model]
 	if !wanted || !e.usable() {
 		return true
@@ -252,40 +253,40 @@
 	return v.usableWithout(e) >= min(v.usable(m), v.rollFloor(m))
 }
 
-// relieveShortage plans loads for the model whose planned capacity is smallest
-// relative to its demand and for which engines can be found.
+// relieveShortage orders loads for the model with the smallest ratio of planned capacity to
+// demand for which engines are available.
 func (v *view) relieveShortage() bool {
 	for _, s := range v.shortages() {
 		m := v.models[s.Model]
 		if steps := v.extend(m); len(steps) > 0 {
-			v.take(m, steps)
+			v.orderSteps(m, steps)
 			return true
 		}
 	}
 	return false
 }
 
-// take orders the steps with the smallest capacity first, as many as the budget
-// has. The next decision plans the rest again from what then is held.
-func (v *view) take(m *Model, steps []step) {
+// orderSteps orders as many of the steps as the budget allows, those with the smallest capacity
+// first. The next planning step plans the rest again from the state at that time.
+func (v *view) orderSteps(m *Model, steps []step) {
 	slices.SortStableFunc(steps, func(a, b step) int {
 		return cmp.Compare(v.coverage(m, a.target), v.coverage(m, b.target))
 	})
 	for _, s := range steps {
-		if v.budget == 0 {
+		if v.loadBudget == 0 {
 			return
 		}
 		reason := ReasonShortage
 		if s.inPlace {
 			reason = ReasonVersion
 		}
-		v.order(s.engine, s.target, reason)
+		v.addOrder(s.engine, s.target, reason)
 	}
 }
 
-// rollOne replaces the old version on one engine of the range that has the
-// smallest capacity in the wanted version.
-func (v *view) rollOne() bool {
+// rollOneEngine orders a version change for one engine of the range with the smallest capacity in
+// the wanted version.
+func (v *view) rollOneEngine() bool {
 	best, bestCoverage := -1, math.MaxInt
 	var target Assignment
 	for _, g := range v.groups() {
@@ -297,21 +298,21 @@
 		next := e.Held
 		next.Version = m.Version
 		coverage := v.coverage(m, next)
-		if coverage < bestCoverage && v.mayTake(e) {
+		if coverage < bestCoverage && v.mayReassign(e) {
 			best, bestCoverage, target = g.engine, coverage, next
 		}
 	}
 	if best < 0 {
 		return false
 	}
-	v.order(best, target, ReasonVersion)
+	v.addOrder(best, target, ReasonVersion)
 	return true
 }
 
-// shortages returns the models below their demand, the most needed one first.
+// shortages returns the models below their demand, the one with the smallest ratio first.
 func (v *view) shortages() []Shortage {
 	var out []Shortage
-	for _, name := range v.names {
+	for _, name := range v.modelNames {
 		m := v.models[name]
 		if planned := v.plannedUnits(m); planned < m.demand() {
 			out = append(out, Shortage{Model: name, Planned: planned, Demand: m.demand()})
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -18,22 +18,22 @@
 const (
 	layers   = 12
 	maxSteps = 300
-	// maxLoadSteps is the longest load.
+	// maxLoadSteps is the duration of the longest load.
 	maxLoadSteps = 4
 )
 
 // fleet is a set of simulated engines.
 type fleet struct {
-	engines []Engine
-	left    []int // steps until the load ends, by engine
-	models  []Model
-	max     int
-	epoch   uint64
+	engines        []Engine
+	remainingSteps []int // steps until the load ends, by engine
+	models         []Model
+	maxLoads       int
+	epoch          uint64
 }
 
-// draw returns replicas of three ranges for two models and some spare engines.
-func draw(t *rapid.T, fencing func() bool) *fleet {
-	f := &fleet{epoch: 1, max: rapid.IntRange(1, 3).Draw(t, "maxLoads")}
+// drawFleet returns replicas of three ranges for two models and some spare engines.
+func drawFleet(t *rapid.T, fencing func() bool) *fleet {
+	f := &fleet{epoch: 1, maxLoads: rapid.IntRange(1, 3).Draw(t, "maxLoads")}
 	for _, name := range []string{"a", "b"} {
 		replicas := rapid.IntRange(2, 4).Draw(t, "replicas")
 		demand := rapid.IntRange(1, 8*(replicas-1)).Draw(t, "demand")
@@ -52,18 +52,18 @@
 
 func (f *fleet) add(id string, held Assignment, fencing bool) {
 	f.engines = append(f.engines, Engine{ID: id, Held: held, Live: true, Units: 8, Fencing: fencing})
-	f.left = append(f.left, 0)
+	f.remainingSteps = append(f.remainingSteps, 0)
 }
 
 func (f *fleet) read(epoch uint64) Input {
-	return Input{Epoch: epoch, Engines: slices.Clone(f.engines), Models: f.models, MaxLoads: f.max}
+	return Input{Epoch: epoch, Engines: slices.Clone(f.engines), Models: f.models, MaxLoads: f.maxLoads}
 }
 
 func (f *fleet) index(id string) int {
 	return slices.IndexFunc(f.engines, func(e Engine) bool { return e.ID == id })
 }
 
-// deliver hands an order to its engine and tells whether the engine took it.
+// deliver passes an order to its engine and reports whether the engine accepted it.
 func (f *fleet) deliver(t *rapid.T, o Order) bool {
 	i := f.index(o.Engine)
 	e := &f.engines[i]
@@ -73,16 +73,16 @@
 	e.Fence = max(e.Fence, o.Fence)
 	if e.Held != o.Target {
 		e.Held, e.Loading = o.Target, true
-		f.left[i] = rapid.IntRange(1, maxLoadSteps).Draw(t, "loadSteps")
+		f.remainingSteps[i] = rapid.IntRange(1, maxLoadSteps).Draw(t, "loadSteps")
 	}
 	return true
 }
 
-// tick lets one step of all loads pass.
+// tick advances all loads by one step.
 func (f *fleet) tick() {
 	for i := range f.engines {
-		f.left[i] = max(0, f.left[i]-1)
-		f.engines[i].Loading = f.left[i] > 0
+		f.remainingSteps[i] = max(0, f.remainingSteps[i]-1)
+		f.engines[i].Loading = f.remainingSteps[i] > 0
 	}
 }
 
@@ -96,7 +96,7 @@
 	return n
 }
 
-// served returns what the engines carry of a model, over all versions.
+// served returns the units that the engines carry of a model, summed over all versions.
 func (f *fleet) served(model string) int {
 	edges := map[string][]capacity.Edge{}
 	for _, e := range f.engines {
@@ -111,9 +111,9 @@
 	return total
 }
 
-// ofOneVersion returns what the engines would carry of a model if none were
-// loading and all had one version.
-func (f *fleet) ofOneVersion(model string) int {
+// servedWithOneVersion returns the units that the engines would carry of a model if none were
+// loading and all had the same version.
+func (f *fleet) servedWithOneVersion(model string) int {
 	same := &fleet{engines: slices.Clone(f.engines)}
 	for i := range same.engines {
 		same.engines[i].Loading = false
@@ -122,8 +122,8 @@
 	return same.served(model)
 }
 
-// deliverAll hands over the orders of one plan, some of which are lost, and
-// requires that no model loses what it must keep.
+// deliverAll delivers the orders of one plan, some of which are lost if lossy is set, and
+// requires that each model keeps its floor.
 func (f *fleet) deliverAll(t *rapid.T, orders []Order, lossy bool) {
 	for _, o := range orders {
 		if lossy && rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
@@ -131,7 +131,7 @@
 		}
 		before, whole := map[string]int{}, map[string]int{}
 		for _, m := range f.models {
-			before[m.Name], whole[m.Name] = f.served(m.Name), f.ofOneVersion(m.Name)
+			before[m.Name], whole[m.Name] = f.served(m.Name), f.servedWithOneVersion(m.Name)
 		}
 		held := f.engines[f.index(o.Engine)].Held
 		f.deliver(t, o)
@@ -143,22 +143,22 @@
 			floor := min(before[m.Name], max(1, int(keep)))
 			require.GreaterOrEqual(t, f.served(m.Name), floor, "%s after %+v", m.Name, o)
 		}
-		require.LessOrEqual(t, f.loading(), f.max)
+		require.LessOrEqual(t, f.loading(), f.maxLoads)
 	}
 }
 
-// run steps until nothing changes any more, at most steps times. Without losses
-// the shortfalls only shrink.
+// run plans and delivers until nothing changes any more, for at most the given number of steps.
+// Without losses, shortages must only shrink.
 func (f *fleet) run(t *rapid.T, p *Planner, steps int, lossy bool) (plan Plan) {
-	last := math.MaxInt
+	lastShortage := math.MaxInt
 	for range steps {
 		plan = p.Step(f.read(f.epoch))
-		sum := 0
+		shortage := 0
 		for _, s := range plan.Short {
-			sum += s.Demand - s.Planned
+			shortage += s.Demand - s.Planned
 		}
-		require.True(t, lossy || sum <= last, "shortfalls rise from %d to %d", last, sum)
-		last = sum
+		require.True(t, lossy || shortage <= lastShortage, "shortages rise from %d to %d", lastShortage, shortage)
+		lastShortage = shortage
 		if len(plan.Orders) == 0 && plan.Loading == 0 {
 			break
 		}
@@ -168,8 +168,9 @@
 	return plan
 }
 
-// requireWanted runs to the end and requires all targets and demands to be met.
-func (f *fleet) requireWanted(t *rapid.T, p *Planner) {
+// requireTargetsReached runs until nothing changes and requires that all targets and demands are
+// met.
+func (f *fleet) requireTargetsReached(t *rapid.T, p *Planner) {
 	last := f.run(t, p, maxSteps, true)
 	require.Empty(t, last.Orders, "the orders do not end")
 	require.Empty(t, last.Short)
@@ -184,13 +185,13 @@
 	}
 }
 
-// A lost range comes back, a version change goes through, at most MaxLoads
-// engines load at once and no order takes away what a model must keep.
+// A lost range is restored and a version change completes, while at most MaxLoads engines load at
+// the same time and no order takes a model below its floor.
 func TestConvergesAndKeepsServing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := draw(t, func() bool { return false })
+		f := drawFleet(t, func() bool { return false })
 		p := New(DefaultTerms())
-		require.Empty(t, p.Step(f.read(1)).Orders, "a fleet that carries its demand is left alone")
+		require.Empty(t, p.Step(f.read(1)).Orders, "a fleet that carries its demand is not changed")
 		if rapid.Bool().Draw(t, "crash") {
 			first := rapid.SampledFrom([]int{0, 4, 9}).Draw(t, "range")
 			for i := range f.engines {
@@ -205,15 +206,15 @@
 		if rapid.Bool().Draw(t, "back") {
 			f.models[0].Version = "1"
 		}
-		f.requireWanted(t, p)
+		f.requireTargetsReached(t, p)
 	})
 }
 
-// With few spare engines and changing demand the shortfalls only shrink while the
-// demand is steady, and the orders end.
-func TestShortfallsShrink(t *testing.T) {
+// With few spare engines and changing demand, shortages only shrink while the demand is steady,
+// and the orders end.
+func TestShortagesShrink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := draw(t, func() bool { return false })
+		f := drawFleet(t, func() bool { return false })
 		f.engines = f.engines[:len(f.engines)-rapid.IntRange(0, 3).Draw(t, "fewer")]
 		p := New(DefaultTerms())
 		for range rapid.IntRange(1, 4).Draw(t, "demands") {
@@ -228,9 +229,9 @@
 	})
 }
 
-// Demand that swings by less than the slack moves no engine to and fro.
-func TestSwingingDemandMovesNothing(t *testing.T) {
-	f := &fleet{max: 3, models: []Model{{Name: "a", Version: "1", Layers: layers}, {Name: "b", Version: "1", Layers: layers}}}
+// Demand that varies by less than the slack must not move engines back and forth.
+func TestVaryingDemandMovesNothing(t *testing.T) {
+	f := &fleet{maxLoads: 3, models: []Model{{Name: "a", Version: "1", Layers: layers}, {Name: "b", Version: "1", Layers: layers}}}
 	for i, model := range []string{"a", "a", "a", "b", "b", "b"} {
 		for _, r := range [][2]int{{0, 3}, {4, 8}, {9, 11}} {
 			f.add(fmt.Sprint(model, i, r), Assignment{model, "1", r[0], r[1]}, false)
@@ -243,10 +244,10 @@
 	}
 }
 
-// Of the engines that can hold the range, here one that holds nothing yet, that in
-// the zone with the fewest replicas loads.
+// Among the engines that can hold the range, one in the zone with the fewest replicas loads it;
+// here it is an engine that holds nothing yet.
 func TestSpreadsOverZones(t *testing.T) {
-	f := &fleet{max: 1, models: []Model{{Name: "a", Version: "1", Layers: 4, Demand: 24}}}
+	f := &fleet{maxLoads: 1, models: []Model{{Name: "a", Version: "1", Layers: 4, Demand: 24}}}
 	for i, zone := range []string{"z0", "z0", "z1", "z1", "z1", "z2", "z2"} {
 		f.add(fmt.Sprint("e", i), Assignment{"idle", "1", 0, 3}, false)
 		f.engines[i].Zone = zone
@@ -260,10 +261,10 @@
 	require.Equal(t, "e6", orders[0].Engine)
 }
 
-// While the other replicas of its ranges load, a model with much slack gives none
-// of the engines that serve.
+// While the other replicas of its ranges load, a model with much slack gives up none of the
+// serving engines.
 func TestServingEnginesStayWhileOthersLoad(t *testing.T) {
-	f := &fleet{max: 9, models: []Model{{Name: "a", Version: "1", Layers: layers}, {Name: "b", Version: "1", Layers: layers, Demand: 8}}}
+	f := &fleet{maxLoads: 9, models: []Model{{Name: "a", Version: "1", Layers: layers}, {Name: "b", Version: "1", Layers: layers, Demand: 8}}}
 	for i, model := range []string{"a", "a", "b"} {
 		for _, r := range [][2]int{{0, 3}, {4, 8}, {9, 11}} {
 			f.add(fmt.Sprint(model, i, r), Assignment{model, "1", r[0], r[1]}, false)
@@ -274,9 +275,9 @@
 	require.Empty(t, New(DefaultTerms()).Step(f.read(1)).Orders)
 }
 
-// An engine that a late order has put to use is not ordered back.
-func TestLateOrderThatIsOfUseStays(t *testing.T) {
-	f := &fleet{max: 1, models: []Model{{Name: "a", Version: "1", Layers: 9}}}
+// An engine whose late order turned out useful is not ordered back.
+func TestUsefulLateOrderIsKept(t *testing.T) {
+	f := &fleet{maxLoads: 1, models: []Model{{Name: "a", Version: "1", Layers: 9}}}
 	f.add("x", Assignment{"a", "1", 0, 3}, false)
 	f.add("y", Assignment{"a", "1", 4, 8}, false)
 	f.add("z", Assignment{"idle", "1", 0, 4}, false)
@@ -287,9 +288,10 @@
 	require.Empty(t, p.Step(f.read(1)).Orders)
 }
 
-// A holder that held the duty before keeps no targets from then.
-func TestNewEpochStartsFromWhatIsHeld(t *testing.T) {
-	f := &fleet{max: 1}
+// A Planner that gets a later epoch, with another leader in between, must not keep its targets
+// from the earlier one.
+func TestNewEpochStartsWithHeldAssignments(t *testing.T) {
+	f := &fleet{maxLoads: 1}
 	f.add("x", Assignment{"a", "1", 0, 3}, false)
 	p := New(DefaultTerms())
 	require.Empty(t, p.Step(f.read(1)).Orders)
@@ -297,20 +299,19 @@
 	require.Empty(t, p.Step(f.read(3)).Orders)
 }
 
-// The old holder is paused at any step; its orders arrive at any later time, some
-// of them twice.
-func TestOldHolderWakes(t *testing.T) {
+// The old leader is paused at any step; its orders arrive at any later time, some of them twice.
+func TestOldLeaderResumes(t *testing.T) {
 	for _, name := range []string{"fencing", "ignoring", "mixed"} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				f := draw(t, func() bool { return name == "fencing" || (name == "mixed" && rapid.Bool().Draw(t, "fences")) })
-				checkOldHolder(t, f)
+				f := drawFleet(t, func() bool { return name == "fencing" || (name == "mixed" && rapid.Bool().Draw(t, "fences")) })
+				checkOldLeader(t, f)
 			})
 		})
 	}
 }
 
-func checkOldHolder(t *rapid.T, f *fleet) {
+func checkOldLeader(t *rapid.T, f *fleet) {
 	older, newer := New(DefaultTerms()), New(DefaultTerms())
 	f.models[0].Version = "2"
 	var late []Order
@@ -328,18 +329,18 @@
 		}
 		for range rapid.IntRange(0, min(len(late), 3)).Draw(t, "wakes") {
 			o := rapid.SampledFrom(late).Draw(t, "late")
-			taken := f.deliver(t, o)
-			require.False(t, taken && f.engines[f.index(o.Engine)].Fencing, "round %d: a late order was taken", round)
+			accepted := f.deliver(t, o)
+			require.False(t, accepted && f.engines[f.index(o.Engine)].Fencing, "round %d: a late order was accepted", round)
 		}
 		f.tick()
 	}
 	for range maxLoadSteps {
 		f.tick()
 	}
-	f.requireWanted(t, newer)
+	f.requireTargetsReached(t, newer)
 }
 
-// The search finds as few loads as trying all sets of loads does.
+// The search needs as few loads as the smallest set found by trying all sets.
 func TestSearchFindsFewestLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(t, "layers")
@@ -359,16 +360,16 @@
 			}
 		}
 		costs := s.cost
-		s.cost = newSearch(s.cuts).cost
+		s.cost = newSearch(s.boundaries).cost
 		s.saturate()
 		s.cost = costs
-		require.Len(t, s.cheapest(&Model{}), fewest(n, have, candidates))
+		require.Len(t, s.cheapestLoads(&Model{}), fewestLoads(n, have, candidates))
 	})
 }
 
-// fewest is the size of the smallest set of candidates that raises the flow, 0
-// when there is none.
-func fewest(n int, have, candidates []capacity.Edge) int {
+// fewestLoads returns the size of the smallest set of candidates that raises the flow, or 0 if
+// there is none.
+func fewestLoads(n int, have, candidates []capacity.Edge) int {
 	best := 0
 	base := capacity.Max(n, have)
 	for set := range 1 << len(candidates) {
--- a/core/placement/search.go
+++ b/core/placement/search.go
@@ -6,55 +6,55 @@
 )
 
 const (
-	// costRoll and costMove are the costs of a load in a path. One move costs
-	// more than any path of version changes.
+	// costRoll and costMove are the costs of one load in a path. One move costs more than any
+	// path of version changes.
 	costRoll = 1
 	costMove = 1 << 16
-	// costNone marks a pair of boundaries that no load can join.
+	// costNone marks a pair of boundaries that no load can connect.
 	costNone = math.MaxInt
 )
 
-// search is the graph of a model's boundaries with the spare units between them
-// and the costs of loads.
+// search is the graph whose nodes are the boundaries of a model's ranges, with the spare units
+// and the cost of a load between any two of them.
 type search struct {
-	cuts  []int
-	spare [][]int
-	cost  [][]int
+	boundaries []int
+	spare      [][]int
+	cost       [][]int
 }
 
-func newSearch(cuts []int) *search {
-	s := &search{cuts: cuts, spare: make([][]int, len(cuts)), cost: make([][]int, len(cuts))}
-	for i := range cuts {
-		s.spare[i] = make([]int, len(cuts))
-		s.cost[i] = slices.Repeat([]int{costNone}, len(cuts))
+func newSearch(bounds []int) *search {
+	s := &search{boundaries: bounds, spare: make([][]int, len(bounds)), cost: make([][]int, len(bounds))}
+	for i := range bounds {
+		s.spare[i] = make([]int, len(bounds))
+		s.cost[i] = slices.Repeat([]int{costNone}, len(bounds))
 	}
 	return s
 }
 
-// ends returns the indexes of the boundaries of a range.
-func (s *search) ends(a Assignment) (from, to int, ok bool) {
-	from, ok1 := slices.BinarySearch(s.cuts, a.First)
-	to, ok2 := slices.BinarySearch(s.cuts, a.Last+1)
+// boundaryIndexes returns the indexes of the boundaries of a range.
+func (s *search) boundaryIndexes(a Assignment) (from, to int, ok bool) {
+	from, ok1 := slices.BinarySearch(s.boundaries, a.First)
+	to, ok2 := slices.BinarySearch(s.boundaries, a.Last+1)
 	return from, to, ok1 && ok2
 }
 
 func (s *search) addUnits(a Assignment, units int) {
-	if from, to, ok := s.ends(a); ok {
+	if from, to, ok := s.boundaryIndexes(a); ok {
 		s.spare[from][to] += units
 	}
 }
 
 func (s *search) setCost(a Assignment, cost int) {
-	if from, to, ok := s.ends(a); ok {
+	if from, to, ok := s.boundaryIndexes(a); ok {
 		s.cost[from][to] = cost
 	}
 }
 
-// saturate sends as many units as the ranges carry.
+// saturate sends as much flow as the ranges can carry.
 func (s *search) saturate() {
-	last := len(s.cuts) - 1
+	last := len(s.boundaries) - 1
 	for {
-		parent, total := s.shortest()
+		parent, total := s.shortestPath()
 		if total > 0 {
 			return
 		}
@@ -69,18 +69,18 @@
 	}
 }
 
-// cheapest returns the ranges to load along the cheapest path.
-func (s *search) cheapest(m *Model) []Assignment {
-	parent, total := s.shortest()
+// cheapestLoads returns the ranges to load along the cheapest path.
+func (s *search) cheapestLoads(m *Model) []Assignment {
+	parent, total := s.shortestPath()
 	if total == costNone {
 		return nil
 	}
 	var path []Assignment
-	for to := len(s.cuts) - 1; to != 0; to = parent[to] {
+	for to := len(s.boundaries) - 1; to != 0; to = parent[to] {
 		from := parent[to]
 		if s.spare[from][to] == 0 {
 			path = append(path, Assignment{
-				Model: m.Name, Version: m.Version, First: s.cuts[from], Last: s.cuts[to] - 1,
+				Model: m.Name, Version: m.Version, First: s.boundaries[from], Last: s.boundaries[to] - 1,
 			})
 		}
 	}
@@ -88,10 +88,10 @@
 	return path
 }
 
-// shortest returns the parents on the cheapest paths from the first boundary and
-// the cost to the last one (Bellman, 1958).
-func (s *search) shortest() (parent []int, total int) {
-	n := len(s.cuts)
+// shortestPath returns the predecessor of each boundary on the cheapest path from the first one,
+// and the cost to the last one (Bellman, 1958).
+func (s *search) shortestPath() (parent []int, total int) {
+	n := len(s.boundaries)
 	distance := slices.Repeat([]int{costNone}, n)
 	parent = make([]int, n)
 	distance[0] = 0
@@ -102,7 +102,7 @@
 				continue
 			}
 			for to := range n {
-				cost := s.price(from, to)
+				cost := s.edgeCost(from, to)
 				if cost != costNone && distance[from]+cost < distance[to] {
 					distance[to] = distance[from] + cost
 					parent[to] = from
@@ -114,7 +114,7 @@
 	return parent, distance[n-1]
 }
 
-func (s *search) price(from, to int) int {
+func (s *search) edgeCost(from, to int) int {
 	if s.spare[from][to] > 0 {
 		return 0
 	}
--- a/core/placement/view.go
+++ b/core/placement/view.go
@@ -9,31 +9,32 @@
 	"masticbank.example/core/capacity"
 )
 
-// view is the state of one decision: what the engines hold and what they are to
-// hold with the changes decided so far.
+// view is the state of one planning step: what the engines hold, and their targets including the
+// changes decided so far.
 type view struct {
-	terms   Terms
-	epoch   uint64
-	engines []Engine
-	models  map[string]*Model
-	names   []string
-	target  []Assignment // by engine index
-	// held holds the units that can serve now, planned those that are to.
-	held    tally
-	planned tally
-	// longestHeld is the longest range that each kind of accelerator holds.
+	terms      Terms
+	epoch      uint64
+	engines    []Engine
+	models     map[string]*Model
+	modelNames []string
+	target     []Assignment // by engine index
+	// held holds the units that can serve now, planned those of the targets.
+	held    unitCounts
+	planned unitCounts
+	// longestHeld is the length of the longest range held or targeted, by kind of
+	// accelerator.
 	longestHeld map[string]int
 
-	loading int
-	budget  int
-	changes []Order
-	changed map[string]bool
+	loading    int
+	loadBudget int
+	orders     []Order
+	reassigned map[string]bool
 }
 
-// tally holds the units of each assignment.
-type tally map[Assignment]int
+// unitCounts holds the number of units of each assignment.
+type unitCounts map[Assignment]int
 
-func (t tally) add(a Assignment, units int) {
+func (t unitCounts) add(a Assignment, units int) {
 	t[a] += units
 	if t[a] == 0 {
 		delete(t, a)
@@ -44,7 +45,7 @@
 	v := &view{
 		terms: terms, epoch: in.Epoch, engines: in.Engines,
 		models: map[string]*Model{}, target: make([]Assignment, len(in.Engines)),
-		held: tally{}, planned: tally{}, longestHeld: map[string]int{}, changed: map[string]bool{},
+		held: unitCounts{}, planned: unitCounts{}, longestHeld: map[string]int{}, reassigned: map[string]bool{},
 	}
 	for i := range in.Engines {
 		v.addEngine(i, targets)
@@ -57,8 +58,8 @@
 			v.models[m.Name] = &m
 		}
 	}
-	v.names = slices.Sorted(maps.Keys(v.models))
-	v.budget = max(0, in.MaxLoads-v.loading)
+	v.modelNames = slices.Sorted(maps.Keys(v.models))
+	v.loadBudget = max(0, in.MaxLoads-v.loading)
 	return v
 }
 
@@ -68,7 +69,7 @@
 	if t, known := targets[e.ID]; known {
 		v.target[i] = t
 	}
-	pending := !e.read() && v.target[i] != e.Held
+	pending := !e.isCurrent() && v.target[i] != e.Held
 	if e.Loading || pending {
 		v.loading++
 	}
@@ -89,8 +90,8 @@
 	return v.longestHeld[e.Accelerator]
 }
 
-// commonVersion returns the version of the model with the most units planned,
-// the highest of equal ones.
+// commonVersion returns the version of the model with the most planned units, the highest one if
+// several are equal.
 func (v *view) commonVersion(model string) string {
 	units := map[string]int{}
 	for a, n := range v.planned {
@@ -116,40 +117,40 @@
 	v.target[i] = a
 }
 
-// order changes the engine's target and counts its load.
-func (v *view) order(i int, target Assignment, reason Reason) {
+// addOrder sets the engine's target, records the order and counts its load.
+func (v *view) addOrder(i int, target Assignment, reason Reason) {
 	e := &v.engines[i]
 	if e.usable() {
 		v.held.add(e.Held, -e.units())
 	}
 	if !e.Loading {
-		v.budget--
+		v.loadBudget--
 	}
 	v.setTarget(i, target)
-	v.changed[e.ID] = true
-	v.changes = append(v.changes, Order{Engine: e.ID, Fence: v.epoch, Target: target, Reason: reason})
+	v.reassigned[e.ID] = true
+	v.orders = append(v.orders, Order{Engine: e.ID, Fence: v.epoch, Target: target, Reason: reason})
 }
 
-// usable returns the units that the model can serve now, over all versions.
+// usable returns the units that the model can serve now, summed over all versions.
 func (v *view) usable(m *Model) int {
-	versions := map[string]tally{}
+	versions := map[string]unitCounts{}
 	for a, units := range v.held {
 		if a.Model != m.Name {
 			continue
 		}
 		if versions[a.Version] == nil {
-			versions[a.Version] = tally{}
+			versions[a.Version] = unitCounts{}
 		}
 		versions[a.Version][a] = units
 	}
 	total := 0
 	for _, t := range versions {
-		total += flow(m.Layers, slices.Collect(maps.Keys(t)), t)
+		total += maxFlow(m.Layers, slices.Collect(maps.Keys(t)), t)
 	}
 	return total
 }
 
-// plannedUnits returns the units that the wanted version is to serve.
+// plannedUnits returns the planned units of the wanted version.
 func (v *view) plannedUnits(m *Model) int {
 	var ranges []Assignment
 	for a := range v.planned {
@@ -157,11 +158,11 @@
 			ranges = append(ranges, a)
 		}
 	}
-	return flow(m.Layers, ranges, v.planned)
+	return maxFlow(m.Layers, ranges, v.planned)
 }
 
-// allVersions returns the units that the model would serve if all its engines
-// had the same version.
+// allVersions returns the units that the model would serve if all its engines had the same
+// version.
 func (v *view) allVersions(m *Model) int {
 	var ranges []Assignment
 	for a := range v.planned {
@@ -169,11 +170,10 @@
 			ranges = append(ranges, a)
 		}
 	}
-	return flow(m.Layers, ranges, v.planned)
+	return maxFlow(m.Layers, ranges, v.planned)
 }
 
-// usableWithout returns the units that the model of a usable engine can serve
-// without it.
+// usableWithout returns the units that the model of a usable engine can serve without it.
 func (v *view) usableWithout(e *Engine) int {
 	v.held.add(e.Held, -e.units())
 	defer v.held.add(e.Held, e.units())
@@ -189,8 +189,8 @@
 	return max(1, int(math.Ceil(v.terms.Slack*float64(m.demand()))))
 }
 
-// mayTake tells whether the engine may load something else.
-func (v *view) mayTake(e *Engine) bool {
+// mayReassign reports whether the engine may be reassigned.
+func (v *view) mayReassign(e *Engine) bool {
 	m, wanted := v.models[e.Held.Model]
 	if !wanted {
 		return true
@@ -202,27 +202,25 @@
 	return v.keepsServing(m, e) && v.plannedWithout(e) >= min(v.plannedUnits(m), floor)
 }
 
-// mayShift tells whether an engine of the wanted version of m may go to another
+// mayChangeRange reports whether an engine with the wanted version of m may change to another
 // range, so that more than before is planned with the rest of the path.
-func (v *view) mayShift(m *Model, e *Engine, before int) bool {
+func (v *view) mayChangeRange(m *Model, e *Engine, before int) bool {
 	return v.keepsServing(m, e) && v.plannedWithout(e) > before
 }
 
-// keepsServing tells whether the model can do without the engine while that
-// loads.
+// keepsServing reports whether the model can do without the engine while it loads.
 func (v *view) keepsServing(m *Model, e *Engine) bool {
 	return v.usableWithout(e) >= min(v.usable(m), v.moveFloor(m))
 }
 
-// plannedWithout returns the units that the model of an engine is to serve
-// without it.
+// plannedWithout returns the planned units of an engine's model without that engine.
 func (v *view) plannedWithout(e *Engine) int {
 	v.planned.add(e.Held, -e.units())
 	defer v.planned.add(e.Held, e.units())
 	return v.plannedUnits(v.models[e.Held.Model])
 }
 
-// coverage returns the planned units of the layer of the range that has fewest.
+// coverage returns the smallest number of planned units of any layer of the range.
 func (v *view) coverage(m *Model, r Assignment) int {
 	least := math.MaxInt
 	for layer := r.First; layer <= r.Last; layer++ {
@@ -237,9 +235,10 @@
 	return least
 }
 
-// group is a set of engines that hold the same in one zone and are of one size.
+// group is a set of interchangeable engines: they hold the same, in the same zone, with the same
+// size.
 type group struct {
-	// engine is the one with the lowest ID.
+	// engine is the index of the engine with the lowest ID.
 	engine int
 	size   int
 }
@@ -251,13 +250,12 @@
 	zone      string
 }
 
-// groups returns the engines that could load something else, the largest groups
-// first.
+// groups returns the engines that may be reassigned, the largest groups first.
 func (v *view) groups() []group {
 	byKey := map[groupKey]*group{}
 	for i := range v.engines {
 		e := &v.engines[i]
-		if !e.usable() || v.changed[e.ID] || v.target[i] != e.Held {
+		if !e.usable() || v.reassigned[e.ID] || v.target[i] != e.Held {
 			continue
 		}
 		key := groupKey{held: e.Held, units: e.units(), maxLayers: v.maxLayers(e), zone: e.Zone}
@@ -281,32 +279,32 @@
 	return out
 }
 
-// flow returns the units that exact tilings of the ranges carry. Layers between
-// which no range begins or ends are counted as one.
-func flow(layers int, ranges []Assignment, units tally) int {
-	cuts := boundaries(layers, ranges)
+// maxFlow returns the units that exact tilings of the ranges carry. Adjacent layers without a
+// boundary of a range between them are counted as one.
+func maxFlow(layers int, ranges []Assignment, units unitCounts) int {
+	bounds := boundaries(layers, ranges)
 	edges := make([]capacity.Edge, 0, len(ranges))
 	for _, a := range ranges {
-		first, ok1 := slices.BinarySearch(cuts, a.First)
-		next, ok2 := slices.BinarySearch(cuts, a.Last+1)
+		first, ok1 := slices.BinarySearch(bounds, a.First)
+		next, ok2 := slices.BinarySearch(bounds, a.Last+1)
 		if ok1 && ok2 {
 			edges = append(edges, capacity.Edge{First: first, Last: next - 1, Units: units[a]})
 		}
 	}
-	return capacity.Max(len(cuts)-1, edges)
+	return capacity.Max(len(bounds)-1, edges)
 }
 
-// boundaries returns 0, layers and all ends of the ranges between, sorted.
+// boundaries returns the sorted boundaries of the ranges, including 0 and layers.
 func boundaries(layers int, ranges []Assignment) []int {
-	cuts := []int{0, layers}
+	bounds := []int{0, layers}
 	for _, a := range ranges {
 		if a.First >= 0 && a.First < layers {
-			cuts = append(cuts, a.First)
+			bounds = append(bounds, a.First)
 		}
 		if a.Last >= 0 && a.Last+1 < layers {
-			cuts = append(cuts, a.Last+1)
+			bounds = append(bounds, a.Last+1)
 		}
 	}
-	slices.Sort(cuts)
-	return slices.Compact(cuts)
+	slices.Sort(bounds)
+	return slices.Compact(bounds)
 }
