--- a/core/capacity/capacity.go
+++ b/core/capacity/capacity.go
@@ -1,21 +1,20 @@
-// Package capacity computes how much work a set of replicas can carry at once
-// when each request crosses replicas that tile the model's layers exactly.
+// Package capacity computes the maximum concurrent work of a set of replicas when each request
+// passes through replicas whose ranges tile the model's layers exactly.
 package capacity
 
-// Edge is a set of replicas with the same layer range.
+// Edge is a set of replicas with the same range of layers.
 type Edge struct {
 	// First and Last are the layers held, both inclusive.
 	First int
 	Last  int
-	// Units is what the replicas carry at once, in any one unit: sequences,
-	// or tokens per second.
+	// Units is the total capacity of the replicas. Any unit may be used, such as sequences or
+	// tokens per second, if it is the same for all edges.
 	Units int
 }
 
-// Max returns the largest number of units that all exact tilings of layers 0 to
-// layers-1 carry together. It is the maximum flow from boundary 0 to boundary
-// layers in the graph whose edges lead from First to Last+1 (Ford and Fulkerson,
-// 1956, with shortest augmenting paths).
+// Max returns the largest number of units that all exact tilings of layers 0 to layers-1 carry
+// together. It is the maximum flow from boundary 0 to boundary layers in the graph whose edges
+// lead from First to Last+1 (Ford and Fulkerson, 1956, with shortest augmenting paths).
 func Max(layers int, edges []Edge) int {
 	if layers < 1 {
 		return 0
@@ -37,7 +36,7 @@
 }
 
 type graph struct {
-	residual []map[int]int // remaining units by tail and head
+	residual []map[int]int // remaining units by start and end of the edge
 	parent   []int
 }
 
@@ -49,9 +48,10 @@
 	return g
 }
 
-// augment pushes flow along one shortest path and returns the units pushed.
+// augment pushes flow along one shortest path and returns the number of units pushed, 0 if there
+// is no path.
 func (g *graph) augment(from, to int) int {
-	if !g.reach(from, to) {
+	if !g.findPath(from, to) {
 		return 0
 	}
 	units := 0
@@ -68,9 +68,9 @@
 	return units
 }
 
-// reach records the parents of a breadth-first search and tells whether to can
-// be reached.
-func (g *graph) reach(from, to int) bool {
+// findPath runs a breadth-first search that records the parents and reports whether the node to
+// can be reached.
+func (g *graph) findPath(from, to int) bool {
 	for i := range g.parent {
 		g.parent[i] = -1
 	}
--- a/core/capacity/capacity_test.go
+++ b/core/capacity/capacity_test.go
@@ -10,8 +10,8 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-// minCut is the naive value: the smallest total of edges that leave a set of
-// boundaries which holds 0 and not layers.
+// minCut computes the minimum cut by trying all sets of boundaries that contain 0 and not layers:
+// the smallest total of the edges that leave a set.
 func minCut(layers int, edges []Edge) int {
 	best := -1
 	for set := range 1 << (layers - 1) {
