--- a/core/demand/bench_test.go
+++ b/core/demand/bench_test.go
@@ -10,7 +10,7 @@
 	for _, instances := range []int{9, 32, 128} {
 		for _, workspaces := range []int{0, 8, 32} {
 			b.Run(fmt.Sprintf("instances=%d/workspaces=%d", instances, workspaces), func(b *testing.B) {
-				pool, live, digests := benchmarkScene(instances, workspaces)
+				pool, live, digests := benchmarkScenario(instances, workspaces)
 				b.ReportAllocs()
 				for b.Loop() {
 					_ = Shares(pool, live, digests, live[0], digests[0].Pools[0])
@@ -20,7 +20,7 @@
 	}
 }
 
-func benchmarkScene(instances, workspaces int) (Pool, []string, []Digest) {
+func benchmarkScenario(instances, workspaces int) (Pool, []string, []Digest) {
 	pool := Pool{Name: testPool, Capacity: 40 * instances, MinShares: []float64{0.5, 0.2, 0.05}}
 	rng := rand.New(rand.NewPCG(2, 20261204))
 	var live []string
--- a/core/demand/change_test.go
+++ b/core/demand/change_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Figures of the virtual-time trials: nine instances before 40 replicas of eight
-// slots, digests every 200 ms, requests of two seconds.
+// Parameters of the simulations in virtual time: nine instances in front of 40 replicas with
+// eight slots each, digests every 200 ms, requests of two seconds.
 const (
 	trialInstances  = 9
 	trialCapacity   = 320
@@ -20,38 +20,39 @@
 	trialStale      = time.Second
 	trialService    = 2 * time.Second
 	trialChange     = 10 * time.Second
-	trialKill       = 20 * time.Second
+	trialFailure    = 20 * time.Second
 	trialDetection  = 2 * time.Second
 	trialEnd        = 30 * time.Second
 	trialBusy       = 4
 	trialBacklogged = 1000
-	// trialUrgent is the number of urgent requests that come to each newcomer.
+	// trialUrgent is the number of urgent requests that arrive at each instance that becomes
+	// busy.
 	trialUrgent = 20
 )
 
 type policy string
 
 const (
-	equalShares policy = "equal shares"
-	rowAtOnce   policy = "row at once"
-	paced       policy = "paced"
-	urgentFirst policy = "urgent at once"
+	equalShares     policy = "equal shares"
+	immediate       policy = "row at once"
+	paced           policy = "paced"
+	urgentImmediate policy = "urgent at once"
 )
 
-// trialInstance is one instance of a trial.
+// trialInstance is one simulated instance.
 type trialInstance struct {
-	id      string
-	urgent  int
-	queued  int
-	ends    [2][]time.Duration // by rank
-	view    *View
-	told    Digest
-	dead    bool
-	deadFor time.Duration
+	id        string
+	urgent    int
+	queued    int
+	endTimes  [2][]time.Duration // by rank
+	view      *View
+	published Digest
+	failed    bool
+	failedAt  time.Duration
 }
 
-// trial runs the instances in steps of virtual time. A digest that is told in
-// one step is heard in the next.
+// trial runs the instances in steps of virtual time. A digest published in one step is received
+// in the next.
 type trial struct {
 	policy    policy
 	pool      Pool
@@ -61,20 +62,22 @@
 	now       time.Duration
 }
 
-// trialResult holds what a trial measured.
+// trialResult holds the measurements of a simulation.
 type trialResult struct {
-	// before is the mean use of the capacity by the busy instances alone.
-	before float64
-	// excess is the largest use above the capacity after the change, as a
-	// fraction of it, and excessTime how long the use was above.
+	// utilizationBefore is the mean utilization of the capacity while only trialBusy
+	// instances are busy.
+	utilizationBefore float64
+	// excess is the largest use above the capacity after the change, as a fraction of the
+	// capacity, and excessTime how long the use was above it.
 	excess     float64
 	excessTime time.Duration
-	// urgentWaited is the time until the last urgent request has started.
+	// urgentWaited is the time until the last urgent request started.
 	urgentWaited time.Duration
-	// waited is the time until the new claimants held 90 % of equal shares.
+	// waited is the time until the instances that became busy held 90 % of their equal
+	// shares.
 	waited time.Duration
-	// recovered is the time from the death of an instance until the others
-	// used 95 % of the capacity.
+	// recovered is the time from the failure of an instance until the others used 95 % of the
+	// capacity.
 	recovered time.Duration
 }
 
@@ -95,35 +98,35 @@
 
 func (tr *trial) demand(in *trialInstance) PoolDemand {
 	return Summarize(testPool, 2, []Load{
-		{Workspace: "u", Queued: in.urgent, InFlight: len(in.ends[0]), Weight: WeightUnit},
-		{Workspace: "u", Rank: 1, Queued: in.queued, InFlight: len(in.ends[1]), Weight: WeightUnit},
+		{Workspace: "u", Queued: in.urgent, InFlight: len(in.endTimes[0]), Weight: WeightUnit},
+		{Workspace: "u", Rank: 1, Queued: in.queued, InFlight: len(in.endTimes[1]), Weight: WeightUnit},
 	}, 8)
 }
 
-// step delivers digests, ends requests, starts new ones and tells digests.
+// step delivers digests, ends requests, starts new ones and publishes digests.
 func (tr *trial) step() {
-	heard := tr.inbox
+	received := tr.inbox
 	tr.inbox = nil
 	var live []string
 	for _, in := range tr.instances {
-		if !in.dead || tr.now < in.deadFor+trialDetection {
+		if !in.failed || tr.now < in.failedAt+trialDetection {
 			live = append(live, in.id)
 		}
 	}
 	for i, in := range tr.instances {
-		if in.dead {
+		if in.failed {
 			continue
 		}
-		for _, digest := range heard {
+		for _, digest := range received {
 			in.view.Observe(tr.clock(tr.now), trialStep, digest)
 		}
-		in.ends = [2][]time.Duration{unfinished(in.ends[0], tr.now), unfinished(in.ends[1], tr.now)}
+		in.endTimes = [2][]time.Duration{unfinished(in.endTimes[0], tr.now), unfinished(in.endTimes[1], tr.now)}
 		tr.start(in, live)
 		offset := time.Duration(i) * trialPeriod / trialInstances / trialStep * trialStep
 		if tr.now%trialPeriod == offset {
-			in.told = Digest{Instance: in.id, Sequence: uint64(tr.now), Pools: []PoolDemand{tr.demand(in)}}
-			in.view.Observe(tr.clock(tr.now), 0, in.told)
-			tr.inbox = append(tr.inbox, in.told)
+			in.published = Digest{Instance: in.id, Sequence: uint64(tr.now), Pools: []PoolDemand{tr.demand(in)}}
+			in.view.Observe(tr.clock(tr.now), 0, in.published)
+			tr.inbox = append(tr.inbox, in.published)
 		}
 	}
 	tr.now += trialStep
@@ -140,32 +143,32 @@
 }
 
 func (tr *trial) start(in *trialInstance, live []string) {
-	told := in.view.Fresh(tr.clock(tr.now))
+	published := in.view.Fresh(tr.clock(tr.now))
 	limit := 0
 	switch tr.policy {
 	case equalShares:
 		limit = trialCapacity / len(live)
-	case rowAtOnce:
-		limit = Shares(tr.pool, live, told, in.id, tr.demand(in)).Total()
+	case immediate:
+		limit = Shares(tr.pool, live, published, in.id, tr.demand(in)).Total()
 	case paced:
-		limit = Pace(tr.pool, live, told, in.id, tr.demand(in))
-	case urgentFirst:
-		limit = Limit(tr.pool, live, told, in.id, tr.demand(in))
+		limit = PacedLimit(tr.pool, live, published, in.id, tr.demand(in))
+	case urgentImmediate:
+		limit = Limit(tr.pool, live, published, in.id, tr.demand(in))
 	}
 	for in.urgent > 0 && in.running() < limit {
 		in.urgent--
-		in.ends[0] = append(in.ends[0], tr.end())
+		in.endTimes[0] = append(in.endTimes[0], tr.end())
 	}
 	for in.queued > 0 && in.running() < limit {
 		in.queued--
-		in.ends[1] = append(in.ends[1], tr.end())
+		in.endTimes[1] = append(in.endTimes[1], tr.end())
 	}
 	if in.queued > 0 {
 		in.queued = trialBacklogged
 	}
 }
 
-func (in *trialInstance) running() int { return len(in.ends[0]) + len(in.ends[1]) }
+func (in *trialInstance) running() int { return len(in.endTimes[0]) + len(in.endTimes[1]) }
 
 // end returns when a request that starts now ends.
 func (tr *trial) end() time.Duration {
@@ -173,7 +176,7 @@
 	return tr.now + max(service, trialStep)
 }
 
-func (tr *trial) waitingUrgent() int {
+func (tr *trial) queuedUrgent() int {
 	sum := 0
 	for _, in := range tr.instances {
 		sum += in.urgent
@@ -195,34 +198,34 @@
 	for tr.now < trialChange {
 		tr.step()
 		if tr.now >= trialChange/2 {
-			result.before += float64(tr.inFlight(0)) / trialCapacity
+			result.utilizationBefore += float64(tr.inFlight(0)) / trialCapacity
 			steps++
 		}
 	}
-	result.before /= steps
+	result.utilizationBefore /= steps
 	for _, in := range tr.instances[trialBusy:] {
 		in.queued, in.urgent = trialBacklogged, trialUrgent
 	}
 	tr.measureChange(&result)
-	killed := tr.instances[0]
-	killed.dead, killed.deadFor, killed.ends = true, tr.now, [2][]time.Duration{}
+	crashed := tr.instances[0]
+	crashed.failed, crashed.failedAt, crashed.endTimes = true, tr.now, [2][]time.Duration{}
 	for tr.now < trialEnd && tr.inFlight(0) < trialCapacity*95/100 {
 		tr.step()
 	}
-	result.recovered = tr.now - trialKill
+	result.recovered = tr.now - trialFailure
 	return result
 }
 
 func (tr *trial) measureChange(result *trialResult) {
 	fair := trialCapacity * (trialInstances - trialBusy) / trialInstances
-	for tr.now < trialKill {
+	for tr.now < trialFailure {
 		tr.step()
 		excess := float64(tr.inFlight(0))/trialCapacity - 1
 		result.excess = max(result.excess, excess)
 		if excess > 0 {
 			result.excessTime += trialStep
 		}
-		if tr.waitingUrgent() > 0 {
+		if tr.queuedUrgent() > 0 {
 			result.urgentWaited = tr.now - trialChange + trialStep
 		}
 		if result.waited == 0 && tr.inFlight(trialBusy) >= fair*9/10 {
@@ -231,24 +234,24 @@
 	}
 }
 
-// The trial prints the figures of docs/design/demand.md. What it asserts comes
-// from the targets: slots of a dead instance are used by others within 5 s, the
-// capacity is used while some instances have all the demand, and pacing commits
-// fewer slots twice than taking the row at once.
-func TestChangeOfDemand(t *testing.T) {
+// The simulation prints the figures of docs/design/demand.md. Its assertions come from the
+// targets: other instances use the slots of a failed one within 5 s, the capacity is used while
+// only some instances have demand, and pacing commits fewer slots twice than using the whole
+// allocation at once.
+func TestDemandChange(t *testing.T) {
 	results := map[policy]trialResult{}
-	for _, p := range []policy{equalShares, rowAtOnce, paced, urgentFirst} {
+	for _, p := range []policy{equalShares, immediate, paced, urgentImmediate} {
 		r := newTrial(p).run()
 		results[p] = r
-		t.Logf("%-14s use before %.2f, excess %.1f %% for %v, urgent started after %v, new claimants at 90 %% after %v, dead instance's slots used after %v",
-			p, r.before, 100*r.excess, r.excessTime, r.urgentWaited, r.waited, r.recovered)
+		t.Logf("%-14s use before %.2f, excess %.1f %% for %v, urgent started after %v, newly busy instances at 90 %% after %v, failed instance's slots used after %v",
+			p, r.utilizationBefore, 100*r.excess, r.excessTime, r.urgentWaited, r.waited, r.recovered)
 	}
 	require.Less(t, results[paced].recovered, 5*time.Second)
-	require.Greater(t, results[paced].before, 0.9)
-	require.Less(t, results[paced].excess, results[rowAtOnce].excess/2)
-	require.Less(t, results[urgentFirst].recovered, 5*time.Second)
-	require.Less(t, results[urgentFirst].excess, results[rowAtOnce].excess)
-	require.Less(t, results[urgentFirst].urgentWaited, results[paced].urgentWaited)
+	require.Greater(t, results[paced].utilizationBefore, 0.9)
+	require.Less(t, results[paced].excess, results[immediate].excess/2)
+	require.Less(t, results[urgentImmediate].recovered, 5*time.Second)
+	require.Less(t, results[urgentImmediate].excess, results[immediate].excess)
+	require.Less(t, results[urgentImmediate].urgentWaited, results[paced].urgentWaited)
 	busy := float64(trialBusy) / trialInstances
-	require.LessOrEqual(t, results[equalShares].before, math.Nextafter(busy, 1), "what digests are for")
+	require.LessOrEqual(t, results[equalShares].utilizationBefore, math.Nextafter(busy, 1), "equal shares leave the slots of idle instances unused")
 }
--- a/core/demand/demand_test.go
+++ b/core/demand/demand_test.go
@@ -15,8 +15,8 @@
 
 const testPool = "asistente"
 
-// naiveFill is weighted max-min by its definition, in exact fractions: raise the
-// level of all until somebody has enough, take that one out, go on.
+// naiveFill computes weighted max-min by its definition, in exact fractions: raise the level of
+// all claimants until one of them is satisfied, remove it, and repeat.
 func naiveFill(budget int, demands []int, weights []int64) []*big.Rat {
 	granted := make([]*big.Rat, len(demands))
 	open := map[int]bool{}
@@ -46,8 +46,8 @@
 	return granted
 }
 
-// naiveStep returns how far the level can rise until the first has enough, and
-// the sum of the weights that rise.
+// naiveStep returns how far the level can rise until the first claimant is satisfied, and the sum
+// of the weights that take part.
 func naiveStep(demands []int, weights []int64, granted []*big.Rat, open map[int]bool) (step, sum *big.Rat) {
 	sum = new(big.Rat)
 	for i := range demands {
@@ -70,7 +70,7 @@
 		demands := rapid.SliceOfN(rapid.IntRange(0, 200), n, n).Draw(t, "demands")
 		weights := rapid.SliceOfN(rapid.Int64Range(1, 5000), n, n).Draw(t, "weights")
 		budget := rapid.IntRange(0, 1000).Draw(t, "budget")
-		got := fill(budget, demands, weights)
+		got := maxMinFill(budget, demands, weights)
 		want := naiveFill(budget, demands, weights)
 		one := big.NewRat(1, 1)
 		sum, demanded := 0, 0
@@ -91,23 +91,23 @@
 	})
 }
 
-// scene is a random pool with instances, some of them without a digest.
-type scene struct {
+// scenario is a random pool with instances, some of them without a digest.
+type scenario struct {
 	pool    Pool
 	live    []string
 	digests []Digest
 }
 
-func drawScene(t *rapid.T, allHeard bool) scene {
+func drawScenario(t *rapid.T, allReported bool) scenario {
 	ranks := rapid.IntRange(1, 3).Draw(t, "ranks")
-	s := scene{pool: Pool{Name: testPool, Capacity: rapid.IntRange(0, 400).Draw(t, "capacity")}}
+	s := scenario{pool: Pool{Name: testPool, Capacity: rapid.IntRange(0, 400).Draw(t, "capacity")}}
 	for range ranks {
 		s.pool.MinShares = append(s.pool.MinShares, rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.33}).Draw(t, "min share"))
 	}
 	for i := range rapid.IntRange(1, 10).Draw(t, "instances") {
 		id := fmt.Sprintf("m%d", i)
 		s.live = append(s.live, id)
-		if !allHeard && rapid.Bool().Draw(t, "unheard") {
+		if !allReported && rapid.Bool().Draw(t, "unheard") {
 			continue
 		}
 		s.digests = append(s.digests, drawDigest(t, id, ranks))
@@ -129,18 +129,19 @@
 	return Digest{Instance: id, Sequence: 1, Pools: []PoolDemand{Summarize(testPool, ranks, loads, 2)}}
 }
 
-func (s scene) demandOf(id string, rank int) (int, bool) {
+func (s scenario) demandOf(id string, rank int) (int, bool) {
 	for i := range s.digests {
 		if s.digests[i].Instance == id {
 			demand := s.digests[i].Pool(KeyOf(testPool))
-			return demand.rank(rank).slots(), true
+			return demand.rankDemand(rank).slots(), true
 		}
 	}
 	return 0, false
 }
 
-// unchanged returns the row that id takes while its demand is as it was told.
-func (s scene) unchanged(id string) Row {
+// ownAllocation returns the allocation that id computes for itself while its demand is as
+// published.
+func (s scenario) ownAllocation(id string) Allocation {
 	for i := range s.digests {
 		if s.digests[i].Instance == id {
 			return Shares(s.pool, s.live, s.digests, id, s.digests[i].Pool(KeyOf(testPool)))
@@ -149,62 +150,62 @@
 	return Shares(s.pool, s.live, s.digests, id, PoolDemand{})
 }
 
-func TestTableInvariants(t *testing.T) {
+func TestAllocationInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawScene(t, false)
-		rows := Table(s.pool, s.live, s.digests)
-		sum, heard := 0, len(s.digests)
+		s := drawScenario(t, false)
+		allocations := Allocations(s.pool, s.live, s.digests)
+		sum, reported := 0, len(s.digests)
 		given := make([]int, len(s.pool.MinShares))
-		asked := make([]int, len(s.pool.MinShares))
+		demanded := make([]int, len(s.pool.MinShares))
 		spare := 0
-		for _, row := range rows {
-			sum += row.Total()
-			if own := s.unchanged(row.Instance); own.Total() != row.Total() {
-				t.Fatalf("%s takes %d, the table says %d", row.Instance, own.Total(), row.Total())
+		for _, allocation := range allocations {
+			sum += allocation.Total()
+			if own := s.ownAllocation(allocation.Instance); own.Total() != allocation.Total() {
+				t.Fatalf("%s computes %d for itself, the table has %d", allocation.Instance, own.Total(), allocation.Total())
 			}
-			for rank, slots := range row.Ranks {
-				demand, ok := s.demandOf(row.Instance, rank)
+			for rank, slots := range allocation.Ranks {
+				demand, ok := s.demandOf(allocation.Instance, rank)
 				if slots > demand {
-					t.Fatalf("%s rank %d: %d slots for %d", row.Instance, rank, slots, demand)
+					t.Fatalf("%s rank %d: %d slots for %d", allocation.Instance, rank, slots, demand)
 				}
 				given[rank] += slots
-				asked[rank] += demand
+				demanded[rank] += demand
 				if !ok && slots != 0 {
-					t.Fatalf("%s has no digest and %d slots in rank %d", row.Instance, slots, rank)
+					t.Fatalf("%s has no digest and %d slots in rank %d", allocation.Instance, slots, rank)
 				}
 			}
-			if _, ok := s.demandOf(row.Instance, 0); ok {
-				spare += row.Spare
-			} else if row.Spare < s.pool.Capacity/len(rows) {
-				t.Fatalf("%s without digest: %d below the equal share", row.Instance, row.Spare)
+			if _, ok := s.demandOf(allocation.Instance, 0); ok {
+				spare += allocation.Spare
+			} else if allocation.Spare < s.pool.Capacity/len(allocations) {
+				t.Fatalf("%s without digest: %d below the equal share", allocation.Instance, allocation.Spare)
 			}
 		}
 		if sum != s.pool.Capacity {
 			t.Fatalf("sum %d, capacity %d", sum, s.pool.Capacity)
 		}
 		for rank := range given {
-			if spare > 0 && heard > 0 && given[rank] < asked[rank] {
-				t.Fatalf("rank %d: %d of %d while %d slots are spare", rank, given[rank], asked[rank], spare)
+			if spare > 0 && reported > 0 && given[rank] < demanded[rank] {
+				t.Fatalf("rank %d: %d of %d while %d slots are spare", rank, given[rank], demanded[rank], spare)
 			}
-			if lower := rank + 1; lower < len(given) && given[rank] < asked[rank] {
-				most := min(asked[lower], minSlots(s.pool.MinShares[lower], s.pool.Capacity))
+			if lower := rank + 1; lower < len(given) && given[rank] < demanded[rank] {
+				most := min(demanded[lower], minSlots(s.pool.MinShares[lower], s.pool.Capacity))
 				if given[lower] > most {
-					t.Fatalf("rank %d has %d, above its minimum %d, while rank %d waits", lower, given[lower], most, rank)
+					t.Fatalf("rank %d has %d, above its minimum %d, while the demand of rank %d is not met", lower, given[lower], most, rank)
 				}
 			}
 		}
-		checkEqualShares(t, s, rows, given)
+		checkEqualShares(t, s, allocations, given)
 	})
 }
 
-// checkEqualShares checks that nobody is below the lesser of its demand and the
-// equal share of the rank's slots.
-func checkEqualShares(t *rapid.T, s scene, rows []Row, given []int) {
-	for _, row := range rows {
-		for rank, slots := range row.Ranks {
-			demand, ok := s.demandOf(row.Instance, rank)
+// checkEqualShares checks that no instance gets less than the smaller of its demand and the equal
+// share of the rank's slots.
+func checkEqualShares(t *rapid.T, s scenario, allocations []Allocation, given []int) {
+	for _, allocation := range allocations {
+		for rank, slots := range allocation.Ranks {
+			demand, ok := s.demandOf(allocation.Instance, rank)
 			if ok && slots < min(demand, given[rank]/len(s.digests)) {
-				t.Fatalf("%s rank %d: %d slots, demand %d, equal share of %d", row.Instance, rank, slots, demand, given[rank])
+				t.Fatalf("%s rank %d: %d slots, demand %d, equal share of %d", allocation.Instance, rank, slots, demand, given[rank])
 			}
 		}
 	}
@@ -219,16 +220,16 @@
 		return []Digest{{Instance: "m1", Pools: []PoolDemand{Summarize(testPool, 3, loads, 8)}}}
 	}
 	pool := Pool{Name: testPool, Capacity: 100, MinShares: []float64{0.5, 0.1, 0.05}}
-	require.Equal(t, []int{95, 0, 5}, Table(pool, []string{"m1"}, flood(0))[0].Ranks)
-	require.Equal(t, []int{50, 0, 50}, Table(pool, []string{"m1"}, flood(2))[0].Ranks)
+	require.Equal(t, []int{95, 0, 5}, Allocations(pool, []string{"m1"}, flood(0))[0].Ranks)
+	require.Equal(t, []int{50, 0, 50}, Allocations(pool, []string{"m1"}, flood(2))[0].Ranks)
 }
 
 func TestFillRoundsToLargestRemainders(t *testing.T) {
-	require.Equal(t, []int{1, 3, 6}, fill(10, []int{50, 50, 50}, []int64{12, 26, 62}))
-	require.Equal(t, []int{4, 3, 3}, fill(10, []int{50, 50, 50}, []int64{1, 1, 1}))
+	require.Equal(t, []int{1, 3, 6}, maxMinFill(10, []int{50, 50, 50}, []int64{12, 26, 62}))
+	require.Equal(t, []int{4, 3, 3}, maxMinFill(10, []int{50, 50, 50}, []int64{1, 1, 1}))
 }
 
-// Surplus goes where the heavier workspaces wait; the equal share stays.
+// A surplus goes to the instances with the heavier workspaces, beyond the equal shares.
 func TestSurplusFollowsWorkspaceWeights(t *testing.T) {
 	digest := func(id, workspace string, queued int, weight int64) Digest {
 		loads := []Load{{Workspace: workspace, Queued: queued, Weight: weight}}
@@ -236,30 +237,30 @@
 	}
 	pool := Pool{Name: testPool, Capacity: 90, MinShares: []float64{0}}
 	digests := []Digest{digest("a", "u", 100, 3000), digest("b", "v", 100, 1000), digest("c", "w", 2, 1000)}
-	rows := Table(pool, []string{"a", "b", "c"}, digests)
-	require.Equal(t, []int{30 + 21, 30 + 7, 2}, []int{rows[0].Total(), rows[1].Total(), rows[2].Total()})
+	allocations := Allocations(pool, []string{"a", "b", "c"}, digests)
+	require.Equal(t, []int{30 + 21, 30 + 7, 2}, []int{allocations[0].Total(), allocations[1].Total(), allocations[2].Total()})
 }
 
-// When demand has changed since it was told, the rows that the instances take
-// sum to no more than the capacity, the demand that has grown, and one slot a
-// rank and instance for rounding.
-func TestOvercommitmentIsBoundedByUntoldDemand(t *testing.T) {
+// When demand has changed since it was published, the allocations that the instances compute for
+// themselves add up to no more than the capacity, the growth of demand, and one slot per rank and
+// instance for rounding.
+func TestOvercommitmentIsBoundedByUnpublishedDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawScene(t, true)
+		s := drawScenario(t, true)
 		ranks := len(s.pool.MinShares)
-		sum, untold := 0, 0
+		sum, unpublished := 0, 0
 		for i := range s.digests {
 			id := s.digests[i].Instance
 			current := drawDigest(t, id, ranks).Pools[0]
-			told := s.digests[i].Pool(KeyOf(testPool))
+			published := s.digests[i].Pool(KeyOf(testPool))
 			for rank := range ranks {
-				untold += max(0, current.rank(rank).slots()-told.rank(rank).slots())
+				unpublished += max(0, current.rankDemand(rank).slots()-published.rankDemand(rank).slots())
 			}
 			sum += Shares(s.pool, s.live, s.digests, id, current).Total()
 		}
-		bound := s.pool.Capacity + untold + ranks*len(s.digests)
+		bound := s.pool.Capacity + unpublished + ranks*len(s.digests)
 		if sum > bound {
-			t.Fatalf("rows sum to %d, capacity %d, untold %d", sum, s.pool.Capacity, untold)
+			t.Fatalf("allocations add up to %d, capacity %d, unpublished %d", sum, s.pool.Capacity, unpublished)
 		}
 	})
 }
@@ -268,51 +269,51 @@
 	demand := func(queued int) PoolDemand {
 		return Summarize(testPool, 1, []Load{{Workspace: "u", Queued: queued, Weight: WeightUnit}}, 8)
 	}
-	told := []Digest{
+	published := []Digest{
 		{Instance: "a", Pools: []PoolDemand{demand(100)}},
 		{Instance: "b", Pools: []PoolDemand{demand(0)}},
 	}
 	pool := Pool{Name: testPool, Capacity: 40, MinShares: []float64{0}}
 	live := []string{"a", "b"}
-	require.Equal(t, 0, Shares(pool, live, told, "b", demand(0)).Total())
-	require.Equal(t, 20, Shares(pool, live, told, "b", demand(30)).Total())
-	require.Equal(t, 20, Shares(pool, live, told[:1], "b", demand(30)).Total(), "nothing told yet")
+	require.Equal(t, 0, Shares(pool, live, published, "b", demand(0)).Total())
+	require.Equal(t, 20, Shares(pool, live, published, "b", demand(30)).Total())
+	require.Equal(t, 20, Shares(pool, live, published[:1], "b", demand(30)).Total(), "nothing published yet")
 }
 
-func TestPaceNeverCommitsSlotsTwice(t *testing.T) {
+func TestPacedLimitNeverCommitsSlotsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawScene(t, false)
-		rows := Table(s.pool, s.live, s.digests)
+		s := drawScenario(t, false)
+		allocations := Allocations(s.pool, s.live, s.digests)
 		sum, running, stalled := 0, 0, true
-		for _, row := range rows {
-			held := row.Total()
-			var told PoolDemand
+		for _, allocation := range allocations {
+			inUse := allocation.Total()
+			var published PoolDemand
 			for i := range s.digests {
-				if s.digests[i].Instance == row.Instance {
-					told = s.digests[i].Pool(KeyOf(testPool))
-					held = told.InFlight()
+				if s.digests[i].Instance == allocation.Instance {
+					published = s.digests[i].Pool(KeyOf(testPool))
+					inUse = published.InFlight()
 				}
 			}
-			pace := Pace(s.pool, s.live, s.digests, row.Instance, told)
-			if pace > row.Total() {
-				t.Fatalf("%s: pace %d above its row %d", row.Instance, pace, row.Total())
+			limit := PacedLimit(s.pool, s.live, s.digests, allocation.Instance, published)
+			if limit > allocation.Total() {
+				t.Fatalf("%s: limit %d above its allocation %d", allocation.Instance, limit, allocation.Total())
 			}
-			current := drawDigest(t, row.Instance, len(s.pool.MinShares)).Pools[0]
-			pace = max(pace, Pace(s.pool, s.live, s.digests, row.Instance, current))
-			sum += max(pace, held)
-			running += held
-			stalled = stalled && pace <= held
+			current := drawDigest(t, allocation.Instance, len(s.pool.MinShares)).Pools[0]
+			limit = max(limit, PacedLimit(s.pool, s.live, s.digests, allocation.Instance, current))
+			sum += max(limit, inUse)
+			running += inUse
+			stalled = stalled && limit <= inUse
 		}
 		if sum > max(s.pool.Capacity, running) {
 			t.Fatalf("%d slots in use or allowed, capacity %d, in flight %d", sum, s.pool.Capacity, running)
 		}
 		if running < s.pool.Capacity && stalled {
-			t.Fatalf("%d of %d in flight and nobody may start", running, s.pool.Capacity)
+			t.Fatalf("%d of %d in flight and no instance may start a request", running, s.pool.Capacity)
 		}
 	})
 }
 
-func TestMergeOfACellActsAsItsInstances(t *testing.T) {
+func TestMergedCellCountsAsItsInstances(t *testing.T) {
 	loads := func(queued int) []Load { return []Load{{Workspace: "u", Queued: queued, Weight: 1000}} }
 	digest := func(id string, queued int) Digest {
 		return Digest{Instance: id, Pools: []PoolDemand{Summarize(testPool, 1, loads(queued), 8)}}
@@ -320,9 +321,9 @@
 	merged := Merge("cell-1", 4, []Digest{digest("a", 50), digest("b", 10)}, 8)
 	require.Equal(t, 2, merged.Members)
 	pool := Pool{Name: testPool, Capacity: 30, MinShares: []float64{0}}
-	rows := Table(pool, []string{"cell-1", "c"}, []Digest{merged, digest("c", 100)})
-	require.Equal(t, 10, rows[0].Total(), "c")
-	require.Equal(t, 20, rows[1].Total(), "two instances")
+	allocations := Allocations(pool, []string{"cell-1", "c"}, []Digest{merged, digest("c", 100)})
+	require.Equal(t, 10, allocations[0].Total(), "c")
+	require.Equal(t, 20, allocations[1].Total(), "two instances")
 }
 
 func TestViewDropsStaleAndOldDigests(t *testing.T) {
--- a/core/demand/digest.go
+++ b/core/demand/digest.go
@@ -1,7 +1,7 @@
-// Package demand shares the slots of upstream pools among the instances. Each
-// instance tells its peers a Digest of its demand, and each runs the same
-// weighted max-min computation on what it has heard and takes its own row. No
-// instance is asked per request.
+// Package demand shares the slots of upstream pools among the instances. Each instance publishes
+// a Digest of its demand to its peers, runs the same weighted max-min computation as they do on
+// the digests that it has received, and uses its own part of the result. No communication is
+// needed per request.
 package demand
 
 import (
@@ -11,38 +11,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what is taken from a digest, so that products stay within int64.
+// Bounds of the values in a digest, so that products stay within int64.
 const (
-	// MaxSlots bounds a demand and a capacity, in slots.
+	// MaxSlots is the maximum demand or capacity, in slots.
 	MaxSlots = 1 << 20
-	// MaxWeight bounds the summed weights of one instance in one rank.
+	// MaxWeight is the maximum total weight of one instance in one rank.
 	MaxWeight = 1 << 30
-	// WeightUnit is the weight 1.0 in the thousandths that digests carry.
+	// WeightUnit is the weight 1.0; digests carry weights in thousandths.
 	WeightUnit = 1000
 )
 
-// Key stands for the name of a pool or a workspace in a digest. Two names with
-// the same key are counted as one, which makes shares less exact and breaks
-// nothing.
+// Key is a hash that identifies a pool or a workspace in a digest. Two names with the same key
+// are counted as one, which only makes the shares less exact.
 type Key uint32
 
 // KeyOf returns the key of name.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// Digest is the demand of one instance, or the summed demand of several.
+// Digest is the demand of one instance, or the total demand of a group of instances.
 type Digest struct {
 	// Instance is the ID of the instance, or the name of the group.
 	Instance    string
 	Incarnation uint64
-	// Sequence rises with each digest of one incarnation.
+	// Sequence increases with each digest of one process of the instance.
 	Sequence uint64
-	// Members is the number of instances that are summed up; 0 means 1.
+	// Members is the number of instances in the group; 0 means 1.
 	Members int
 	Pools   []PoolDemand
 }
 
-// Pool returns the demand for the pool with key, which is empty if the digest
-// has no such pool.
+// Pool returns the demand for the pool with the key; it is empty if the digest does not contain
+// the pool.
 func (d *Digest) Pool(key Key) PoolDemand {
 	for i := range d.Pools {
 		if d.Pools[i].Pool == key {
@@ -59,19 +58,19 @@
 	Pool Key
 	// Ranks is indexed by rank, the most urgent first.
 	Ranks []RankDemand
-	// Workspaces holds the heaviest workspaces by slots.
+	// Workspaces holds the workspaces with the most slots.
 	Workspaces []WorkspaceDemand
 }
 
-// rank returns the demand of rank r; a rank that is not listed has none.
-func (p *PoolDemand) rank(r int) RankDemand {
+// rankDemand returns the demand of rank r, which is empty if the rank is not listed.
+func (p *PoolDemand) rankDemand(r int) RankDemand {
 	if r < len(p.Ranks) {
 		return p.Ranks[r]
 	}
 	return RankDemand{}
 }
 
-// InFlight returns the running requests of all ranks.
+// InFlight returns the number of running requests of all ranks.
 func (p *PoolDemand) InFlight() int {
 	sum := 0
 	for _, rank := range p.Ranks {
@@ -82,13 +81,13 @@
 
 // RankDemand is the demand of one rank.
 type RankDemand struct {
-	// Queued and InFlight count requests; each takes one slot.
+	// Queued and InFlight are numbers of requests; each request needs one slot.
 	Queued   int
 	InFlight int
 	// Backlog is the estimated cost of the queued requests, in tokens.
 	Backlog int64
-	// RestWeight sums the weights, in thousandths, of the workspaces with work
-	// in this rank that are not listed in PoolDemand.Workspaces.
+	// RestWeight is the total weight, in thousandths, of the workspaces with requests in this
+	// rank that are not listed in PoolDemand.Workspaces.
 	RestWeight int64
 }
 
@@ -101,13 +100,13 @@
 type WorkspaceDemand struct {
 	Workspace Key
 	Rank      int
-	// Slots counts the requests queued and in flight.
+	// Slots is the number of requests that are queued or in flight.
 	Slots int
 	// Weight is the workspace's weight in thousandths.
 	Weight int64
 }
 
-// Load is the work of one workspace in one rank and pool at one instance.
+// Load holds the requests of one workspace in one rank and pool at one instance.
 type Load struct {
 	Workspace string
 	Rank      int
@@ -119,9 +118,9 @@
 	Weight int64
 }
 
-// Summarize makes the PoolDemand of pool from the loads of all workspaces. It
-// lists at most maxWorkspaces of them, those with the most slots, and sums up
-// the others. Loads with a rank outside 0 to ranks-1 are left out.
+// Summarize returns the PoolDemand of a pool for the loads of all workspaces. It lists the
+// maxWorkspaces workspaces with the most slots and adds up the weights of the others. Loads with
+// a rank outside 0 to ranks-1 are ignored.
 func Summarize(pool string, ranks int, loads []Load, maxWorkspaces int) PoolDemand {
 	summary := PoolDemand{Pool: KeyOf(pool), Ranks: make([]RankDemand, ranks)}
 	listed := make([]WorkspaceDemand, 0, len(loads))
@@ -140,12 +139,13 @@
 			Weight:    load.Weight,
 		})
 	}
-	summary.list(listed, maxWorkspaces)
+	summary.setWorkspaces(listed, maxWorkspaces)
 	return summary
 }
 
-// list keeps the limit heaviest workspaces and adds the others to RestWeight.
-func (p *PoolDemand) list(workspaces []WorkspaceDemand, limit int) {
+// setWorkspaces lists the workspaces with the most slots, at most limit, and adds the weights of
+// the others to RestWeight.
+func (p *PoolDemand) setWorkspaces(workspaces []WorkspaceDemand, limit int) {
 	slices.SortFunc(workspaces, func(a, b WorkspaceDemand) int {
 		return cmp.Or(cmp.Compare(b.Slots, a.Slots), cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Rank, b.Rank))
 	})
@@ -156,8 +156,8 @@
 	p.Workspaces = workspaces[:limit:limit]
 }
 
-// Merge sums up the digests of a group of instances under the name group, with
-// at most maxWorkspaces workspaces in each pool. The result carries sequence.
+// Merge returns the total of the digests of a group of instances under the name group, with at
+// most maxWorkspaces workspaces in each pool and the given sequence number.
 func Merge(group string, sequence uint64, digests []Digest, maxWorkspaces int) Digest {
 	merged := Digest{Instance: group, Sequence: sequence}
 	index := map[Key]int{}
@@ -174,7 +174,7 @@
 		}
 	}
 	for i := range merged.Pools {
-		merged.Pools[i].list(sumWorkspaces(merged.Pools[i].Workspaces), maxWorkspaces)
+		merged.Pools[i].setWorkspaces(sumWorkspaces(merged.Pools[i].Workspaces), maxWorkspaces)
 	}
 	return merged
 }
@@ -196,7 +196,7 @@
 	}
 }
 
-// workspaceRank names one workspace in one rank.
+// workspaceRank identifies a workspace in one rank.
 type workspaceRank struct {
 	workspace Key
 	rank      int
--- a/core/demand/fill.go
+++ b/core/demand/fill.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// claim is one claimant of a weighted max-min division.
+// claim is the demand of one claimant in a weighted max-min division.
 type claim struct {
 	index  int
 	demand int
 	weight int64
-	// remainder is the part of a slot, in units of 1/sum of weights, that
-	// rounding took away.
+	// remainder is the fraction of a slot that rounding removed, in units of 1/sum of
+	// weights.
 	remainder int64
 }
 
-// fill divides budget slots among claimants by weighted max-min: nobody gets
-// more than its demand, and those who get less are even in slots per weight. The
-// division is exact in integers; what rounding leaves goes to the largest
-// remainders, and among equal ones to the lower index. Weights below 1 count as
-// 1. The sum of the result is the lesser of budget and the sum of demands.
+// maxMinFill divides budget slots among claimants by weighted max-min fairness: no claimant gets
+// more than its demand, and those that get less have equal slots per weight. The division uses
+// exact integer arithmetic; slots left by rounding go to the largest remainders, and among equal
+// ones to the lowest index. Weights below 1 count as 1. The results add up to the smaller of
+// budget and the sum of demands.
 //
-// The method is progressive filling (Bertsekas and Gallager, Data Networks,
-// section 6.5.2), with the claimants in the order of demand per weight.
-func fill(budget int, demands []int, weights []int64) []int {
+// The method is progressive filling (Bertsekas and Gallager, Data Networks, section 6.5.2), with
+// the claimants in the order of demand per weight.
+func maxMinFill(budget int, demands []int, weights []int64) []int {
 	claims := newClaims(demands, weights)
 	var total int64
 	for _, c := range claims {
@@ -33,7 +33,7 @@
 	rest := int64(max(budget, 0))
 	for i, c := range claims {
 		if int64(c.demand)*total > rest*c.weight {
-			divide(slots, claims[i:], rest, total)
+			divideByWeight(slots, claims[i:], rest, total)
 			break
 		}
 		slots[c.index] = c.demand
@@ -43,7 +43,7 @@
 	return slots
 }
 
-// newClaims returns the claims with a demand, the lowest demand per weight first.
+// newClaims returns the claims with a demand, those with the lowest demand per weight first.
 func newClaims(demands []int, weights []int64) []claim {
 	claims := make([]claim, 0, len(demands))
 	for i, d := range demands {
@@ -60,8 +60,8 @@
 	return claims
 }
 
-// divide splits rest by weight among claims that all demand more than that.
-func divide(slots []int, claims []claim, rest, total int64) {
+// divideByWeight splits rest by weight among claims whose demands all exceed their part.
+func divideByWeight(slots []int, claims []claim, rest, total int64) {
 	left := rest
 	for i := range claims {
 		c := &claims[i]
@@ -78,11 +78,11 @@
 	}
 }
 
-// spread divides budget in proportion to weights, without a limit by demand.
-func spread(budget int, weights []int64) []int {
+// divideProportionally divides budget in proportion to weights, without a limit by demand.
+func divideProportionally(budget int, weights []int64) []int {
 	demands := make([]int, len(weights))
 	for i := range demands {
 		demands[i] = budget
 	}
-	return fill(budget, demands, weights)
+	return maxMinFill(budget, demands, weights)
 }
--- a/core/demand/shares.go
+++ b/core/demand/shares.go
@@ -6,114 +6,112 @@
 	"slices"
 )
 
-// Pool is a group of replicas whose slots are shared.
+// Pool is a group of replicas whose slots are shared among the instances.
 type Pool struct {
 	Name string
-	// Capacity is the number of slots of all replicas together.
+	// Capacity is the total number of slots of all replicas.
 	Capacity int
-	// MinShares gives, by rank, the fraction of Capacity, 0 to 1, that the rank
-	// keeps while it has work. Its length is the number of ranks.
+	// MinShares holds, by rank, the share of Capacity, 0 to 1, that is guaranteed to the rank
+	// while it has requests. Its length is the number of ranks.
 	MinShares []float64
 }
 
-// Row is what one instance may have in flight in a pool.
-type Row struct {
+// Allocation is the number of requests that one instance may have in flight in a pool.
+type Allocation struct {
 	Instance string
-	// Ranks is indexed by rank and covers demand that was told.
+	// Ranks holds the slots for published demand, by rank.
 	Ranks []int
-	// Spare is for demand that nobody knows of yet: the part of an instance
-	// without a fresh digest, and what is left when all demand is covered.
+	// Spare is the number of slots for demand that is not published: the share of an instance
+	// without a fresh digest, or a part of what is left when all demand is covered.
 	Spare int
 }
 
-// Total returns the slots of all ranks and the spare ones.
-func (r Row) Total() int {
-	sum := r.Spare
-	for _, slots := range r.Ranks {
+// Total returns the number of slots of all ranks and the spare ones.
+func (a Allocation) Total() int {
+	sum := a.Spare
+	for _, slots := range a.Ranks {
 		sum += slots
 	}
 	return sum
 }
 
-// Shares returns the row of self: the slots of pool that self may have in
-// flight. Told holds the fresh digests of all live instances, for self the one
-// that it last told its peers; current is the demand of self now, which counts
-// at once. Weights are those that were told, so that all instances divide a
-// surplus alike. An instance that has told nothing yet gets what its peers leave
-// for it, its equal share.
+// Shares returns the allocation of self: the slots of pool that it may use. published holds the
+// fresh digests of all live instances, and for self the one that it last published; current is
+// the present demand of self, which replaces its published demand. The weights are the published
+// ones, so that all instances divide a surplus alike. An instance that has published nothing yet
+// gets its equal share, as its peers reserve that for it.
 //
-// Instances with the same told digests together take no more than the capacity
-// plus the demand that has grown since it was told, and one slot for each rank
-// and instance by rounding.
-func Shares(pool Pool, live []string, told []Digest, self string, current PoolDemand) Row {
-	t := newTable(pool, withSelf(live, self), told)
-	own := t.row(self)
-	if heard, ok := slices.BinarySearch(t.heard, own); ok {
-		t.demands[heard] = current
+// Instances with the same published digests together use no more than the capacity, plus the
+// growth of demand since it was published, plus one slot per rank and instance due to rounding.
+func Shares(pool Pool, live []string, published []Digest, self string, current PoolDemand) Allocation {
+	t := newAllocator(pool, withSelf(live, self), published)
+	own := t.indexOf(self)
+	if reportedIndex, ok := slices.BinarySearch(t.reported, own); ok {
+		t.demands[reportedIndex] = current
 	}
-	t.compute()
-	return t.rows[own]
+	t.allocate()
+	return t.allocations[own]
 }
 
-// Table returns the rows of all live instances in the order of their IDs.
+// Allocations returns the allocations of all live instances in the order of their IDs.
 //
-//   - A live instance without a digest gets its equal share of the capacity as
-//     spare slots. If that holds for all, all get equal shares.
-//   - Of the rest, each rank first gets its guaranteed minimum or its demand,
-//     whichever is less, and then the ranks get their demand, most urgent first.
-//   - Inside a rank, an instance gets at least the lesser of its demand and the
-//     equal share of the rank's slots. What others don't use is divided by
-//     weighted max-min, with the weights of the workspaces that wait there.
+//   - A live instance without a digest gets its equal share of the capacity as spare slots. If no
+//     instance has a digest, all get equal shares.
+//   - Of the rest, each rank first gets the smaller of its guaranteed minimum and its demand. Then
+//     the ranks get the remainder of their demand, most urgent first.
+//   - Within a rank, an instance gets at least the smaller of its demand and the equal share of
+//     the rank's slots. What other instances do not use is divided by weighted max-min fairness,
+//     with the weights of the workspaces that have requests there.
 //   - What is left when all demand is covered is divided equally as spare slots.
-func Table(pool Pool, live []string, digests []Digest) []Row {
-	t := newTable(pool, live, digests)
-	t.compute()
-	return t.rows
+func Allocations(pool Pool, live []string, digests []Digest) []Allocation {
+	t := newAllocator(pool, live, digests)
+	t.allocate()
+	return t.allocations
 }
 
-// table is the state of one computation.
-type table struct {
-	pool Pool
-	rows []Row
-	// members is the number of instances behind each row.
+// allocator is the state of one computation of all allocations.
+type allocator struct {
+	pool        Pool
+	allocations []Allocation
+	// members is the number of instances that each allocation is for.
 	members []int64
-	// heard holds the rows with a digest in rising order, demands their demand
-	// and weights their weight by rank.
-	heard   []int
-	demands []PoolDemand
-	weights [][]int64
+	// reported holds the indexes of the allocations with a digest in ascending order, demands
+	// their demand, and weights their weight by rank.
+	reported []int
+	demands  []PoolDemand
+	weights  [][]int64
 }
 
-func newTable(pool Pool, live []string, digests []Digest) *table {
+func newAllocator(pool Pool, live []string, digests []Digest) *allocator {
 	byID := newestByInstance(digests)
 	ids := slices.Compact(slices.Sorted(slices.Values(live)))
 	key := KeyOf(pool.Name)
-	t := &table{pool: pool}
-	t.rows = make([]Row, len(ids))
+	t := &allocator{pool: pool}
+	t.allocations = make([]Allocation, len(ids))
 	t.members = make([]int64, len(ids))
 	for i, id := range ids {
-		t.rows[i] = Row{Instance: id, Ranks: make([]int, len(pool.MinShares))}
+		t.allocations[i] = Allocation{Instance: id, Ranks: make([]int, len(pool.MinShares))}
 		t.members[i] = 1
 		digest, ok := byID[id]
 		if !ok {
 			continue
 		}
 		t.members[i] = int64(clampSlots(digest.members()))
-		t.heard = append(t.heard, i)
+		t.reported = append(t.reported, i)
 		t.demands = append(t.demands, digest.Pool(key))
 	}
 	t.weights = instanceWeights(t.demands, len(pool.MinShares))
 	return t
 }
 
-// row returns the index of the row of id, which is in the table.
-func (t *table) row(id string) int {
-	return slices.IndexFunc(t.rows, func(r Row) bool { return r.Instance == id })
+// indexOf returns the index of the allocation of id, which must exist.
+func (t *allocator) indexOf(id string) int {
+	return slices.IndexFunc(t.allocations, func(r Allocation) bool { return r.Instance == id })
 }
 
-func (t *table) compute() {
-	rest := t.reserveUnheard(clampSlots(t.pool.Capacity))
-	if len(t.heard) == 0 {
+func (t *allocator) allocate() {
+	rest := t.reserveUnreported(clampSlots(t.pool.Capacity))
+	if len(t.reported) == 0 {
 		return
 	}
 	for rank, budget := range t.rankBudgets(rest) {
@@ -134,47 +132,47 @@
 	return byID
 }
 
-// newer tells whether a was made after b by the same instance.
+// newer reports whether digest a was made after b, both by the same instance.
 func newer(a, b *Digest) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence)) > 0
 }
 
-// reserveUnheard gives equal shares to the rows without a digest and returns
-// what is left of capacity.
-func (t *table) reserveUnheard(capacity int) int {
-	equal := spread(capacity, t.members)
+// reserveUnreported assigns equal shares to the instances without a digest and returns what is
+// left of capacity.
+func (t *allocator) reserveUnreported(capacity int) int {
+	equal := divideProportionally(capacity, t.members)
 	rest := capacity
 	next := 0
-	for row := range t.rows {
-		if next < len(t.heard) && t.heard[next] == row {
+	for index := range t.allocations {
+		if next < len(t.reported) && t.reported[next] == index {
 			next++
 			continue
 		}
-		t.rows[row].Spare = equal[row]
-		rest -= equal[row]
+		t.allocations[index].Spare = equal[index]
+		rest -= equal[index]
 	}
 	return rest
 }
 
-// rankBudgets divides capacity among the ranks: guaranteed minimums first, then
-// demand in the order of urgency.
-func (t *table) rankBudgets(capacity int) []int {
+// rankBudgets divides capacity among the ranks: first the guaranteed minimums, then the demand in
+// the order of urgency.
+func (t *allocator) rankBudgets(capacity int) []int {
 	budgets := make([]int, len(t.pool.MinShares))
 	rest := capacity
 	for rank := range budgets {
-		budgets[rank] = min(t.rankDemand(rank), minSlots(t.pool.MinShares[rank], capacity), rest)
+		budgets[rank] = min(t.totalRankDemand(rank), minSlots(t.pool.MinShares[rank], capacity), rest)
 		rest -= budgets[rank]
 	}
 	for rank := range budgets {
-		more := min(t.rankDemand(rank)-budgets[rank], rest)
+		more := min(t.totalRankDemand(rank)-budgets[rank], rest)
 		budgets[rank] += more
 		rest -= more
 	}
 	return budgets
 }
 
-// minSlots returns the slots that a share of capacity guarantees: at least one
-// for a positive share.
+// minSlots returns the number of slots that a share of capacity guarantees: at least one if the
+// share is positive.
 func minSlots(share float64, capacity int) int {
 	if !(share > 0) {
 		return 0
@@ -182,53 +180,53 @@
 	return max(1, int(math.Floor(min(share, 1)*float64(capacity))))
 }
 
-func (t *table) rankDemand(rank int) int {
+func (t *allocator) totalRankDemand(rank int) int {
 	sum := 0
 	for i := range t.demands {
-		sum += t.demands[i].rank(rank).slots()
+		sum += t.demands[i].rankDemand(rank).slots()
 	}
 	return sum
 }
 
-// divideRank gives out the budget of one rank.
-func (t *table) divideRank(rank, budget int) {
+// divideRank divides the budget of one rank among the instances.
+func (t *allocator) divideRank(rank, budget int) {
 	if budget == 0 {
 		return
 	}
-	unmet := make([]int, len(t.heard))
-	weights := make([]int64, len(t.heard))
+	unmet := make([]int, len(t.reported))
+	weights := make([]int64, len(t.reported))
 	rest := budget
-	members := t.heardMembers()
-	for i, row := range t.heard {
-		demand := t.demands[i].rank(rank).slots()
-		equal := int(int64(budget) * t.members[row] / members)
+	members := t.reportedMembers()
+	for i, index := range t.reported {
+		demand := t.demands[i].rankDemand(rank).slots()
+		equal := int(int64(budget) * t.members[index] / members)
 		granted := min(demand, equal)
-		t.rows[row].Ranks[rank] = granted
+		t.allocations[index].Ranks[rank] = granted
 		rest -= granted
 		unmet[i] = demand - granted
 		weights[i] = t.weights[i][rank]
 	}
-	for i, more := range fill(rest, unmet, weights) {
-		t.rows[t.heard[i]].Ranks[rank] += more
+	for i, more := range maxMinFill(rest, unmet, weights) {
+		t.allocations[t.reported[i]].Ranks[rank] += more
 	}
 }
 
-func (t *table) heardMembers() int64 {
+func (t *allocator) reportedMembers() int64 {
 	var sum int64
-	for _, row := range t.heard {
-		sum += t.members[row]
+	for _, index := range t.reported {
+		sum += t.members[index]
 	}
 	return sum
 }
 
-// addSpare divides what no demand needs equally.
-func (t *table) addSpare(rest int) {
-	members := make([]int64, len(t.heard))
-	for i, row := range t.heard {
-		members[i] = t.members[row]
+// addSpare divides the slots left over from all demand equally.
+func (t *allocator) addSpare(rest int) {
+	members := make([]int64, len(t.reported))
+	for i, index := range t.reported {
+		members[i] = t.members[index]
 	}
-	for i, slots := range spread(rest, members) {
-		t.rows[t.heard[i]].Spare += slots
+	for i, slots := range divideProportionally(rest, members) {
+		t.allocations[t.reported[i]].Spare += slots
 	}
 }
 
--- a/core/demand/weight.go
+++ b/core/demand/weight.go
@@ -1,8 +1,8 @@
 package demand
 
-// instanceWeights returns the weight of each instance by rank: that of each
-// listed workspace in the proportion in which the workspace's demand is there,
-// and that of the workspaces that are not listed.
+// instanceWeights returns the weight of each instance by rank. The weight of a listed workspace
+// is divided among the instances in proportion to the workspace's slots there; the weight of
+// unlisted workspaces is added.
 func instanceWeights(demands []PoolDemand, ranks int) [][]int64 {
 	totals := map[workspaceRank]int64{}
 	for i := range demands {
@@ -20,15 +20,15 @@
 func rankWeights(demand *PoolDemand, ranks int, totals map[workspaceRank]int64) []int64 {
 	weights := make([]int64, ranks)
 	for rank := range weights {
-		weights[rank] = clampWeight(demand.rank(rank).RestWeight)
+		weights[rank] = clampWeight(demand.rankDemand(rank).RestWeight)
 	}
 	for _, w := range demand.Workspaces {
 		if w.Rank < 0 || w.Rank >= ranks {
 			continue
 		}
 		total := max(1, totals[workspaceRank{w.Workspace, w.Rank}])
-		part := clampWeight(w.Weight) * int64(clampSlots(w.Slots)) / total
-		weights[w.Rank] = max(1, clampWeight(weights[w.Rank]+part))
+		share := clampWeight(w.Weight) * int64(clampSlots(w.Slots)) / total
+		weights[w.Rank] = max(1, clampWeight(weights[w.Rank]+share))
 	}
 	return weights
 }
--- a/core/pipeline/herd_test.go
+++ b/core/pipeline/cluster_test.go
@@ -81,13 +81,13 @@
 	c.instances[i].SetForeign(func(id string) pipeline.Load { return sum[id] }, func(pipeline.Link) float64 { return 0 })
 }
 
-func (c *cluster) reserve(p pipeline.Path, d pipeline.Demand, sign float64) (over bool) {
+func (c *cluster) reserve(p pipeline.Path, d pipeline.Demand, sign float64) (exceeded bool) {
 	for _, h := range p {
 		c.reserved[h.ID] += sign * (d.Prompt + 0.6*d.Output) * float64(h.To-h.From)
-		room := c.model.Room(c.kind(h.ID), 20)
-		over = over || c.reserved[h.ID] > room
+		capacity := c.model.Room(c.kind(h.ID), 20)
+		exceeded = exceeded || c.reserved[h.ID] > capacity
 	}
-	return over
+	return exceeded
 }
 
 func (c *cluster) kind(id string) string {
