--- a/core/demand/digest.go
+++ b/core/demand/digest.go
@@ -31,7 +31,8 @@
 // Digest is the demand of one instance, or the total demand of a group of instances.
 type Digest struct {
 	// Instance is the ID of the instance, or the name of the group.
-	Instance    string
+	Instance string
+	// Incarnation identifies the process of the instance; a later process has a higher one.
 	Incarnation uint64
 	// Sequence increases with each digest of one process of the instance.
 	Sequence uint64
--- a/core/demand/fill.go
+++ b/core/demand/fill.go
@@ -65,10 +65,10 @@
 	left := rest
 	for i := range claims {
 		c := &claims[i]
-		part := rest * c.weight / total
+		share := rest * c.weight / total
 		c.remainder = rest * c.weight % total
-		slots[c.index] = int(part)
-		left -= part
+		slots[c.index] = int(share)
+		left -= share
 	}
 	slices.SortFunc(claims, func(a, b claim) int {
 		return cmp.Or(cmp.Compare(b.remainder, a.remainder), cmp.Compare(a.index, b.index))
--- a/core/demand/limit.go
+++ b/core/demand/limit.go
@@ -12,13 +12,13 @@
 // what was in flight already. An instance without a digest counts as using its whole allocation.
 func PacedLimit(pool Pool, live []string, published []Digest, self string, current PoolDemand) int {
 	own := Shares(pool, live, published, self, current).Total()
-	inUse, part := unusedPart(pool, withSelf(live, self), published, self)
-	return min(own, inUse+part)
+	inUse, share := unusedShare(pool, withSelf(live, self), published, self)
+	return min(own, inUse+share)
 }
 
-// unusedPart returns the number of in-flight requests that self last published, and its part of
+// unusedShare returns the number of in-flight requests that self last published, and its part of
 // the slots that no instance uses.
-func unusedPart(pool Pool, live []string, published []Digest, self string) (inUse, part int) {
+func unusedShare(pool Pool, live []string, published []Digest, self string) (inUse, share int) {
 	allocations := Allocations(pool, live, published)
 	byID := newestByInstance(published)
 	key := KeyOf(pool.Name)
@@ -48,7 +48,7 @@
 // queue with strict ranks starts those first, and engines run them before the excess.
 func Limit(pool Pool, live []string, published []Digest, self string, current PoolDemand) int {
 	allocation := Shares(pool, live, published, self, current).Total()
-	inUse, part := unusedPart(pool, withSelf(live, self), published, self)
+	inUse, share := unusedShare(pool, withSelf(live, self), published, self)
 	urgent := current.rankDemand(0)
-	return max(min(allocation, inUse+part), min(allocation, current.InFlight()+clampSlots(urgent.Queued)))
+	return max(min(allocation, inUse+share), min(allocation, current.InFlight()+clampSlots(urgent.Queued)))
 }
--- a/core/demand/publisher.go
+++ b/core/demand/publisher.go
@@ -56,6 +56,7 @@
 	return true
 }
 
+// isDue reports whether the period or a change requires a new digest.
 func (t *Teller) isDue(now time.Time, digest *Digest) bool {
 	passed := now.Sub(t.publishedAt)
 	if passed >= t.config.MaxPeriod {
--- a/core/demand/view.go
+++ b/core/demand/view.go
@@ -15,6 +15,7 @@
 	digests    map[string]receivedDigest
 }
 
+// receivedDigest is a digest with the time of its measurement.
 type receivedDigest struct {
 	digest Digest
 	// measuredAt is the time at which the demand was measured, by this instance's clock.
--- a/core/layout/bench_test.go
+++ b/core/layout/bench_test.go
@@ -17,7 +17,7 @@
 			nodes = append(nodes, zone(fmt.Sprintf("z%02d", z), map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})...)
 		}
 		converge(b, m, nodes)
-		for name, list := range map[string][]layout.Node{"calm": nodes, "loss": without(nodes, nodes[3].ID)} {
+		for name, list := range map[string][]layout.Node{"stable": nodes, "loss": without(nodes, nodes[3].ID)} {
 			b.Run(fmt.Sprintf("%s-%d", name, len(list)), func(b *testing.B) {
 				for b.Loop() {
 					work := append([]layout.Node(nil), list...)
--- a/core/layout/gap.go
+++ b/core/layout/gap.go
@@ -186,6 +186,8 @@
 	return best, spare
 }
 
+// preferFreeing reports whether a is a better replica to free than b: one that can hold the wanted
+// layers, the smallest of these, or else the largest.
 func (p *plan) preferFreeing(a, b *Node, layers int) bool {
 	fitsA := maxLayers(p.model, a.Kind, minCacheShare) >= layers
 	fitsB := maxLayers(p.model, b.Kind, minCacheShare) >= layers
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -119,6 +119,7 @@
 	return min(m.MaxLayers(kind), int(m.Kinds[kind].MemoryMB*(1-freeShare)/m.LayerMB))
 }
 
+// totalLayers returns the number of layers that the replicas can hold together.
 func totalLayers(m *pipeline.Model, nodes []Node, freeShare float64) int {
 	sum := 0
 	for _, n := range nodes {
@@ -169,6 +170,7 @@
 	p.reinforce()
 }
 
+// plan collects the assignments for one group.
 type plan struct {
 	model         *pipeline.Model
 	replicas      []Node
@@ -189,6 +191,7 @@
 	return true
 }
 
+// assign records an assignment, unless the replica holds or was assigned these layers already.
 func (p *plan) assign(n *Node, from, to int, reason string) {
 	if f, t := n.plannedRange(); f == from && t == to {
 		return
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -119,8 +119,8 @@
 	nodes := fleet()
 	apply(nodes, layout.Plan(m, nodes, always))
 	for _, n := range nodes {
-		room := m.Room(n.Kind, n.To-n.From) / float64(n.To-n.From)
-		require.Greater(t, room, 50_000.0, "tokens that fit beside the layers of %s", n.ID)
+		capacity := m.Room(n.Kind, n.To-n.From) / float64(n.To-n.From)
+		require.Greater(t, capacity, 50_000.0, "tokens that fit beside the layers of %s", n.ID)
 	}
 }
 
--- a/core/pipeline/choose.go
+++ b/core/pipeline/choose.go
@@ -71,6 +71,7 @@
 // maxSearches is the maximum number of searches for one choice.
 const maxSearches = 4
 
+// withMember returns a copy of the set with the ID added.
 func withMember(set map[string]bool, id string) map[string]bool {
 	out := make(map[string]bool, len(set)+1)
 	for k := range set {
@@ -205,6 +206,7 @@
 	index int
 }
 
+// computeState sets the cheapest state of a replica at a layer.
 func (s *search) computeState(table []state, layer int, m *member, zones []zoneBest) {
 	if !s.usable[m.index] {
 		return
@@ -257,6 +259,7 @@
 // sequentialTokens returns the number of tokens that are passed between stages one after another.
 func (d Demand) sequentialTokens() float64 { return max(1, d.Output) }
 
+// updateZoneBest sets the cheapest state of each zone at a layer.
 func (s *search) updateZoneBest(zones []zoneBest, table []state, layer int) {
 	n := len(s.fleet.ordered)
 	for i := range zones {
@@ -269,6 +272,7 @@
 	}
 }
 
+// buildChoice returns the path that leads to the cheapest state at the last layer.
 func (s *search) buildChoice(table []state) (Choice, bool) {
 	f := s.fleet
 	n := len(f.ordered)
--- a/core/pipeline/cluster_test.go
+++ b/core/pipeline/cluster_test.go
@@ -44,13 +44,13 @@
 	c.model.Kinds["small"] = pipeline.Kind{Name: "small", MemoryMB: 2400, StepFactor: 12, ReadFactor: 9}
 	c.model.Kinds["large"] = pipeline.Kind{Name: "large", MemoryMB: 2400, StepFactor: 12 / faster, ReadFactor: 9 / faster}
 	for z := range 5 {
-		for row := range 3 {
+		for index := range 3 {
 			kind := "small"
-			if row == 0 {
+			if index == 0 {
 				kind = "large"
 			}
-			for part := range 4 {
-				c.list = append(c.list, replica(fmt.Sprintf("z%d-%d-%d", z, row, part), fmt.Sprintf("z%d", z), kind, part*20, part*20+20))
+			for stage := range 4 {
+				c.list = append(c.list, replica(fmt.Sprintf("z%d-%d-%d", z, index, stage), fmt.Sprintf("z%d", z), kind, stage*20, stage*20+20))
 			}
 		}
 	}
--- a/core/pipeline/pipeline.go
+++ b/core/pipeline/pipeline.go
@@ -101,6 +101,7 @@
 	sharing      Sharing
 }
 
+// member is a replica with its load and its place in the index.
 type member struct {
 	Replica
 	load
@@ -185,6 +186,7 @@
 	f.rebuildIndex()
 }
 
+// rebuildIndex recomputes the order, zones and layers of the listed replicas.
 func (f *Fleet) rebuildIndex() {
 	f.atLayer = make([][]*member, f.model.Layers)
 	f.ordered = f.ordered[:0]
@@ -309,6 +311,7 @@
 // Release removes the load that Reserve added to the replicas.
 func (f *Fleet) Release(p Path, d Demand) { f.adjustLoad(p, d, -1) }
 
+// adjustLoad adds (sign 1) or removes (sign -1) the reservation of a request.
 func (f *Fleet) adjustLoad(p Path, d Demand, sign float64) {
 	for i, h := range p {
 		m := f.replicas[h.ID]
--- a/core/pipeline/pipeline_test.go
+++ b/core/pipeline/pipeline_test.go
@@ -81,11 +81,11 @@
 	for range 200 {
 		f := pipeline.NewFleet(model(layers))
 		var list []pipeline.Replica
-		for _, part := range [][2]int{{0, 3}, {3, 6}, {6, 9}} {
+		for _, stage := range [][2]int{{0, 3}, {3, 6}, {6, 9}} {
 			for i := range 1 + random.IntN(3) {
 				zone := string(rune('a' + random.IntN(3)))
 				kind := []string{"large", "small"}[random.IntN(2)]
-				list = append(list, replica(fmt.Sprintf("r%d-%d", part[0], i), zone, kind, part[0], part[1]))
+				list = append(list, replica(fmt.Sprintf("r%d-%d", stage[0], i), zone, kind, stage[0], stage[1]))
 			}
 		}
 		f.Set(start, list)
--- a/core/placement/benchmark_test.go
+++ b/core/placement/benchmark_test.go
@@ -28,7 +28,7 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	lose := func(in *Input) {
+	removeRange := func(in *Input) {
 		for i := range in.Engines {
 			if e := &in.Engines[i]; e.Held.Model == "m0" && e.Held.First >= 40 {
 				e.Live = false
@@ -40,7 +40,7 @@
 		change func(*Input)
 	}{
 		{"quiet", func(*Input) {}},
-		{"lost_range", lose},
+		{"lost_range", removeRange},
 		{"new_version", func(in *Input) { in.Models[0].Version = "2" }},
 		{"overload", func(in *Input) {
 			for i := range in.Models {
--- a/core/placement/extend.go
+++ b/core/placement/extend.go
@@ -113,6 +113,7 @@
 	return units
 }
 
+// preference returns the order in which chooseEngine considers a group; lower is better.
 func (v *view) preference(m *Model, target Assignment, g group) int {
 	held := v.engines[g.engine].Held
 	other, wanted := v.models[held.Model]
--- a/core/placement/view.go
+++ b/core/placement/view.go
@@ -180,11 +180,13 @@
 	return v.usable(v.models[e.Held.Model])
 }
 
+// rollFloor returns the units that the model must keep during a version change.
 func (v *view) rollFloor(m *Model) int {
 	need := min(m.demand(), v.allVersions(m))
 	return max(1, int(math.Ceil(v.terms.RollShare*float64(need))))
 }
 
+// moveFloor returns the units that the model must keep when an engine is reassigned.
 func (v *view) moveFloor(m *Model) int {
 	return max(1, int(math.Ceil(v.terms.Slack*float64(m.demand()))))
 }
