--- a/core/demand/publisher.go
+++ b/core/demand/publisher.go
@@ -37,7 +37,7 @@
 	balance     float64
 }
 
-// NewTeller returns a Teller that has published nothing.
+// NewTeller returns one that has published nothing.
 func NewTeller(config TellerConfig) *Teller {
 	return &Teller{config: config, balance: config.Burst}
 }
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -56,7 +56,7 @@
 // pending reports whether an assignment is pending.
 func (n *Node) pending() bool { return n.WantFrom != n.WantTo }
 
-// Order assigns the layers From <= layer < To to a replica.
+// Order is the range of layers that a replica must hold: From <= layer < To.
 type Order struct {
 	ID       string
 	From, To int
--- a/core/placement/limit.go
+++ b/core/placement/limit.go
@@ -9,7 +9,7 @@
 	finished int
 }
 
-// NewLimit returns a Limit that starts at maximum, its largest value.
+// NewLimit returns a limit that starts at maximum, its largest value.
 func NewLimit(maximum int) *Limit {
 	maximum = max(maximum, 1)
 	return &Limit{maximum: maximum, value: maximum}
