--- /dev/null
+++ b/core/pipeline/cluster_test.go
@@ -0,0 +1,174 @@
+package pipeline_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"masticbank.example/core/pipeline"
+)
+
+// cluster simulates many instances that choose paths over the same replicas and exchange their load
+// once per period.
+type cluster struct {
+	t         require.TestingT
+	random    *rand.Rand
+	model     *pipeline.Model
+	instances []*pipeline.Fleet
+	list      []pipeline.Replica
+	// reserved is the KV cache reserved by the requests of all instances, by replica.
+	reserved map[string]float64
+	running  []runningRequest
+	// placed counts all requests, overCapacity those that exceeded the capacity of a replica
+	// on their path, and refused those without a path.
+	placed, overCapacity, refused int
+}
+
+type runningRequest struct {
+	endsAt   time.Time
+	instance int
+	path     pipeline.Path
+	demand   pipeline.Demand
+}
+
+// newCluster returns five zones with three pipeline replicas each, of four stages. One pipeline
+// replica of each zone is faster than the others by the given factor.
+func newCluster(t require.TestingT, instances int, faster float64) *cluster {
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(3, 4)), model: model(80), reserved: map[string]float64{}}
+	c.model.KVTokenBytes = 10_000
+	c.model.LinkMbps = 6300
+	c.model.ActivationBytes = 29_500
+	c.model.Kinds["small"] = pipeline.Kind{Name: "small", MemoryMB: 2400, StepFactor: 12, ReadFactor: 9}
+	c.model.Kinds["large"] = pipeline.Kind{Name: "large", MemoryMB: 2400, StepFactor: 12 / faster, ReadFactor: 9 / faster}
+	for z := range 5 {
+		for index := range 3 {
+			kind := "small"
+			if index == 0 {
+				kind = "large"
+			}
+			for stage := range 4 {
+				c.list = append(c.list, replica(fmt.Sprintf("z%d-%d-%d", z, index, stage), fmt.Sprintf("z%d", z), kind, stage*20, stage*20+20))
+			}
+		}
+	}
+	for range instances {
+		f := pipeline.NewFleet(c.model)
+		f.Set(start, c.list)
+		f.SetSharing(pipeline.Sharing{Random: c.random.Float64, Instances: instances})
+		c.instances = append(c.instances, f)
+	}
+	return c
+}
+
+// exchangeLoad updates an instance with the current load of all others.
+func (c *cluster) exchangeLoad(i int) {
+	sum := map[string]pipeline.Load{}
+	for k, f := range c.instances {
+		if k == i {
+			continue
+		}
+		for id, l := range f.Own() {
+			s := sum[id]
+			s.Reserved += l.Reserved
+			s.Sequences += l.Sequences
+			s.Reading += l.Reading
+			sum[id] = s
+		}
+	}
+	c.instances[i].SetForeign(func(id string) pipeline.Load { return sum[id] }, func(pipeline.Link) float64 { return 0 })
+}
+
+func (c *cluster) reserve(p pipeline.Path, d pipeline.Demand, sign float64) (exceeded bool) {
+	for _, h := range p {
+		c.reserved[h.ID] += sign * (d.Prompt + 0.6*d.Output) * float64(h.To-h.From)
+		capacity := c.model.Room(c.kind(h.ID), 20)
+		exceeded = exceeded || c.reserved[h.ID] > capacity
+	}
+	return exceeded
+}
+
+func (c *cluster) kind(id string) string {
+	for _, r := range c.list {
+		if r.ID == id {
+			return r.Kind
+		}
+	}
+	return ""
+}
+
+// run sends perSecond requests, which last about five seconds each, to random instances.
+func (c *cluster) run(seconds, perSecond int, period time.Duration) {
+	step := time.Second / time.Duration(perSecond)
+	lastExchange := make([]time.Time, len(c.instances))
+	for i := range lastExchange {
+		lastExchange[i] = start.Add(-time.Duration(c.random.Float64() * float64(period)))
+	}
+	for now := start; now.Before(start.Add(time.Duration(seconds) * time.Second)); now = now.Add(step) {
+		for i := range lastExchange {
+			if now.Sub(lastExchange[i]) >= period {
+				lastExchange[i] = now
+				c.exchangeLoad(i)
+			}
+		}
+		kept := c.running[:0]
+		for _, e := range c.running {
+			if now.Before(e.endsAt) {
+				kept = append(kept, e)
+				continue
+			}
+			c.instances[e.instance].Release(e.path, e.demand)
+			c.reserve(e.path, e.demand, -1)
+		}
+		c.running = kept
+		i := c.random.IntN(len(c.instances))
+		d := pipeline.Demand{Prompt: 200 + 1100*c.random.Float64(), Output: 60 + 160*c.random.Float64()}
+		choice, ok := c.instances[i].Choose(now, d, pipeline.Constraint{})
+		c.placed++
+		if !ok {
+			c.refused++
+			continue
+		}
+		c.instances[i].Reserve(now, choice.Path, d)
+		if c.reserve(choice.Path, d, 1) {
+			c.overCapacity++
+		}
+		lasts := time.Duration((4 + 2*c.random.Float64()) * float64(time.Second))
+		c.running = append(c.running, runningRequest{endsAt: now.Add(lasts), instance: i, path: choice.Path, demand: d})
+	}
+}
+
+// All of 66 instances start together, clients of broken streams reconnect, and no instance knows
+// the load of the others. The requests need half of the capacity and must not all go to the
+// fastest replicas.
+func TestUninformedInstancesSpreadTheirRequests(t *testing.T) {
+	overCapacityShare := func(blind bool) float64 {
+		c := newCluster(t, 66, 1.25)
+		for _, f := range c.instances {
+			f.SetSharing(pipeline.Sharing{Random: c.random.Float64, Uninformed: blind})
+		}
+		c.run(1, int(c.capacity()*0.5), time.Hour)
+		return float64(c.overCapacity) / float64(c.placed)
+	}
+	require.GreaterOrEqual(t, overCapacityShare(false), 0.2, "all choose the fastest replicas")
+	require.LessOrEqual(t, overCapacityShare(true), 0.02)
+}
+
+// capacity returns the number of average requests that fit at the same time.
+func (c *cluster) capacity() float64 { return 15 * c.model.Room("small", 20) / 20 / 890 }
+
+// Up to 95 instances choose paths with load information that is up to 0.95 s old. At 60 % of the
+// capacity hardly any path may exceed the capacity of a replica.
+func TestManyInstancesSpreadTheirRequests(t *testing.T) {
+	for _, instances := range []int{1, 9, 95} {
+		c := newCluster(t, instances, 4)
+		perSecond := int(c.capacity() * 0.6 / 5)
+		period := max(200*time.Millisecond, time.Duration(instances)*10*time.Millisecond)
+		c.run(8, perSecond, period)
+		t.Logf("%d instances, %d requests: %.4f exceeded a replica's capacity, %.4f found no path", instances, c.placed,
+			float64(c.overCapacity)/float64(c.placed), float64(c.refused)/float64(c.placed))
+		require.LessOrEqual(t, c.overCapacity+c.refused, c.placed/100)
+	}
+}
