--- a/node/gateway/budget_test.go
+++ b/node/gateway/budget_test.go
@@ -13,7 +13,7 @@
 	"masticbank.example/node/exchange"
 )
 
-// spend takes retries until none is left.
+// spend uses up the retry budget and returns the number of retries.
 func spend(g *Gateway) int {
 	n := 0
 	for g.retryAllowed("s") {
@@ -22,9 +22,9 @@
 	return n
 }
 
-// TestBudgetOfAllInstancesHolds starts all instances at once, as after a power
-// failure, beside what they spent before. The bound holds for all of them together.
-func TestBudgetOfAllInstancesHolds(t *testing.T) {
+// All instances restart at once, as after a power failure, after each has spent its
+// budget. The total of the retries before and after still stays within the limit.
+func TestRetryLimitHoldsAfterSimultaneousRestart(t *testing.T) {
 	const instances, slack, ratio, requests = 59, 302.0, 0.2, 50
 	synctest.Test(t, func(t *testing.T) {
 		total, first := 0, 0
@@ -38,7 +38,7 @@
 			g := start()
 			g.SetInstances(instances)
 			total += spend(g)
-			g = start() // the power failure
+			g = start() // restarts after the power failure
 			for range requests {
 				g.countFirst("s")
 				first++
@@ -52,9 +52,9 @@
 	})
 }
 
-// TestStreamWaitsForTheBudget has a request that may be sent again but for the budget: it
-// waits for what other requests pay, as long as its caller stays.
-func TestStreamWaitsForTheBudget(t *testing.T) {
+// A request whose retry only the budget denies waits until other requests have added to
+// it, or until its client's time is over.
+func TestRetryWaitsForTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Options{
 			Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: NewMetrics(),
@@ -65,7 +65,7 @@
 		spend(g)
 		began := time.Now()
 		require.False(t, g.awaitRetry(t.Context(), c, began.Add(1500*time.Millisecond)))
-		require.Equal(t, deniedBudget, c.denied)
+		require.Equal(t, deniedBudget, c.denialReason)
 		require.LessOrEqual(t, time.Since(began), 1500*time.Millisecond)
 
 		began = time.Now()
@@ -75,16 +75,16 @@
 			}
 		})
 		require.True(t, g.awaitRetry(t.Context(), c, began.Add(1500*time.Millisecond)))
-		require.LessOrEqual(t, time.Since(began), 300*time.Millisecond+budgetInterval)
-		require.Empty(t, c.denied)
+		require.LessOrEqual(t, time.Since(began), 300*time.Millisecond+budgetPollInterval)
+		require.Empty(t, c.denialReason)
 
 		spend(g)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		began = time.Now()
-		require.False(t, g.awaitRetry(ctx, c, began.Add(1500*time.Millisecond)), "the caller left")
+		require.False(t, g.awaitRetry(ctx, c, began.Add(1500*time.Millisecond)), "the client disconnected")
 		require.LessOrEqual(t, time.Since(began), 50*time.Millisecond)
-		require.Equal(t, deniedDeadline, c.denied)
-		require.False(t, g.awaitRetry(ctx, c, began), "no time is left")
+		require.Equal(t, deniedDeadline, c.denialReason)
+		require.False(t, g.awaitRetry(ctx, c, began), "the time to wait is over")
 	})
 }
--- a/node/gateway/crashes.go
+++ b/node/gateway/crashes.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// recheckDelay is the time between two connections that must be refused before a
-	// replica is taken to have ended. One that is only full answers others meanwhile.
-	recheckDelay = 200 * time.Millisecond
-	// checkOnce is how long a replica is not checked again.
-	checkOnce = time.Second
-	// maxChecks bounds the replicas that are checked at the same time, and queuedChecks
-	// those that wait; further ones are judged by their entries alone.
-	maxChecks    = 16
-	queuedChecks = 256
+	// secondAttemptDelay is the time between two connection attempts that must both be refused
+	// before a replica counts as ended. One that is only full responds to other requests
+	// meanwhile.
+	secondAttemptDelay = 200 * time.Millisecond
+	// checkInterval is the minimum time between two checks of a replica.
+	checkInterval = time.Second
+	// maxChecks limits the checks that run at the same time, and maxQueuedChecks those that
+	// wait. Without a check, the end of a replica is detected only from its listed entry.
+	maxChecks       = 16
+	maxQueuedChecks = 256
 )
 
-// Signs by which a replica is known to have ended.
+// Evidence that a replica's process ended, as logged.
 const (
-	signRefused   = "refuses connections"
-	signRestarted = "restarted"
-	signRemoved   = "no longer listed"
+	endRefused   = "refuses connections"
+	endRestarted = "restarted"
+	endRemoved   = "no longer listed"
 )
 
-// crashGuard keeps requests that crash replicas from running on and on. It is safe for
-// concurrent use.
+// crashGuard prevents requests that crash replicas from being run again and again. It is
+// safe for concurrent use.
 type crashGuard struct {
 	log     *zap.Logger
 	client  *exchange.Client
@@ -44,16 +45,18 @@
 
 	mu     sync.Mutex
 	ledger *poison.Ledger
-	// checked holds when a replica was checked last.
-	checked map[poison.Incarnation]time.Time
+	// checkedAt is when each replica process was last checked.
+	checkedAt map[poison.Incarnation]time.Time
 
-	checks chan check
-	// watching counts the checks under way; while it is 0, signs are not recorded.
-	watching atomic.Int32
-	signs    sync.Map // replica ID to time.Time
+	queue chan check
+	// activeChecks counts the checks in progress; while it is 0, responses are not
+	// recorded in lastResponse.
+	activeChecks atomic.Int32
+	// lastResponse maps replica IDs to the time.Time of the last response.
+	lastResponse sync.Map
 }
 
-// check is a replica to be checked.
+// check is a replica process whose connections are to be checked.
 type check struct {
 	poison.Incarnation
 	address string
@@ -61,17 +64,18 @@
 
 func newCrashGuard(client *exchange.Client, metrics *Metrics, log *zap.Logger) *crashGuard {
 	return &crashGuard{
-		log:     log,
-		client:  client,
-		metrics: metrics,
-		ledger:  poison.NewLedger(poison.Retention),
-		checked: map[poison.Incarnation]time.Time{},
-		checks:  make(chan check, queuedChecks),
+		log:       log,
+		client:    client,
+		metrics:   metrics,
+		ledger:    poison.NewLedger(poison.Retention),
+		checkedAt: map[poison.Incarnation]time.Time{},
+		queue:     make(chan check, maxQueuedChecks),
 	}
 }
 
-// fingerprintOf identifies what a caller asks for. Requests of different callers never
-// have the same one. On routes without keys, callers are told apart by their address.
+// fingerprintOf identifies the content of a request. Requests of different clients never
+// have the same fingerprint; on routes without API keys, clients are distinguished by IP
+// address.
 func fingerprintOf(c *call) poison.Fingerprint {
 	caller := "workspace " + c.workspace
 	if c.workspace == "" {
@@ -84,70 +88,71 @@
 	return poison.FingerprintOf(caller, string(c.body), c.http.Method, c.http.Host, c.http.RequestURI)
 }
 
-// admit returns why a request must not run, or nil.
+// admit returns the refusal of a blocked request, or nil.
 func (k *crashGuard) admit(c *call) *poison.Refusal {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.Admit(time.Now(), c.fingerprint, attemptOf(c))
 }
 
-// mayRetry tells whether an attempt that was lost may run again.
+// mayRetry reports whether a request whose run was lost may run again.
 func (k *crashGuard) mayRetry(c *call) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.MayRetry(c.fingerprint, attemptOf(c))
 }
 
+// attemptOf returns the hash that identifies the client's attempt.
 func attemptOf(c *call) uint64 { return xxhash.Sum64String(c.ID) }
 
-// lost takes a run without a whole answer. The replicas that left meanwhile are not
-// among its parts.
-func (k *crashGuard) lost(c *call, parts []poison.Incarnation, began time.Time, progressed bool) {
-	if len(parts) == 0 {
+// recordLostRun records a run without a complete response. processes are those that it ran
+// on, without the ones that shut down meanwhile.
+func (k *crashGuard) recordLostRun(c *call, processes []poison.Incarnation, began time.Time, progressed bool) {
+	if len(processes) == 0 {
 		return
 	}
 	run := poison.LostRun{
 		Fingerprint: c.fingerprint,
-		Run:         poison.Run{Attempt: attemptOf(c), Number: c.runs},
-		Parts:       parts,
+		Run:         poison.Run{Attempt: attemptOf(c), Number: c.lostRuns},
+		Parts:       processes,
 		Progressed:  progressed,
 		Began:       began,
 	}
-	c.runs++
+	c.lostRuns++
 	k.log.Info("run lost", zap.String("request", c.ID), zap.Stringer("fingerprint", c.fingerprint), zap.Uint64("attempt", run.Run.Attempt),
-		zap.Uint32("run", run.Run.Number), zap.Strings("parts", namesOf(parts)), zap.Bool("progressed", progressed), zap.Duration("after", time.Since(began)))
+		zap.Uint32("run", run.Run.Number), zap.Strings("parts", processNames(processes)), zap.Bool("progressed", progressed), zap.Duration("after", time.Since(began)))
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.report(k.ledger.Lost(time.Now(), run), "ended before")
+	k.logCrashes(k.ledger.Lost(time.Now(), run), "had already ended")
 }
 
-// namesOf returns the IDs of replicas with their starts.
-func namesOf(parts []poison.Incarnation) []string {
-	out := make([]string, 0, len(parts))
-	for _, p := range parts {
+// processNames returns the replica IDs with the start times of the processes.
+func processNames(processes []poison.Incarnation) []string {
+	out := make([]string, 0, len(processes))
+	for _, p := range processes {
 		out = append(out, p.Replica+"@"+strconv.FormatInt(p.Born, 10))
 	}
 	return out
 }
 
-// ended takes a replica whose process ended.
-func (k *crashGuard) ended(r poison.Incarnation, sign string) {
+// recordEnd records that a replica process ended.
+func (k *crashGuard) recordEnd(r poison.Incarnation, evidence string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if sign == signRemoved {
-		k.report(k.ledger.Removed(time.Now(), r), sign)
+	if evidence == endRemoved {
+		k.logCrashes(k.ledger.Removed(time.Now(), r), evidence)
 		return
 	}
-	k.report(k.ledger.Ended(time.Now(), r), sign)
+	k.logCrashes(k.ledger.Ended(time.Now(), r), evidence)
 }
 
-// report writes a line for each crash, and one for each request that is blocked. The
-// caller holds the lock.
-func (k *crashGuard) report(crashes []poison.Crash, sign string) {
+// logCrashes logs each crash, and each request that is blocked because of it. The lock is
+// held.
+func (k *crashGuard) logCrashes(crashes []poison.Crash, evidence string) {
 	for _, c := range crashes {
 		k.metrics.Crashed()
-		k.log.Info("replica ended under a request", zap.Stringer("fingerprint", c.Fingerprint), zap.String("replica", c.Replica.Replica),
-			zap.Int64("born", c.Replica.Born), zap.String("sign", sign), zap.Bool("progressed", c.Progressed),
+		k.log.Info("replica ended while running a request", zap.Stringer("fingerprint", c.Fingerprint), zap.String("replica", c.Replica.Replica),
+			zap.Int64("born", c.Replica.Born), zap.String("sign", evidence), zap.Bool("progressed", c.Progressed),
 			zap.Uint64("attempt", c.Run.Attempt), zap.Uint32("run", c.Run.Number),
 			zap.Int("incidents", k.ledger.Incidents(c.Fingerprint)))
 		if k.ledger.IsBlocked(c.Fingerprint) {
@@ -156,7 +161,8 @@
 	}
 }
 
-// crashField names replicas that ended, with their starts and the age of the sign.
+// crashField is a log field with the crashed replicas, the start times of their processes,
+// and the age of the evidence.
 func crashField(crashes []poison.Crash) zap.Field {
 	type item struct {
 		Replica string `json:"replica"`
@@ -171,47 +177,48 @@
 	return zap.Any("crashes", list)
 }
 
-// succeeded takes a request that was answered whole.
-func (k *crashGuard) succeeded(f poison.Fingerprint) {
+// recordSuccess records that a request got a complete response.
+func (k *crashGuard) recordSuccess(f poison.Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ledger.Succeeded(time.Now(), f) {
-		k.log.Info("request cleared by a success", zap.Stringer("fingerprint", f))
+		k.log.Info("crash evidence of a request cleared after a success", zap.Stringer("fingerprint", f))
 	}
 }
 
-// process returns the process that took a run.
+// process returns the process that received a run: the listed one, or a later one if that
+// had ended before.
 func (k *crashGuard) process(listed poison.Incarnation, began time.Time) poison.Incarnation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.Process(listed, began)
 }
 
-// check asks for a look whether a replica still takes connections.
-func (k *crashGuard) check(r poison.Incarnation, address string) {
+// scheduleCheck schedules a check whether a replica still accepts connections.
+func (k *crashGuard) scheduleCheck(r poison.Incarnation, address string) {
 	now := time.Now()
 	k.mu.Lock()
-	if now.Sub(k.checked[r]) < checkOnce {
+	if now.Sub(k.checkedAt[r]) < checkInterval {
 		k.mu.Unlock()
 		return
 	}
-	k.checked[r] = now
+	k.checkedAt[r] = now
 	k.mu.Unlock()
 	select {
-	case k.checks <- check{r, address}:
+	case k.queue <- check{r, address}:
 	default:
-		k.log.Warn("replica not checked, too many wait", zap.String("replica", r.Replica))
+		k.log.Warn("replica not checked: too many checks are queued", zap.String("replica", r.Replica))
 	}
 }
 
-// sign notes that a replica gave a sign of life.
-func (k *crashGuard) sign(replica string) {
-	if k.watching.Load() > 0 {
-		k.signs.Store(replica, time.Now())
+// markResponsive records that a replica responded.
+func (k *crashGuard) markResponsive(replica string) {
+	if k.activeChecks.Load() > 0 {
+		k.lastResponse.Store(replica, time.Now())
 	}
 }
 
-// run checks replicas until ctx ends.
+// run carries out the scheduled checks until ctx ends.
 func (k *crashGuard) run(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(maxChecks)
@@ -220,63 +227,64 @@
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-k.checks:
+		case c := <-k.queue:
 			g.Go(func() error {
-				k.carryOut(ctx, c)
+				k.runCheck(ctx, c)
 				return nil
 			})
 		}
 	}
 }
 
-// carryOut takes a replica for ended that refuses two connections and gives no sign of
-// life in between. A replica that is full may refuse connections too.
-func (k *crashGuard) carryOut(ctx context.Context, c check) {
-	k.watching.Add(1)
-	defer k.watching.Add(-1)
-	begun := time.Now()
+// runCheck records a replica as ended if it refuses two connections and does not respond
+// to any request in between. A replica that is full may refuse connections too.
+func (k *crashGuard) runCheck(ctx context.Context, c check) {
+	k.activeChecks.Add(1)
+	defer k.activeChecks.Add(-1)
+	started := time.Now()
 	if !k.client.Refused(ctx, c.address) {
 		return
 	}
 	select {
-	case <-time.After(recheckDelay):
+	case <-time.After(secondAttemptDelay):
 	case <-ctx.Done():
 		return
 	}
-	if at, ok := k.signs.Load(c.Replica); ok && at.(time.Time).After(begun) {
+	if at, ok := k.lastResponse.Load(c.Replica); ok && at.(time.Time).After(started) {
 		return
 	}
 	if k.client.Refused(ctx, c.address) {
-		k.ended(c.Incarnation, signRefused)
+		k.recordEnd(c.Incarnation, endRefused)
 	}
 }
 
-// news returns the evidence that was not told yet, and the crashes of its requests that
-// have crashed more than one replica.
-func (k *crashGuard) news() (poison.State, []poison.Crash) {
+// pending returns the evidence that was not published yet, and all crashes of those of its
+// requests that have crashed more than one replica.
+func (k *crashGuard) pending() (poison.State, []poison.Crash) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	news := k.ledger.News()
+	delta := k.ledger.News()
 	var recurring []poison.Crash
 	seen := map[poison.Fingerprint]bool{}
-	for _, c := range news.Crashes {
+	for _, c := range delta.Crashes {
 		if !seen[c.Fingerprint] && k.ledger.Incidents(c.Fingerprint) >= recurringIncidents {
 			recurring = append(recurring, k.ledger.CrashesOf(c.Fingerprint)...)
 		}
 		seen[c.Fingerprint] = true
 	}
-	return news, recurring
+	return delta, recurring
 }
 
-// recurringIncidents is the number of incidents from which on evidence is kept in the
-// store: with one crash lost, a request crashes one replica more.
+// recurringIncidents is the number of incidents from which a request's evidence is also
+// kept in the store. If a single crash is lost, the request crashes one more replica.
 const recurringIncidents = 2
 
-func (k *crashGuard) learn(s poison.State) {
+// merge adds the evidence of another instance.
+func (k *crashGuard) merge(s poison.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.ledger.Blocked()
-	k.report(k.ledger.Learn(time.Now(), s), "another instance says")
+	k.logCrashes(k.ledger.Learn(time.Now(), s), "reported by another instance")
 	if after := k.ledger.Blocked(); after != before {
 		k.log.Info("blocked requests", zap.Int("before", before), zap.Int("now", after), zap.String("source", "another instance"),
 			zap.Int("crashes", len(s.Crashes)), zap.Int("clears", len(s.Clears)))
@@ -295,19 +303,19 @@
 	return k.ledger.Digest()
 }
 
-// tidy drops what is too old.
-func (k *crashGuard) tidy() {
+// expire removes expired data.
+func (k *crashGuard) expire() {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.Expire(now)
 	k.metrics.SetBlocked(k.ledger.Blocked())
-	for r, at := range k.checked {
-		if now.Sub(at) > checkOnce {
-			delete(k.checked, r)
+	for r, at := range k.checkedAt {
+		if now.Sub(at) > checkInterval {
+			delete(k.checkedAt, r)
 		}
 	}
-	if k.watching.Load() == 0 {
-		k.signs.Clear()
+	if k.activeChecks.Load() == 0 {
+		k.lastResponse.Clear()
 	}
 }
--- a/node/gateway/events.go
+++ b/node/gateway/events.go
@@ -8,30 +8,30 @@
 	"strconv"
 )
 
-// event is a whole event of a stream.
+// event is one complete event of a stream.
 type event struct {
 	// id is -1 for events without a number.
 	id   int64
 	data []byte
-	// err ends the stream: io.EOF after the last event.
+	// err ends the stream; it is io.EOF after the last event.
 	err error
 }
 
 const (
-	// maxEventBytes bounds one event, which holds a few tokens. All streams of an
-	// instance may hold one at the same time.
+	// maxEventBytes limits one event, which holds a few tokens. All streams of an instance
+	// may buffer one at the same time.
 	maxEventBytes = 64 << 10
-	// maxStreamBytes bounds a stream: a long answer has some hundred kilobytes.
+	// maxStreamBytes limits a stream; a long response has some hundred kilobytes.
 	maxStreamBytes = 16 << 20
 )
 
 var (
-	errEventTooLarge  = errors.New("the event is too large")
-	errStreamTooLarge = errors.New("the stream is too large")
+	errEventTooLarge  = errors.New("stream event exceeds 64 KiB")
+	errStreamTooLarge = errors.New("stream exceeds 16 MiB")
 )
 
-// readEvents reads whole events until the stream ends and passes them on. It
-// returns when stop is closed; the reader must then fail soon.
+// readEvents sends the events of r to out until the stream ends or stop is closed. Reads
+// of r must fail soon after stop is closed.
 func readEvents(r io.Reader, out chan<- event, stop <-chan struct{}) {
 	br := bufio.NewReader(r)
 	read := 0
@@ -51,8 +51,8 @@
 	}
 }
 
-// nextEvent reads up to the blank line that ends an event. A stream that ends
-// within an event is broken.
+// nextEvent reads up to the blank line that ends an event. A stream that ends within an
+// event results in io.ErrUnexpectedEOF.
 func nextEvent(br *bufio.Reader) event {
 	ev := event{id: -1}
 	for {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -22,28 +22,29 @@
 )
 
 const (
-	// noConfigRetry is told to callers that come before the configuration is known;
-	// it is read within this time after a start.
-	noConfigRetry = 300 * time.Millisecond
-	// noReplicaRetry is told when a service has no usable replica; the list of
+	// noConfigRetryAfter is the Retry-After for requests that arrive before the configuration
+	// is known. After a start it is read within this time.
+	noConfigRetryAfter = 300 * time.Millisecond
+	// noReplicaRetryAfter is the Retry-After when a service has no usable replica. The list of
 	// replicas is read again within this time.
-	noReplicaRetry = 700 * time.Millisecond
-	// openPatience is how long a request waits for the configuration and the replicas to be
-	// read after a start, and openShare the largest part of its caller's time that it takes.
-	// Both are read within some 200 ms.
-	openPatience = 700 * time.Millisecond
-	openShare    = 0.25
-	// drainingRetry is told by an instance that stops; another one serves at once.
-	drainingRetry = 50 * time.Millisecond
-	// defaultDeadline is used for callers that state none.
+	noReplicaRetryAfter = 700 * time.Millisecond
+	// maxStartupWait is how long a request waits after a start for the configuration and the
+	// replicas to be read, and maxStartupWaitShare the largest fraction of its client's deadline
+	// that the wait may use. Reading both takes about 200 ms.
+	maxStartupWait      = 700 * time.Millisecond
+	maxStartupWaitShare = 0.25
+	// drainingRetryAfter is the Retry-After of an instance that shuts down; other instances
+	// accept requests at once.
+	drainingRetryAfter = 50 * time.Millisecond
+	// defaultDeadline applies to clients that send no deadline.
 	defaultDeadline = 30 * time.Second
-	// answerMargin is kept back from the caller's deadline so that the last answer
-	// still reaches it.
-	answerMargin = 30 * time.Millisecond
-	// maxAnswerBytes bounds a plain answer, which is held in memory until it is
-	// complete, and leastAnswerBytes is room for one.
-	maxAnswerBytes   = 16 << 20
-	leastAnswerBytes = maxAnswerBytes + 1<<20
+	// responseMargin is subtracted from the client's deadline so that the final response
+	// still arrives in time.
+	responseMargin = 30 * time.Millisecond
+	// maxResponseBytes limits a plain response, which is buffered until it is complete.
+	// minResponseMemory is enough memory for one.
+	maxResponseBytes  = 16 << 20
+	minResponseMemory = maxResponseBytes + 1<<20
 )
 
 // Options configures a Gateway.
@@ -53,63 +54,63 @@
 	Client  *exchange.Client
 	Logger  *zap.Logger
 	Metrics *Metrics
-	// AnswerBytes bounds the memory for plain answers of more than some kilobytes, all
-	// together; at least leastAnswerBytes.
+	// AnswerBytes limits the total memory for buffered plain responses of more than a few
+	// kilobytes; at least minResponseMemory.
 	AnswerBytes int64
-	// Zone is where this instance is.
+	// Zone is the availability zone of this instance.
 	Zone string
-	// Retries bounds the repeats for all instances together.
+	// Retries limits the retries of all instances together.
 	Retries RetryBound
-	// OnSilent, if set, is called with a replica that gives no sign of life.
+	// OnSilent, if set, is called with a replica that is unresponsive.
 	OnSilent func(replica string)
-	// OnRejected, if set, is called with a replica that rejected a request though it has
-	// room, for the count-th time in a row.
+	// OnRejected, if set, is called with a replica that rejected a request although it has
+	// free capacity; count is the number of such rejections in a row.
 	OnRejected func(replica string, count int)
-	// OnLeaving, if set, is called with a process of a replica that said in an answer
-	// that it leaves; more than once if it answers more than once.
+	// OnLeaving, if set, is called with a replica process whose response says that it
+	// shuts down. It may be called several times for one process.
 	OnLeaving func(roster.Process)
-	// OnEvidence, if set, is called with evidence on requests that crash replicas, for
-	// the other instances. recurring holds the crashes of requests that have crashed
-	// more than one, which have to outlast this process.
+	// OnEvidence, if set, is called with new evidence about requests that crash replicas,
+	// to be sent to the other instances. recurring holds all crashes of those requests
+	// that have crashed more than one replica; they have to be stored beyond the life of
+	// this process.
 	OnEvidence func(news poison.State, recurring []poison.Crash)
 }
 
-// RetryBound is the bound on repeats of one service for all instances: ratio
-// times its requests plus slack, in each window.
+// RetryBound limits the retries of one service for all instances together: in each window,
+// Ratio times the service's requests plus Slack.
 type RetryBound struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Gateway is an http.Handler. It is safe for concurrent use.
+// Gateway is the http.Handler that serves clients. It is safe for concurrent use.
 type Gateway struct {
-	opts  Options
-	log   *zap.Logger
-	table atomic.Pointer[routing.Table]
-	// drainAfter is a Unix time in nanoseconds, 0 while the process stays.
+	opts   Options
+	log    *zap.Logger
+	routes atomic.Pointer[routing.Table]
+	// drainAfter is a Unix time in nanoseconds; 0 unless the instance shuts down.
 	drainAfter atomic.Int64
-	// started is the time from which observed counts. observed is when reports of all
-	// replicas were last read here or told by another instance, since then.
+	// started is when the gateway was created. observed is the time from then until the
+	// reports of all replicas were last read here or received from another instance.
 	started  time.Time
 	observed atomic.Int64
-	// opened is closed once by open when configuration and replicas are known.
-	open   sync.Once
-	opened chan struct{}
+	// opened is closed once when the configuration and the replicas are known.
+	readyOnce sync.Once
+	ready     chan struct{}
 
 	mu      sync.Mutex
 	models  map[string]*modelPool
 	plains  map[string]*plainPool
 	budgets map[string]*retry.Budget
 	crashes *crashGuard
-	// memory bounds the large answers that are held at the same time.
+	// memory limits the large responses that are buffered at the same time.
 	memory *bounded.Memory
-	// instances is the number of entry instances that share the retry budget, 0 while
-	// it is not known.
+	// instances is the number of instances that share the retry budget; 0 while unknown.
 	instances int
 }
 
-// New returns a gateway that knows no configuration and no replicas.
+// New returns a Gateway without a configuration and without replicas.
 func New(o Options) *Gateway {
 	return &Gateway{
 		opts:    o,
@@ -117,17 +118,17 @@
 		models:  map[string]*modelPool{},
 		plains:  map[string]*plainPool{},
 		budgets: map[string]*retry.Budget{},
-		memory:  bounded.NewMemory(max(o.AnswerBytes, leastAnswerBytes)),
+		memory:  bounded.NewMemory(max(o.AnswerBytes, minResponseMemory)),
 		crashes: newCrashGuard(o.Client, o.Metrics, o.Logger),
 		started: time.Now(),
-		opened:  make(chan struct{}),
+		ready:   make(chan struct{}),
 	}
 }
 
 // Table returns the configuration in force, or nil.
-func (g *Gateway) Table() *routing.Table { return g.table.Load() }
+func (g *Gateway) Table() *routing.Table { return g.routes.Load() }
 
-// call is one request on its way.
+// call is the state of one client request.
 type call struct {
 	Request
 	http      *http.Request
@@ -138,43 +139,44 @@
 	workspace string
 	rank      int
 	arrival   time.Time
-	// deadline is when the caller or the route ends the request.
+	// deadline is the earlier of the client's deadline and the route's timeout.
 	deadline time.Time
-	// late is what ends it: "caller" or "route".
-	late    string
-	version int64
-	sends   int
-	replica string
-	// fingerprint identifies what the caller asks for, also in its next attempts.
+	// deadlineSource names which of the two applies: "caller" (the client's) or "route".
+	deadlineSource string
+	version        int64
+	sends          int
+	replica        string
+	// fingerprint identifies the content of the request; it is the same for later attempts
+	// of the client.
 	fingerprint poison.Fingerprint
-	// runs counts the runs that were lost.
-	runs uint32
-	// hold is the memory that the answer takes.
-	hold *bounded.Hold
-	// denied is why the last retry was not made, or "".
-	denied string
+	// lostRuns counts the runs of this attempt that were lost.
+	lostRuns uint32
+	// memory accounts for the memory of the buffered response.
+	memory *bounded.Hold
+	// denialReason is why the last retry was denied, or "".
+	denialReason string
 }
 
-// left is the time that a replica may take.
-func (c *call) left(now time.Time) time.Duration { return c.deadline.Sub(now) }
+// remaining returns the time until the deadline.
+func (c *call) remaining(now time.Time) time.Duration { return c.deadline.Sub(now) }
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP serves one client request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{Request: g.opts.Codec.Request(r.Header), http: r, writer: w, arrival: time.Now(), hold: g.memory.Hold()}
-	defer c.hold.Release()
+	c := &call{Request: g.opts.Codec.Request(r.Header), http: r, writer: w, arrival: time.Now(), memory: g.memory.Hold()}
+	defer c.memory.Release()
 	g.opts.Metrics.Began()
 	defer g.opts.Metrics.Ended()
-	g.awaitOpen(c)
+	g.awaitReady(c)
 	if !g.admit(c) {
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		g.refuse(c, http.StatusBadRequest, "body", 0)
+		g.sendRefusal(c, http.StatusBadRequest, "body", 0)
 		return
 	}
-	if limit := g.table.Load().Limits().BodyBytes; limit > 0 && len(body) > limit {
-		g.refuse(c, http.StatusRequestEntityTooLarge, "body_too_large", 0)
+	if limit := g.routes.Load().Limits().BodyBytes; limit > 0 && len(body) > limit {
+		g.sendRefusal(c, http.StatusRequestEntityTooLarge, "body_too_large", 0)
 		return
 	}
 	c.body = body
@@ -186,7 +188,7 @@
 	defer cancel()
 	if c.service.Model != nil {
 		if g.draining() {
-			g.refuse(c, http.StatusServiceUnavailable, "stopping", drainingRetry)
+			g.sendRefusal(c, http.StatusServiceUnavailable, "stopping", drainingRetryAfter)
 			return
 		}
 		g.serveModel(ctx, c)
@@ -195,21 +197,21 @@
 	g.servePlain(ctx, c)
 }
 
-// Open tells that the configuration and the replicas are known.
-func (g *Gateway) Open() { g.open.Do(func() { close(g.opened) }) }
+// Open signals that the configuration and the replicas are known.
+func (g *Gateway) Open() { g.readyOnce.Do(func() { close(g.ready) }) }
 
-// awaitOpen lets a request that comes just after the start wait until the router can tell
-// where it goes: callers whose connections broke with the process before come back at once,
-// and not all of them a second time.
-func (g *Gateway) awaitOpen(c *call) {
+// awaitReady delays a request that arrives just after the start until routes and replicas
+// are known. Clients whose connections broke with the previous process reconnect at once,
+// and some of them do not retry a second time.
+func (g *Gateway) awaitReady(c *call) {
 	select {
-	case <-g.opened:
+	case <-g.ready:
 		return
 	default:
 	}
-	wait := openPatience - time.Since(g.started)
+	wait := maxStartupWait - time.Since(g.started)
 	if c.Deadline > 0 {
-		wait = min(wait, time.Duration(float64(c.Deadline)*openShare))
+		wait = min(wait, time.Duration(float64(c.Deadline)*maxStartupWaitShare))
 	}
 	if wait <= 0 {
 		return
@@ -217,32 +219,32 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-g.opened:
+	case <-g.ready:
 	case <-t.C:
 	case <-c.http.Context().Done():
 	}
 }
 
-// admit finds the route, the workspace and the service of a request, or answers
-// it.
+// admit finds the route, the workspace and the service of a request. If one is missing, it
+// sends the error response and returns false.
 func (g *Gateway) admit(c *call) bool {
-	table := g.table.Load()
+	table := g.routes.Load()
 	if table == nil {
-		g.refuse(c, http.StatusServiceUnavailable, "no_configuration", noConfigRetry)
+		g.sendRefusal(c, http.StatusServiceUnavailable, "no_configuration", noConfigRetryAfter)
 		return false
 	}
 	c.version = table.Version()
 	host, path := hostAndPath(c.http)
 	c.route = table.Route(host, path)
 	if c.route == nil {
-		g.refuse(c, http.StatusNotFound, "no_route", 0)
+		g.sendRefusal(c, http.StatusNotFound, "no_route", 0)
 		return false
 	}
 	c.rank = c.route.Priority
 	if table.NeedsKeys() && !c.route.Public {
 		ws := table.Workspace(c.Key)
 		if ws == nil {
-			g.refuse(c, http.StatusUnauthorized, "unknown_key", 0)
+			g.sendRefusal(c, http.StatusUnauthorized, "unknown_key", 0)
 			return false
 		}
 		c.workspace = ws.Name
@@ -252,27 +254,27 @@
 	}
 	c.service = table.Service(c.route.Pick(rand.Float64()))
 	if c.service == nil {
-		g.refuse(c, http.StatusServiceUnavailable, "no_service", noReplicaRetry)
+		g.sendRefusal(c, http.StatusServiceUnavailable, "no_service", noReplicaRetryAfter)
 		return false
 	}
 	c.setDeadline()
 	return true
 }
 
-// setDeadline takes the earlier of the caller's deadline and the route's timeout.
+// setDeadline sets the earlier of the client's deadline and the route's timeout.
 func (c *call) setDeadline() {
 	wait := c.Deadline
 	if wait <= 0 {
 		wait = defaultDeadline
 	}
-	c.deadline, c.late = c.arrival.Add(wait-min(answerMargin, wait/4)), "caller"
+	c.deadline, c.deadlineSource = c.arrival.Add(wait-min(responseMargin, wait/4)), "caller"
 	if t := c.route.Timeout; t > 0 && c.arrival.Add(t).Before(c.deadline) {
-		c.deadline, c.late = c.arrival.Add(t), "route"
+		c.deadline, c.deadlineSource = c.arrival.Add(t), "route"
 	}
 }
 
-// hostAndPath returns what the route is chosen by. A target in absolute form
-// names the host itself.
+// hostAndPath returns the host and path used for routing. A request target in absolute
+// form includes the host.
 func hostAndPath(r *http.Request) (host, path string) {
 	target := r.RequestURI
 	host = r.Header.Get("Host")
@@ -289,39 +291,40 @@
 	return host, path
 }
 
-// refuse sends an answer of the router's own. The statuses 408, 421, 429 and 503
-// state that the request did not run.
-func (g *Gateway) refuse(c *call, status int, why string, retryAfter time.Duration, more ...zap.Field) {
+// sendRefusal sends an error response of the router itself. The statuses 408, 421, 429 and 503
+// mean that the request did not run.
+func (g *Gateway) sendRefusal(c *call, status int, reason string, retryAfter time.Duration, extra ...zap.Field) {
 	h := c.writer.Header()
 	for k, v := range g.opts.Codec.Refusal(c.ID, retryAfter) {
 		h[k] = v
 	}
 	c.writer.WriteHeader(status)
-	g.finish(c, status, why, append(more, zap.Duration("retry_after", retryAfter))...)
+	g.logEnd(c, status, reason, append(extra, zap.Duration("retry_after", retryAfter))...)
 }
 
-// refuseBlocked answers a request that crashes replicas, and tells whether it did.
+// refuseBlocked refuses a request that is blocked because it crashes replicas, and reports
+// whether it did.
 func (g *Gateway) refuseBlocked(c *call) bool {
 	r := g.crashes.admit(c)
 	if r == nil {
 		return false
 	}
-	g.refuse(c, http.StatusServiceUnavailable, outcomeBlocked, r.RetryAfter, crashField(r.Crashes))
+	g.sendRefusal(c, http.StatusServiceUnavailable, outcomeCrashesReplicas, r.RetryAfter, crashField(r.Crashes))
 	return true
 }
 
-// outcomeBlocked is the outcome of requests that are refused because copies of them
-// crashed replicas.
-const outcomeBlocked = "crashes_replicas"
+// outcomeCrashesReplicas is the logged outcome of requests that are refused because
+// earlier copies of them crashed replicas.
+const outcomeCrashesReplicas = "crashes_replicas"
 
-// finish writes the line about the end of a request and counts it.
-func (g *Gateway) finish(c *call, status int, why string, more ...zap.Field) {
+// logEnd logs the end of a request and updates the metrics.
+func (g *Gateway) logEnd(c *call, status int, outcome string, extra ...zap.Field) {
 	took := time.Since(c.arrival)
-	g.opts.Metrics.Done(c.workspace, c.rank, status, why, took)
+	g.opts.Metrics.Done(c.workspace, c.rank, status, outcome, took)
 	fields := []zap.Field{
 		zap.String("request", c.ID),
 		zap.Int("status", status),
-		zap.String("outcome", why),
+		zap.String("outcome", outcome),
 		zap.Duration("took", took),
 		zap.Int64("config", c.version),
 		zap.String("workspace", c.workspace),
@@ -333,12 +336,12 @@
 	if c.route != nil {
 		fields = append(fields, zap.String("route", c.route.Name))
 	}
-	g.log.Info("request ended", append(fields, more...)...)
+	g.log.Info("request ended", append(fields, extra...)...)
 }
 
-// request builds the message for a replica.
-func (g *Gateway) request(c *call, s Send, fresh bool) *exchange.Request {
-	s.Deadline = c.left(time.Now())
+// newRequest builds the request to a replica.
+func (g *Gateway) newRequest(c *call, s Send, fresh bool) *exchange.Request {
+	s.Deadline = c.remaining(time.Now())
 	s.Workspace = c.workspace
 	host := c.http.Header.Get("Host")
 	if host == "" {
--- a/node/gateway/lostrun.go
+++ b/node/gateway/lostrun.go
@@ -11,55 +11,56 @@
 	"masticbank.example/node/exchange"
 )
 
-// lost notes a run without a whole answer, and has the replica checked that it was
-// sent to.
-func (s *stream) lost(ctx context.Context, err error) {
+// recordLostRun records a run without a complete response, and schedules a check of the
+// first replica of its path.
+func (s *stream) recordLostRun(ctx context.Context, err error) {
 	if !mayBeCrash(err) || errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	first := s.grant.path()[0]
-	parts := s.pool.partsOf(s.grant.path())
-	took := s.g.crashes.process(poison.Incarnation{Replica: first.ID, Born: first.Born}, s.runAt)
-	if len(parts) > 0 && parts[0].Replica == first.ID {
-		parts[0] = took
+	processes := s.pool.listedProcesses(s.grant.path())
+	received := s.g.crashes.process(poison.Incarnation{Replica: first.ID, Born: first.Born}, s.runAt)
+	if len(processes) > 0 && processes[0].Replica == first.ID {
+		processes[0] = received
 	}
-	s.g.crashes.lost(s.call, parts, s.runAt, s.progressed())
-	s.g.crashes.check(took, first.Address)
+	s.g.crashes.recordLostRun(s.call, processes, s.runAt, s.progressed())
+	s.g.crashes.scheduleCheck(received, first.Address)
 }
 
-// progressTime is how long events must have come for a run to speak for its request. One
-// that crashes replicas does so when it begins to run, at times after its first event.
+// progressTime is how long events must have arrived for a run to count in favor of its
+// request. A request that crashes replicas does so early in its run, sometimes after its
+// first event.
 const progressTime = 500 * time.Millisecond
 
-// progressed tells whether the present run went well for a while.
+// progressed reports whether the current run has produced events for progressTime.
 func (s *stream) progressed() bool {
-	return !s.runFirstAt.IsZero() && s.lastAt.Sub(s.runFirstAt) >= progressTime
+	return !s.runFirstEvent.IsZero() && s.lastProgress.Sub(s.runFirstEvent) >= progressTime
 }
 
-// beginRun notes that the request runs on replicas that it was not running on.
-func (s *stream) beginRun(now time.Time) { s.runAt, s.runFirstAt = now, time.Time{} }
+// beginRun records that the request begins to run on other replicas.
+func (s *stream) beginRun(now time.Time) { s.runAt, s.runFirstEvent = now, time.Time{} }
 
-// lostPart notes that the run is lost on a part that is silent, and has the part
-// checked.
-func (s *stream) lostPart(id string) {
+// recordLostStage records that the run is lost on an unresponsive stage, and schedules a
+// check of the replica.
+func (s *stream) recordLostStage(id string) {
 	for _, h := range s.grant.path() {
 		if h.ID == id {
-			s.g.crashes.lost(s.call, s.pool.partsOf(pipeline.Path{h}), s.runAt, s.progressed())
-			s.g.crashes.check(poison.Incarnation{Replica: h.ID, Born: h.Born}, h.Address)
+			s.g.crashes.recordLostRun(s.call, s.pool.listedProcesses(pipeline.Path{h}), s.runAt, s.progressed())
+			s.g.crashes.scheduleCheck(poison.Incarnation{Replica: h.ID, Born: h.Born}, h.Address)
 		}
 	}
 }
 
-// noCrash are failures after which the replica goes on: it has answered, if badly, or
-// the caller is gone.
-var noCrash = []error{errOtherRequest, errUnsigned, errEventTooLarge, errStreamTooLarge, bounded.ErrTooLarge, exchange.ErrHeadTooLarge, errCaller, context.Canceled}
+// nonCrashErrors lists the errors that do not indicate a crash: the replica responded, if
+// wrongly, or the client disconnected.
+var nonCrashErrors = []error{errResponseMismatch, errUnsignedResponse, errEventTooLarge, errStreamTooLarge, bounded.ErrTooLarge, exchange.ErrHeadTooLarge, errClientWrite, context.Canceled}
 
-// mayBeCrash tells whether a run may have been lost because its replica ended.
+// mayBeCrash reports whether a run may have been lost because the replica's process ended.
 func mayBeCrash(err error) bool {
 	if err == nil {
 		return false
 	}
-	for _, other := range noCrash {
+	for _, other := range nonCrashErrors {
 		if errors.Is(err, other) {
 			return false
 		}
@@ -67,8 +68,9 @@
 	return true
 }
 
-// partsOf returns the replicas of a path that did not leave meanwhile.
-func (p *modelPool) partsOf(path pipeline.Path) []poison.Incarnation {
+// listedProcesses returns the processes of a path's replicas, without those that have shut down
+// meanwhile.
+func (p *modelPool) listedProcesses(path pipeline.Path) []poison.Incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []poison.Incarnation
--- a/node/gateway/metrics.go
+++ b/node/gateway/metrics.go
@@ -11,51 +11,53 @@
 )
 
 const (
-	// longestTracked bounds the recorded times, in milliseconds.
-	longestTracked = 60_000
-	// digits bounds the error of a percentile to 10 %, which keeps a histogram at
-	// about 2 KiB.
-	digits = 1
-	// maxSeries bounds the workspaces and ranks with a histogram of their own;
+	// maxTrackedMS is the largest recorded time in milliseconds; longer ones are
+	// recorded as this value.
+	maxTrackedMS = 60_000
+	// significantDigits is the precision of histograms: percentiles have an error of up to
+	// 10 % and a histogram takes about 2 KiB.
+	significantDigits = 1
+	// maxSeries limits the number of workspaces and ranks with a histogram of their own;
 	// further ones share one.
 	maxSeries = 128
-	// otherSeries names the shared one.
-	otherSeries = "other"
+	// sharedSeries is the name of the shared histogram.
+	sharedSeries = "other"
 )
 
-// Metrics counts requests and their times, by workspace and rank. It is safe for
-// concurrent use and bounded in memory.
+// Metrics counts requests and records their times by workspace and rank. Its memory is
+// bounded. It is safe for concurrent use.
 type Metrics struct {
 	mu       sync.Mutex
 	inFlight int
 	outcomes map[string]uint64
-	// denied counts retries that were not made, by reason.
+	// denied counts denied retries by reason.
 	denied map[string]uint64
-	// crashes counts replicas that ended under a request of this instance, once for each
-	// request; blocked is the number of requests that are refused for such crashes.
-	crashes uint64
-	blocked int
-	total   map[string]*hdrhistogram.Histogram
-	first   map[string]*hdrhistogram.Histogram
+	// crashes counts replicas that ended while they ran a request of this instance, once
+	// per request. blocked is the number of requests that are refused because of such
+	// crashes.
+	crashes         uint64
+	blocked         int
+	totalTimes      map[string]*hdrhistogram.Histogram
+	firstEventTimes map[string]*hdrhistogram.Histogram
 }
 
 // NewMetrics returns empty metrics.
 func NewMetrics() *Metrics {
 	return &Metrics{
-		outcomes: map[string]uint64{},
-		denied:   map[string]uint64{},
-		total:    map[string]*hdrhistogram.Histogram{},
-		first:    map[string]*hdrhistogram.Histogram{},
+		outcomes:        map[string]uint64{},
+		denied:          map[string]uint64{},
+		totalTimes:      map[string]*hdrhistogram.Histogram{},
+		firstEventTimes: map[string]*hdrhistogram.Histogram{},
 	}
 }
 
-// Began counts a request in progress.
-func (m *Metrics) Began() { m.shift(1) }
+// Began increments the number of requests in progress.
+func (m *Metrics) Began() { m.addInFlight(1) }
 
-// Ended takes a request in progress away.
-func (m *Metrics) Ended() { m.shift(-1) }
+// Ended decrements the number of requests in progress.
+func (m *Metrics) Ended() { m.addInFlight(-1) }
 
-func (m *Metrics) shift(n int) {
+func (m *Metrics) addInFlight(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight += n
@@ -73,25 +75,25 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.outcomes[strconv.Itoa(status)+" "+outcome]++
-	record(m.total, "workspace "+workspace, took)
-	record(m.total, "rank "+strconv.Itoa(rank), took)
+	record(m.totalTimes, "workspace "+workspace, took)
+	record(m.totalTimes, "rank "+strconv.Itoa(rank), took)
 }
 
-// RetryDenied counts a retry that was not made.
+// RetryDenied counts a denied retry.
 func (m *Metrics) RetryDenied(reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.denied[reason]++
 }
 
-// Crashed counts a replica that ended under a request.
+// Crashed counts a replica that ended while it ran a request.
 func (m *Metrics) Crashed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashes++
 }
 
-// SetBlocked sets the number of requests that are refused for crashes.
+// SetBlocked sets the number of requests that are refused because they crash replicas.
 func (m *Metrics) SetBlocked(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,26 +104,26 @@
 func (m *Metrics) FirstEvent(rank int, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	record(m.first, "rank "+strconv.Itoa(rank), took)
+	record(m.firstEventTimes, "rank "+strconv.Itoa(rank), took)
 }
 
 func record(series map[string]*hdrhistogram.Histogram, name string, took time.Duration) {
 	h := series[name]
 	if h == nil {
 		if len(series) >= maxSeries {
-			name = otherSeries
+			name = sharedSeries
 		}
 		h = series[name]
 	}
 	if h == nil {
-		h = hdrhistogram.New(1, longestTracked, digits)
+		h = hdrhistogram.New(1, maxTrackedMS, significantDigits)
 		series[name] = h
 	}
-	// The value is cut to the tracked range, so that recording cannot fail.
-	_ = h.RecordValue(min(max(took.Milliseconds(), 1), longestTracked))
+	// The value is clamped to the tracked range, so recording can't fail.
+	_ = h.RecordValue(min(max(took.Milliseconds(), 1), maxTrackedMS))
 }
 
-// summary is a histogram in milliseconds.
+// summary describes a histogram, with times in milliseconds.
 type summary struct {
 	Name  string `json:"name"`
 	Count int64  `json:"count"`
@@ -141,8 +143,8 @@
 		"denied":      m.denied,
 		"crashes":     m.crashes,
 		"blocked":     m.blocked,
-		"request":     summaries(m.total),
-		"first_event": summaries(m.first),
+		"request":     summaries(m.totalTimes),
+		"first_event": summaries(m.firstEventTimes),
 	})
 	if err != nil {
 		return strconv.Quote(err.Error())
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -19,66 +19,67 @@
 )
 
 const (
-	// modelRetryAfter is told to a refused request: the order of the time that a
-	// usual answer takes, after which room is free again.
+	// modelRetryAfter is the Retry-After when a model service is full. A usual response
+	// takes about as long, after which there is free capacity again.
 	modelRetryAfter = 3 * time.Second
-	// rejectedAtOnce bounds the time in which a part that leaves or gives up layers
-	// rejects a request. Later ones have waited for memory, or for another part that
-	// died: the part named as at fault may be sound.
-	rejectedAtOnce = 100 * time.Millisecond
-	// unreachedBlock keeps new paths off a replica that could not be connected to. A
-	// single lost packet has the same effect, so that nobody else is told.
-	unreachedBlock = time.Second
-	// deadBlock keeps new paths off a part that is silent, about as long as the
+	// immediateRejection is the time within which a stage that shuts down or unloads layers
+	// rejects a request. A later rejection has waited for memory or for another stage that
+	// died, and the stage it names may be healthy.
+	immediateRejection = 100 * time.Millisecond
+	// unreachableBlock is how long new paths avoid a replica to which no connection could be
+	// made. A single lost packet can cause this, so it is not reported to other instances.
+	unreachableBlock = time.Second
+	// unresponsiveBlock is how long new paths avoid an unresponsive stage: about as long as the
 	// entry of a dead replica stays listed.
-	deadBlock = 4 * time.Second
+	unresponsiveBlock = 4 * time.Second
 )
 
-// stream is a model request on its way.
+// stream is the state of one model request.
 type stream struct {
 	*call
-	g      *Gateway
-	pool   *modelPool
-	demand pipeline.Demand
-	avoid  map[string]bool
-	// begun is true when the head of the answer went to the caller.
-	begun bool
-	// last is the number of the last event that the caller has, -1 without one.
-	last int64
-	// events counts those passed on by this request.
-	events int
-	grant  *grant
-	// lastAt is when the last event came, or when the request was sent.
-	lastAt time.Time
-	// lastEvent is when the caller was last sent an event.
-	lastEvent time.Time
-	// longest is the longest pause between two events, repaths the changes of path.
-	longest time.Duration
-	repaths int
-	// runAt is when the present run began, runFirstAt when its first event came.
-	runAt      time.Time
-	runFirstAt time.Time
+	g        *Gateway
+	pool     *modelPool
+	demand   pipeline.Demand
+	excluded map[string]bool
+	// headSent is true once the response head was sent to the client.
+	headSent bool
+	// lastEventID is the number of the last event that the client received; -1 if none.
+	lastEventID int64
+	// relayed counts the events that this attempt relayed.
+	relayed int
+	grant   *grant
+	// lastProgress is when the last event arrived, or when the request was sent if none has.
+	lastProgress time.Time
+	// lastSent is when the last event was sent to the client.
+	lastSent time.Time
+	// longestGap is the longest time between two events; repaths counts the path changes.
+	longestGap time.Duration
+	repaths    int
+	// runAt is when the current run began, runFirstEvent when its first event arrived.
+	runAt         time.Time
+	runFirstEvent time.Time
 }
 
-// serveModel runs a request over a path through all layers.
+// serveModel runs a request on a path through all layers, and retries on another path as
+// the route's rules and the retry budget allow.
 func (g *Gateway) serveModel(ctx context.Context, c *call) {
 	g.countFirst(c.service.Name)
-	s := &stream{call: c, g: g, pool: g.model(c.service), demand: demandOf(c), avoid: map[string]bool{}, last: -1}
+	s := &stream{call: c, g: g, pool: g.model(c.service), demand: demandOf(c), excluded: map[string]bool{}, lastEventID: -1}
 	if n, err := strconv.ParseInt(c.LastEvent, 10, 64); err == nil {
-		s.last = n
+		s.lastEventID = n
 	}
 	h := forward.History{Repeatable: c.route.Repeatable(), MaxRuns: c.route.MaxAttempts}
 	for {
-		if time.Now().Add(s.pool.paused(time.Now())).After(s.waitsUntil()) {
+		if time.Now().Add(s.pool.paused(time.Now())).After(s.waitLimit()) {
 			s.endWithoutPath(ctx, &h)
 			return
 		}
-		s.grant = s.pool.acquire(ctx, s.item(), s.demand, pipeline.Constraint{Avoid: s.avoid})
+		s.grant = s.pool.acquire(ctx, s.item(), s.demand, pipeline.Constraint{Avoid: s.excluded})
 		if s.grant == nil {
 			s.endWithoutPath(ctx, &h)
 			return
 		}
-		if !h.MayHaveRun() && !s.begun && g.refuseBlocked(c) {
+		if !h.MayHaveRun() && !s.headSent && g.refuseBlocked(c) {
 			s.grant.release()
 			return
 		}
@@ -86,26 +87,27 @@
 		c.replica = s.grant.path()[0].ID
 		outcome, err := s.run(ctx)
 		if outcome == forward.Lost {
-			s.lost(ctx, err)
+			s.recordLostRun(ctx, err)
 		}
 		s.grant.release()
-		next := h.Step(outcome, func() bool { return g.awaitRetry(ctx, c, s.waitsUntil()) })
+		next := h.Step(outcome, func() bool { return g.awaitRetry(ctx, c, s.waitLimit()) })
 		if outcome == forward.Answered || (outcome == forward.Failed && next != forward.Retry) {
 			return
 		}
 		g.log.Info("attempt failed", zap.String("request", c.ID), zap.String("replica", c.replica),
-			zap.Stringer("outcome", outcome), zap.Stringer("next", next), zap.Int64("last_event", s.last),
-			zap.Int("parts", len(s.grant.path())), zap.Duration("left", c.left(time.Now())),
-			zap.Stringer("fingerprint", c.fingerprint), zap.String("denied", c.denied), zap.Error(err))
+			zap.Stringer("outcome", outcome), zap.Stringer("next", next), zap.Int64("last_event", s.lastEventID),
+			zap.Int("parts", len(s.grant.path())), zap.Duration("left", c.remaining(time.Now())),
+			zap.Stringer("fingerprint", c.fingerprint), zap.String("denied", c.denialReason), zap.Error(err))
 		if next == forward.Retry {
 			continue
 		}
-		s.end(ctx, next)
+		s.endIncomplete(ctx, next)
 		return
 	}
 }
 
-// demandOf estimates what a request asks of the replicas.
+// demandOf estimates the tokens of a request: what the client states, else the model's
+// usual numbers.
 func demandOf(c *call) pipeline.Demand {
 	m := c.service.Model
 	d := pipeline.Demand{Prompt: c.PromptTokens, Output: c.OutputHint}
@@ -121,16 +123,18 @@
 	return d
 }
 
+// item returns the request's entry in the list of waiting requests.
 func (s *stream) item() *waitlist.Item {
-	return &waitlist.Item{Rank: s.rank, Arrival: s.arrival, GiveUp: s.waitsUntil()}
+	return &waitlist.Item{Rank: s.rank, Arrival: s.arrival, GiveUp: s.waitLimit()}
 }
 
-// waitsUntil is when the caller has waited so long, since its request came or since the
-// last event, that it would leave before another one reached it.
-func (s *stream) waitsUntil() time.Time {
+// waitLimit is the latest time at which a path is still of use: after that, the client
+// would have waited too long since the request arrived, or since the last event, and would
+// leave before another event could reach it.
+func (s *stream) waitLimit() time.Time {
 	since := s.arrival
-	if s.begun {
-		since = s.lastEvent
+	if s.headSent {
+		since = s.lastSent
 	}
 	end := since.Add(waitlist.LongestWait(s.route.Objective, s.route.GapObjective))
 	if s.deadline.Before(end) {
@@ -139,88 +143,89 @@
 	return end
 }
 
+// endWithoutPath sends the error response when no path was granted in time.
 func (s *stream) endWithoutPath(ctx context.Context, h *forward.History) {
-	if h.MayHaveRun() || s.begun {
-		s.end(ctx, forward.GiveUp)
+	if h.MayHaveRun() || s.headSent {
+		s.endIncomplete(ctx, forward.GiveUp)
 		return
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
-		s.g.finish(s.call, statusCallerLeft, "caller_left")
+		s.g.logEnd(s.call, statusClientClosed, "caller_left")
 		return
 	}
 	why, retryAfter := "no_room", modelRetryAfter
 	if left := s.pool.paused(time.Now()); left > 0 {
-		why, retryAfter = outcomePaused, left
+		why, retryAfter = outcomeReplicasPaused, left
 	} else if !s.pool.covered() {
 		why = "layers_missing"
 	}
-	s.g.refuse(s.call, http.StatusServiceUnavailable, why, retryAfter)
+	s.g.sendRefusal(s.call, http.StatusServiceUnavailable, why, retryAfter)
 }
 
-// end finishes a request without a whole answer.
-func (s *stream) end(ctx context.Context, next forward.Next) {
+// endIncomplete finishes a request whose response is incomplete.
+func (s *stream) endIncomplete(ctx context.Context, next forward.Next) {
 	switch {
-	case s.begun:
+	case s.headSent:
 		httpserver.Abort(s.writer)
 		why := "stream_broken"
 		if errors.Is(ctx.Err(), context.Canceled) {
 			why = "caller_left"
 		}
-		s.g.finish(s.call, statusCallerLeft, why, zap.Int64("last_event", s.last), zap.Int("events", s.events))
+		s.g.logEnd(s.call, statusClientClosed, why, zap.Int64("last_event", s.lastEventID), zap.Int("events", s.relayed))
 	case next == forward.Refuse:
-		s.g.refuse(s.call, http.StatusServiceUnavailable, "rejected_everywhere", modelRetryAfter)
+		s.g.sendRefusal(s.call, http.StatusServiceUnavailable, "rejected_everywhere", modelRetryAfter)
 	default:
 		s.g.giveUp(ctx, s.call)
 	}
 }
 
-// run sends the request over the granted path and passes its events on.
+// run sends the request over the granted path and relays the events of the response.
 func (s *stream) run(ctx context.Context) (forward.Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	path := s.grant.path()
 	first := path[0]
 	send := Send{Replica: first.ID, Rank: s.rank, Path: path}
-	if s.last >= 0 && s.begun {
-		send.LastEvent = strconv.FormatInt(s.last, 10)
+	if s.lastEventID >= 0 && s.headSent {
+		send.LastEvent = strconv.FormatInt(s.lastEventID, 10)
 	}
-	s.lastAt = time.Now()
-	s.beginRun(s.lastAt)
-	resp, err := s.head(ctx, cancel, first, s.g.request(s.call, send, false))
+	s.lastProgress = time.Now()
+	s.beginRun(s.lastProgress)
+	resp, err := s.awaitHead(ctx, cancel, first, s.g.newRequest(s.call, send, false))
 	if err != nil {
-		s.blame(first, err)
+		s.connectionFailed(first, err)
 		return outcomeOf(err), err
 	}
 	defer resp.Close()
-	s.g.crashes.sign(first.ID)
+	s.g.crashes.markResponsive(first.ID)
 	info := s.g.opts.Codec.Answer(resp.Status, resp.Header)
-	s.noteAnswer(first, info)
+	s.applyResponseInfo(first, info)
 	switch {
 	case info.ID != s.ID:
 		resp.Discard()
-		return forward.Lost, errOtherRequest
+		return forward.Lost, errResponseMismatch
 	case info.NotRun:
-		drain(resp)
+		drainBody(resp)
 		s.rejected(info, first)
 		return forward.Rejected, nil
-	case unsigned(resp.Status, info):
+	case lacksSignature(resp.Status, info):
 		resp.Discard()
-		return forward.Lost, errUnsigned
+		return forward.Lost, errUnsignedResponse
 	case resp.Status != http.StatusOK:
 		return s.failed(resp)
 	}
 	return s.relay(ctx, cancel, resp)
 }
 
-// headResult is what comes of waiting for the head of an answer.
+// headResult is the result of waiting for the response head.
 type headResult struct {
 	resp *exchange.Response
 	err  error
 }
 
-// head sends the request and waits for the head of the answer, watching for
-// parts that are silent.
-func (s *stream) head(ctx context.Context, cancel context.CancelFunc, first pipeline.Hop, r *exchange.Request) (*exchange.Response, error) {
+// awaitHead sends the request and waits for the response head, while it checks for
+// unresponsive stages.
+func (s *stream) awaitHead(ctx context.Context, cancel context.CancelFunc, first pipeline.Hop, r *exchange.Request) (*exchange.Response, error) {
 	done := make(chan headResult, 1)
 	go func() {
 		resp, err := s.g.opts.Client.Do(ctx, first.Address, r)
@@ -233,61 +238,65 @@
 		case res := <-done:
 			return res.resp, res.err
 		case <-watch.timer.C:
-			if watch.check(ctx) {
+			if watch.checkStall(ctx) {
 				cancel()
 				res := <-done
 				if res.err == nil {
 					res.resp.Close()
 				}
-				return nil, &exchange.Error{Sent: true, Err: errPartSilent}
+				return nil, &exchange.Error{Sent: true, Err: errStageUnresponsive}
 			}
 		}
 	}
 }
 
-// errCaller means that the caller does not take its answer.
-var errCaller = errors.New("the caller takes no more")
+// errClientWrite means that writing to the client failed.
+var errClientWrite = errors.New("writing to the client failed")
 
-var errPartSilent = errors.New("a part of the path is silent")
+// errStageUnresponsive means that a stage of the path stopped responding.
+var errStageUnresponsive = errors.New("a stage of the path is unresponsive")
 
-// blame takes the first replica out of use after an error of its connection.
-func (s *stream) blame(first pipeline.Hop, err error) {
-	s.avoid[first.ID] = true
+// connectionFailed keeps new paths away from the first replica after an error of its
+// connection.
+func (s *stream) connectionFailed(first pipeline.Hop, err error) {
+	s.excluded[first.ID] = true
 	var ee *exchange.Error
 	if errors.As(err, &ee) && !ee.Sent && !errors.Is(err, context.Canceled) {
-		s.pool.block(first.ID, unreachedBlock, "no connection")
+		s.pool.block(first.ID, unreachableBlock, "no connection")
 	}
 }
 
-// rejected takes the part at fault out of use for a moment.
+// rejected keeps new paths away from the stage that rejected the request, and reports a
+// rejection despite free capacity to the other instances.
 func (s *stream) rejected(info Answer, first pipeline.Hop) {
 	id := s.pool.idAt(info.FailingPart)
 	if id == "" {
 		id = first.ID
 	}
-	s.avoid[id] = true
+	s.excluded[id] = true
 	state := s.pool.state(id)
-	s.g.log.Info("part rejected a request", zap.String("request", s.ID), zap.String("part", id),
+	s.g.log.Info("stage rejected a request", zap.String("request", s.ID), zap.String("part", id),
 		zap.Bool("first", id == first.ID), zap.Int("from", state.From), zap.Int("to", state.To),
-		zap.Duration("after", time.Since(s.lastAt)),
+		zap.Duration("after", time.Since(s.lastProgress)),
 		zap.Float64("room", state.Room), zap.Float64("own", state.Own.Reserved), zap.Float64("foreign", state.Foreign.Reserved))
-	atOnce := time.Since(s.lastAt) < rejectedAtOnce && !state.Full()
+	atOnce := time.Since(s.lastProgress) < immediateRejection && !state.Full()
 	if count := s.pool.rejected(id, atOnce); count > 0 && s.g.opts.OnRejected != nil {
 		s.g.opts.OnRejected(id, count)
 	}
 }
 
-// failed passes on an answer that is no stream, unless another replica is tried.
+// failed handles a response that is not a stream: it is delivered unless a stream has
+// already begun.
 func (s *stream) failed(resp *exchange.Response) (forward.Outcome, error) {
-	body, err := s.hold.ReadAll(resp.Body, maxAnswerBytes)
-	if err != nil || s.begun {
+	body, err := s.memory.ReadAll(resp.Body, maxResponseBytes)
+	if err != nil || s.headSent {
 		return forward.Lost, err
 	}
-	s.g.deliver(s.call, &plainAnswer{status: resp.Status, header: resp.Header, body: body})
+	s.g.deliver(s.call, &plainResponse{status: resp.Status, header: resp.Header, body: body})
 	return forward.Answered, nil
 }
 
-// relay passes whole events on as they arrive.
+// relay forwards whole events to the client as they arrive.
 func (s *stream) relay(ctx context.Context, cancel context.CancelFunc, resp *exchange.Response) (forward.Outcome, error) {
 	events := make(chan event)
 	stop := make(chan struct{})
@@ -299,7 +308,7 @@
 	whole := false
 	defer func() {
 		if !whole {
-			cancel() // ends a read under way
+			cancel() // ends a read in progress
 		}
 		close(stop)
 		<-finished
@@ -309,19 +318,19 @@
 	for {
 		select {
 		case ev := <-events:
-			before := s.last
-			done, outcome, err := s.take(ctx, resp, ev)
+			before := s.lastEventID
+			done, outcome, err := s.handleEvent(ctx, resp, ev)
 			if done {
 				whole = outcome == forward.Answered
 				return outcome, err
 			}
-			// Comments that a stalled replica goes on sending are no progress.
-			if s.last > before || s.last < 0 {
+			// Comments that a stalled replica keeps sending are not progress.
+			if s.lastEventID > before || s.lastEventID < 0 {
 				watch.progress()
 			}
 		case <-watch.timer.C:
-			if watch.check(ctx) {
-				return forward.Lost, errPartSilent
+			if watch.checkStall(ctx) {
+				return forward.Lost, errStageUnresponsive
 			}
 		case <-ctx.Done():
 			return forward.Lost, ctx.Err()
@@ -329,47 +338,48 @@
 	}
 }
 
-// take handles one event; done tells that the run is over.
-func (s *stream) take(ctx context.Context, resp *exchange.Response, ev event) (done bool, o forward.Outcome, err error) {
+// handleEvent handles one event; done is true if the run is over.
+func (s *stream) handleEvent(ctx context.Context, resp *exchange.Response, ev event) (done bool, o forward.Outcome, err error) {
 	if errors.Is(ev.err, io.EOF) {
-		s.begin(resp)
-		s.g.crashes.succeeded(s.fingerprint)
-		s.g.finish(s.call, resp.Status, "delivered", zap.Int("events", s.events), zap.Int("parts", len(s.grant.path())),
-			zap.Duration("longest_pause", s.longest), zap.Int("repaths", s.repaths), zap.String("zones", zonesOf(s.grant.path())))
+		s.writeHead(resp)
+		s.g.crashes.recordSuccess(s.fingerprint)
+		s.g.logEnd(s.call, resp.Status, "delivered", zap.Int("events", s.relayed), zap.Int("parts", len(s.grant.path())),
+			zap.Duration("longest_pause", s.longestGap), zap.Int("repaths", s.repaths), zap.String("zones", zonesOf(s.grant.path())))
 		return true, forward.Answered, nil
 	}
 	if ev.err != nil {
 		return true, forward.Lost, ev.err
 	}
-	if ev.id >= 0 && ev.id <= s.last {
-		return false, 0, nil // the caller has it from an earlier run
+	if ev.id >= 0 && ev.id <= s.lastEventID {
+		return false, 0, nil // already sent by an earlier run
 	}
-	s.grant.firstToken()
-	s.begin(resp)
-	if s.events == 0 {
+	s.grant.endPrefill()
+	s.writeHead(resp)
+	if s.relayed == 0 {
 		s.g.opts.Metrics.FirstEvent(s.rank, time.Since(s.arrival))
 	}
 	if _, err := s.writer.Write(ev.data); err != nil {
-		return true, forward.Lost, errors.Join(errCaller, err)
+		return true, forward.Lost, errors.Join(errClientWrite, err)
 	}
-	s.g.crashes.sign(s.grant.path()[0].ID)
+	s.g.crashes.markResponsive(s.grant.path()[0].ID)
 	s.writer.(http.Flusher).Flush()
 	if ev.id >= 0 {
-		s.last = ev.id
+		s.lastEventID = ev.id
 	}
 	now := time.Now()
-	if s.events > 0 {
-		s.longest = max(s.longest, now.Sub(s.lastAt))
+	if s.relayed > 0 {
+		s.longestGap = max(s.longestGap, now.Sub(s.lastProgress))
 	}
-	s.events++
-	s.lastAt, s.lastEvent = now, now
-	if s.runFirstAt.IsZero() {
-		s.runFirstAt = now
+	s.relayed++
+	s.lastProgress, s.lastSent = now, now
+	if s.runFirstEvent.IsZero() {
+		s.runFirstEvent = now
 	}
 	return false, 0, nil
 }
 
-// zonesOf lists the zones of a path, each as often as the path enters it.
+// zonesOf lists the zones of a path in order; a zone is repeated each time the path enters
+// it.
 func zonesOf(p pipeline.Path) string {
 	var out []string
 	for i, h := range p {
@@ -380,12 +390,12 @@
 	return strings.Join(out, " ")
 }
 
-// begin sends the head of the first run's answer.
-func (s *stream) begin(resp *exchange.Response) {
-	if s.begun {
+// writeHead sends the response head to the client unless an earlier run did.
+func (s *stream) writeHead(resp *exchange.Response) {
+	if s.headSent {
 		return
 	}
-	s.begun = true
+	s.headSent = true
 	h := s.writer.Header()
 	for k, v := range s.g.opts.Codec.ToCaller(resp.Header) {
 		h[k] = v
--- a/node/gateway/modelpool.go
+++ b/node/gateway/modelpool.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// reportAge is how old a report may be that several streams share.
-	reportAge = 150 * time.Millisecond
-	// grantInterval is how often waiting requests are looked at without an event.
+	// maxReportAge is the maximum age of a report that several streams share.
+	maxReportAge = 150 * time.Millisecond
+	// grantInterval is how often waiting requests are granted paths when no other event
+	// triggers it.
 	grantInterval = 100 * time.Millisecond
-	// rejectedBlock keeps new paths off a part that is full; requests end there all the
-	// time.
+	// rejectedBlock is how long new paths avoid a stage that is full; it is short because
+	// requests end there all the time.
 	rejectedBlock = 300 * time.Millisecond
 )
 
-// modelPool holds the replicas of one model service, their load, and the requests
-// that wait for room. It is safe for concurrent use.
+// modelPool holds the replicas of one model service, their load, and the requests that
+// wait for capacity. It is safe for concurrent use.
 type modelPool struct {
 	name    string
 	control ReplicaControl
 	log     *zap.Logger
 
-	mu    sync.Mutex
-	fleet *pipeline.Fleet
-	born  map[string]int64
-	// listed holds the replicas that may get new work, those without layers too.
+	mu         sync.Mutex
+	fleet      *pipeline.Fleet
+	startTimes map[string]int64
+	// listed contains the replicas that may get new work, including those without layers.
 	listed     map[string]bool
 	waiting    waitlist.List
 	waiters    map[*waitlist.Item]*waiter
@@ -51,60 +52,62 @@
 	granted chan *grant
 }
 
-// grant is a path with its load reserved.
+// grant is a path on which load is reserved for a request.
 type grant struct {
-	pool    *modelPool
-	demand  pipeline.Demand
-	choice  pipeline.Choice
-	reading bool
-	ended   bool
-	// entered are the parts that the request was last sent to, at enteredAt. A part
-	// that leaves goes on with what it has, so that only these show that it takes new
-	// requests.
-	entered   []string
-	enteredAt time.Time
+	pool       *modelPool
+	demand     pipeline.Demand
+	choice     pipeline.Choice
+	prefilling bool
+	ended      bool
+	// newStages lists the stages to which the request was last sent, at sentAt. A stage
+	// that shuts down finishes its earlier requests, so only an event after sentAt shows
+	// that these stages accept new ones.
+	newStages []string
+	sentAt    time.Time
 }
 
+// sharedReport is a request for a replica's report; done is closed when report and err are set.
 type sharedReport struct {
-	at     time.Time
-	done   chan struct{}
-	report Report
-	err    error
+	requestedAt time.Time
+	done        chan struct{}
+	report      Report
+	err         error
 }
 
 func newModelPool(s *routing.Service, control ReplicaControl, log *zap.Logger) *modelPool {
 	fleet := pipeline.NewFleet(s.Model)
 	fleet.ExpectOrphans(time.Now())
 	return &modelPool{
-		name:    s.Name,
-		control: control,
-		log:     log.With(zap.String("service", s.Name)),
-		fleet:   fleet,
-		born:    map[string]int64{},
-		waiters: map[*waitlist.Item]*waiter{},
-		reports: map[string]*sharedReport{},
+		name:       s.Name,
+		control:    control,
+		log:        log.With(zap.String("service", s.Name)),
+		fleet:      fleet,
+		startTimes: map[string]int64{},
+		waiters:    map[*waitlist.Item]*waiter{},
+		reports:    map[string]*sharedReport{},
 
 		rejections: pipeline.NewRejections(),
 		pauses:     pause.New(),
 	}
 }
 
-// share tells with whom the replicas are shared.
-func (p *modelPool) share(s pipeline.Sharing) {
+// setSharing sets between how many instances the replicas are shared.
+func (p *modelPool) setSharing(s pipeline.Sharing) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fleet.SetSharing(s)
 }
 
-// setModel puts changed figures of the model in force.
+// setModel applies changed parameters of the model.
 func (p *modelPool) setModel(m *pipeline.Model) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fleet.SetModel(m)
 }
 
-// set replaces the list of usable replicas.
-func (p *modelPool) set(entries []roster.Entry) {
+// setReplicas replaces the list of usable replicas. Blocks and counted rejections of a
+// replica are cleared when its process changes, rejections also when its layers do.
+func (p *modelPool) setReplicas(entries []roster.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []pipeline.Replica
@@ -122,80 +125,83 @@
 		if known && (was.From != e.Layers.From || was.To != e.Layers.To) {
 			p.rejections.Forget(e.ID)
 		}
-		if was, ok := p.born[e.ID]; ok && was != e.Born {
+		if was, ok := p.startTimes[e.ID]; ok && was != e.Born {
 			p.fleet.Unblock(e.ID)
 			p.rejections.Forget(e.ID)
 		}
-		p.born[e.ID] = e.Born
+		p.startTimes[e.ID] = e.Born
 	}
 	now := time.Now()
 	p.fleet.Set(now, list)
-	p.keepPauses(now)
+	p.restorePauses(now)
 	p.grantWaiting(now)
 }
 
-// covered tells whether a path through all layers exists.
+// covered reports whether a path through all layers exists.
 func (p *modelPool) covered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fleet.Covered(time.Now())
 }
 
+// reserve reserves the load of a request on the chosen path. The lock is held.
 func (p *modelPool) reserve(choice pipeline.Choice, d pipeline.Demand) *grant {
 	p.fleet.Reserve(time.Now(), choice.Path, d)
 	p.fleet.Reading(choice.Path, d, 1)
-	g := &grant{pool: p, demand: d, choice: choice, reading: true, enteredAt: time.Now()}
+	g := &grant{pool: p, demand: d, choice: choice, prefilling: true, sentAt: time.Now()}
 	for _, h := range choice.Path {
-		g.entered = append(g.entered, h.ID)
+		g.newStages = append(g.newStages, h.ID)
 	}
 	return g
 }
 
-// tick looks at the waiting requests.
-func (p *modelPool) tick() {
+// grantNow grants paths to waiting requests.
+func (p *modelPool) grantNow() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grantWaiting(time.Now())
 }
 
-// firstToken tells that the prompt was read; later tokens change nothing.
-func (g *grant) firstToken() {
+// endPrefill records the end of prefill at the first event; later calls have no effect.
+func (g *grant) endPrefill() {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	if !g.reading {
+	if !g.prefilling {
 		return
 	}
 	g.pool.fleet.Reading(g.choice.Path, g.demand, -1)
-	g.reading = false
-	for _, id := range g.entered {
-		g.pool.rejections.Took(id, g.enteredAt)
+	g.prefilling = false
+	for _, id := range g.newStages {
+		g.pool.rejections.Took(id, g.sentAt)
 	}
 }
 
-// release gives the room back.
+// release ends the grant and frees the reserved load.
 func (g *grant) release() {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	g.free()
+	g.releaseLoad()
 	g.pool.grantWaiting(time.Now())
 }
 
-func (g *grant) free() {
+// releaseLoad frees the reserved load once. The lock of the pool is held.
+func (g *grant) releaseLoad() {
 	if g.ended {
 		return
 	}
 	g.ended = true
-	if g.reading {
+	if g.prefilling {
 		g.pool.fleet.Reading(g.choice.Path, g.demand, -1)
 	}
 	g.pool.fleet.Release(g.choice.Path, g.demand)
 }
 
-// path returns the present path.
+// path returns the current path.
 func (g *grant) path() pipeline.Path { return g.choice.Path }
 
-// move chooses another path with the same first part, or returns false.
-func (g *grant) move(avoid map[string]bool) (pipeline.Choice, bool) {
+// alternative chooses another path with the same first stage; it returns false if there is
+// none.
+func (g *grant) alternative(avoid map[string]bool) (pipeline.Choice, bool) {
 	p := g.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,57 +210,58 @@
 	if c, ok := p.fleet.Choose(time.Now(), g.demand, limit); ok {
 		return c, true
 	}
-	// The part that takes over may have room still: what is reserved is an estimate.
+	// The stage that takes over may have free capacity nevertheless, as reserved load is
+	// an estimate.
 	limit.IgnoreRoom = true
 	return p.fleet.Choose(time.Now(), g.demand, limit)
 }
 
-// confirm replaces the path by the chosen one.
-func (g *grant) confirm(c pipeline.Choice) {
+// switchPath replaces the path by the chosen one.
+func (g *grant) switchPath(c pipeline.Choice) {
 	p := g.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fleet.Reserve(time.Now(), c.Path, g.demand)
-	if g.reading {
+	if g.prefilling {
 		p.fleet.Reading(g.choice.Path, g.demand, -1)
 	}
-	// The parts that are new read all tokens; the next event ends that.
+	// The new stages prefill all tokens; the next event ends that.
 	p.fleet.Reading(c.Path, g.demand, 1)
-	g.reading = true
-	g.entered, g.enteredAt = g.entered[:0], time.Now()
+	g.prefilling = true
+	g.newStages, g.sentAt = g.newStages[:0], time.Now()
 	for _, h := range c.Path {
 		if !g.choice.Path.Uses(h.ID) {
-			g.entered = append(g.entered, h.ID)
+			g.newStages = append(g.newStages, h.ID)
 		}
 	}
 	p.fleet.Release(g.choice.Path, g.demand)
 	g.choice = c
 }
 
-// block takes a replica out of use for a while. It returns whether it was out of
-// use already.
-func (p *modelPool) block(id string, d time.Duration, why string) bool {
+// block keeps new paths away from a replica for a while. It reports whether it was blocked
+// already.
+func (p *modelPool) block(id string, d time.Duration, reason string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	was := p.fleet.Blocked(id, now)
-	if !was {
-		p.log.Info("replica taken out of use", zap.String("replica", id), zap.String("why", why), zap.Duration("for", d))
+	blocked := p.fleet.Blocked(id, now)
+	if !blocked {
+		p.log.Info("replica blocked", zap.String("replica", id), zap.String("why", reason), zap.Duration("for", d))
 	}
 	p.fleet.Block(id, now.Add(d))
-	return was
+	return blocked
 }
 
-// state returns what is known of a replica, for logs.
+// state returns the load and layers of a replica for log lines.
 func (p *modelPool) state(id string) pipeline.State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fleet.State(id)
 }
 
-// rejected takes a part that rejected a request out of new paths. If it did so at once
-// though it has room, the time grows, and the number of times in a row is returned;
-// otherwise 0.
+// rejected blocks a stage that rejected a request. If the rejection came at once although
+// the stage has free capacity, the block time grows with each one in a row, and their
+// number is returned; otherwise 0.
 func (p *modelPool) rejected(id string, atOnce bool) int {
 	if !atOnce {
 		p.block(id, rejectedBlock, "full")
@@ -267,9 +274,8 @@
 	return count
 }
 
-// toldRejected takes a part out of new paths that rejected a request of another
-// instance.
-func (p *modelPool) toldRejected(id string, count int) {
+// rejectedElsewhere blocks a stage that rejected a request of another instance.
+func (p *modelPool) rejectedElsewhere(id string, count int) {
 	p.mu.Lock()
 	_, known := p.fleet.Replica(id)
 	var d time.Duration
@@ -289,12 +295,11 @@
 	return p.fleet.IDAt(address)
 }
 
-// report asks a replica for its state; callers at about the same time share one
-// question.
+// report requests the state of a replica. Calls at about the same time share one request.
 func (p *modelPool) report(ctx context.Context, r Replica) (Report, error) {
 	p.mu.Lock()
 	s := p.reports[r.ID]
-	if s != nil && time.Since(s.at) < reportAge {
+	if s != nil && time.Since(s.requestedAt) < maxReportAge {
 		p.mu.Unlock()
 		select {
 		case <-s.done:
@@ -303,7 +308,7 @@
 			return Report{}, ctx.Err()
 		}
 	}
-	s = &sharedReport{at: time.Now(), done: make(chan struct{})}
+	s = &sharedReport{requestedAt: time.Now(), done: make(chan struct{})}
 	p.reports[r.ID] = s
 	p.mu.Unlock()
 	s.report, s.err = p.control.Report(context.WithoutCancel(ctx), r)
@@ -320,7 +325,7 @@
 	}
 }
 
-// observe takes what a replica reported of itself.
+// observe records the state that a replica reported.
 func (p *modelPool) observe(id string, o pipeline.Observed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/gateway/modelpool_test.go
+++ b/node/gateway/modelpool_test.go
@@ -16,7 +16,7 @@
 	"masticbank.example/core/waitlist"
 )
 
-// newPool returns a pool whose first half of the layers "a" holds; "b" and "c" hold
+// newPool returns a pool in which "a" holds the first half of the layers, and "b" and "c"
 // the second half.
 func newPool() *modelPool {
 	m := &pipeline.Model{
@@ -27,11 +27,11 @@
 	entry := func(id string, from, to int) roster.Entry {
 		return roster.Entry{ID: id, Service: "s", Address: id, Zone: "z", Kind: "k", Born: 1, Layers: &roster.Layers{From: from, To: to}}
 	}
-	p.set([]roster.Entry{entry("a", 0, 2), entry("b", 2, 4), entry("c", 2, 4)})
+	p.setReplicas([]roster.Entry{entry("a", 0, 2), entry("b", 2, 4), entry("c", 2, 4)})
 	return p
 }
 
-func (p *modelPool) take(avoid ...string) *grant {
+func (p *modelPool) acquireAvoiding(avoid ...string) *grant {
 	limit := pipeline.Constraint{Avoid: map[string]bool{}}
 	for _, id := range avoid {
 		limit.Avoid[id] = true
@@ -40,49 +40,48 @@
 	return p.acquire(context.Background(), it, pipeline.Demand{Prompt: 100, Output: 100}, limit)
 }
 
-// TestLeavingPartIsNotAskedAgainAndAgain has a part that leaves: it goes on with the
-// streams that it has and rejects new ones. The events of the old streams must not
-// shorten the time for which new ones keep off it.
-func TestLeavingPartIsNotAskedAgainAndAgain(t *testing.T) {
+// A stage that shuts down finishes its streams and rejects new requests. Events of the old
+// streams must not shorten the time for which new requests avoid it.
+func TestLeavingStageIsNotRetriedRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
-		old := p.take("c")
-		old.firstToken()
+		old := p.acquireAvoiding("c")
+		old.endPrefill()
 		rejected := 0
 		for start := time.Now(); time.Since(start) < 6*time.Second; time.Sleep(10 * time.Millisecond) {
-			old.firstToken()
+			old.endPrefill()
 			if !p.fleet.Blocked("b", time.Now()) {
-				g := p.take("c")
+				g := p.acquireAvoiding("c")
 				rejected = p.rejected("b", true)
 				g.release()
 			}
 		}
-		require.LessOrEqual(t, rejected, 7, "after 0, 0.3, 0.9, 2.1 seconds, then each 1.2")
+		require.LessOrEqual(t, rejected, 7, "after 0, 0.3, 0.9 and 2.1 seconds, then every 1.2")
 		old.release()
 	})
 }
 
-// TestPartThatServesAgainIsTrusted ends the doubling with the first request that the
-// part takes, not with one that it took before.
-func TestPartThatServesAgainIsTrusted(t *testing.T) {
+// The block time stops doubling with the first request that the stage accepts after a
+// rejection, not with an event of a request that it accepted before.
+func TestAcceptedRequestResetsRejections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
-		before := p.take("c")
+		before := p.acquireAvoiding("c")
 		time.Sleep(time.Millisecond)
 		require.Equal(t, 1, p.rejected("b", true))
-		before.firstToken()
+		before.endPrefill()
 		require.Equal(t, 2, p.rejected("b", true))
 		time.Sleep(2 * time.Second)
-		after := p.take("c")
-		after.firstToken()
+		after := p.acquireAvoiding("c")
+		after.endPrefill()
 		require.Equal(t, 1, p.rejected("b", true))
 		before.release()
 		after.release()
 	})
 }
 
-// TestFullPartIsTriedSoonAgain does not lengthen the time for a part that is full.
-func TestFullPartIsTriedSoonAgain(t *testing.T) {
+// Rejections by a full stage do not lengthen its block time.
+func TestFullStageIsRetriedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
 		for range 5 {
@@ -93,26 +92,25 @@
 	})
 }
 
-// TestPartThatRejectedAnotherInstanceIsLeftOut needs no rejection of its own.
-func TestPartThatRejectedAnotherInstanceIsLeftOut(t *testing.T) {
+// A stage that rejected a request of another instance is blocked without a rejection here.
+func TestStageThatRejectedAnotherInstanceIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
-		p.toldRejected("b", 1)
-		p.toldRejected("unknown", 1)
+		p.rejectedElsewhere("b", 1)
+		p.rejectedElsewhere("unknown", 1)
 		require.True(t, p.fleet.Blocked("b", time.Now()))
-		require.Equal(t, "c", p.take().path()[1].ID)
+		require.Equal(t, "c", p.acquireAvoiding().path()[1].ID)
 	})
 }
 
-// TestInstancesDoNotConfirmEachOther has two instances that both found a part
-// rejecting and told each other. What they were told must not be told again, or the
-// part would stay out of use for good.
-func TestInstancesDoNotConfirmEachOther(t *testing.T) {
+// Two instances are rejected by the same stage and report it to each other. A received
+// report must not be sent again, or the stage would stay blocked for ever.
+func TestReceivedRejectionsAreNotReportedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two := newPool(), newPool()
 		for range 2 {
-			two.toldRejected("b", one.rejected("b", true))
-			one.toldRejected("b", two.rejected("b", true))
+			two.rejectedElsewhere("b", one.rejected("b", true))
+			one.rejectedElsewhere("b", two.rejected("b", true))
 		}
 		time.Sleep(3 * time.Second)
 		require.False(t, one.fleet.Blocked("b", time.Now()))
@@ -121,36 +119,37 @@
 }
 
 // A replica that crashed is listed again, without layers, before a stream through it is
-// found lost; one that leaves is not listed.
-func TestReplicasThatRestartedEmptyAreStillParts(t *testing.T) {
+// found lost, and still counts as a stage of the run. Only one that shut down is missing
+// from the list.
+func TestRestartedReplicasStillCountAsStages(t *testing.T) {
 	p := newPool()
-	g := p.take("c")
-	p.set([]roster.Entry{{ID: "a", Service: "s", Born: 2}})
-	require.Equal(t, []poison.Incarnation{{Replica: "a", Born: 1}}, p.partsOf(g.path()))
+	g := p.acquireAvoiding("c")
+	p.setReplicas([]roster.Entry{{ID: "a", Service: "s", Born: 2}})
+	require.Equal(t, []poison.Incarnation{{Replica: "a", Born: 1}}, p.listedProcesses(g.path()))
 }
 
-// TestWaiterThatAvoidsReplicasHoldsBackNobody has a request that is sent again wait for a
-// replica that it does not avoid, and one behind it that may use them all.
-func TestWaiterThatAvoidsReplicasHoldsBackNobody(t *testing.T) {
+// A retried request waits for a replica that it does not avoid; a request behind it that
+// may use all replicas is granted a path meanwhile.
+func TestWaiterWithExclusionsIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
 		p.block("c", time.Minute, "test")
 		first := make(chan *grant, 1)
-		go func() { first <- p.take("b") }()
+		go func() { first <- p.acquireAvoiding("b") }()
 		synctest.Wait()
-		second := p.take()
-		require.NotNil(t, second, "granted though another one waits")
+		second := p.acquireAvoiding()
+		require.NotNil(t, second, "granted although another request waits")
 		second.release()
 		require.Nil(t, <-first)
 	})
 }
 
-// TestLargeWaiterIsNotOvertaken has a request that is too large for the memory that is free
-// at present: one behind it that would fit does not take what becomes free.
+// A request too large for the free memory waits. A smaller one behind it must not take the
+// memory that becomes free.
 func TestLargeWaiterIsNotOvertaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
-		p.fleet.Model().Slots = 0 // memory is to bind
+		p.fleet.Model().Slots = 0 // so that memory is the limit
 		p.block("c", time.Minute, "test")
 		ask := func(prompt float64) <-chan *grant {
 			out := make(chan *grant, 1)
@@ -172,7 +171,7 @@
 		held[0].release()
 		synctest.Wait()
 		require.Empty(t, first)
-		require.Empty(t, second, "the memory is kept for the one that came first")
+		require.Empty(t, second, "memory is kept for the request that arrived first")
 		held[1].release()
 		synctest.Wait()
 		require.Len(t, first, 1)
--- a/node/gateway/plain.go
+++ b/node/gateway/plain.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// firstTryShare is the part of the time left that the first replica of a
-	// repeatable request gets before another one is asked.
-	firstTryShare = 0.4
-	// plainRetryAfter is told when all replicas of a plain service are full; their
-	// calls take some ten milliseconds.
+	// firstAttemptShare is the fraction of the remaining time that the first replica gets for
+	// a repeatable request before another one is tried.
+	firstAttemptShare = 0.4
+	// plainRetryAfter is the Retry-After when all replicas of a plain service are full.
+	// Their requests take some tens of milliseconds.
 	plainRetryAfter = 100 * time.Millisecond
 )
 
-// plainAnswer is a whole answer of a replica.
-type plainAnswer struct {
+// plainResponse is a complete response of a replica.
+type plainResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// servePlain forwards a request whose answer is short. The answer is passed on
-// when it is complete.
+// servePlain forwards a request with a short response, which is relayed once it is
+// complete.
 func (g *Gateway) servePlain(ctx context.Context, c *call) {
 	pool := g.plain(c.service.Name)
 	g.countFirst(c.service.Name)
 	h := forward.History{Repeatable: c.route.Kind == routing.Idempotent, MaxRuns: c.route.MaxAttempts}
 	tried := map[string]bool{}
 	for {
-		replica, ok := pool.pick(time.Now(), tried)
+		replica, ok := pool.selectReplica(time.Now(), tried)
 		if !ok {
 			g.endWithoutReplica(ctx, c, pool, &h, len(tried))
 			return
@@ -56,8 +56,8 @@
 		if outcome != forward.Answered {
 			g.log.Info("attempt failed", zap.String("request", c.ID), zap.String("replica", replica.ID),
 				zap.Stringer("outcome", outcome), zap.Stringer("next", next), zap.Int("sends", h.Sends),
-				zap.Duration("left", c.left(time.Now())),
-				zap.Stringer("fingerprint", c.fingerprint), zap.String("denied", c.denied), zap.Error(err))
+				zap.Duration("left", c.remaining(time.Now())),
+				zap.Stringer("fingerprint", c.fingerprint), zap.String("denied", c.denialReason), zap.Error(err))
 		}
 		switch next {
 		case forward.Retry:
@@ -73,116 +73,121 @@
 	}
 }
 
-// endWithoutReplica answers a request for which no replica is left.
+// endWithoutReplica sends the error response when no replica is left to try.
 func (g *Gateway) endWithoutReplica(ctx context.Context, c *call, pool *plainPool, h *forward.History, tried int) {
 	switch {
 	case h.MayHaveRun():
 		g.giveUp(ctx, c)
 	case pool.paused(time.Now()) > 0:
-		g.refuse(c, http.StatusServiceUnavailable, outcomePaused, pool.paused(time.Now()))
+		g.sendRefusal(c, http.StatusServiceUnavailable, outcomeReplicasPaused, pool.paused(time.Now()))
 	case tried > 0:
-		g.refuse(c, http.StatusServiceUnavailable, "rejected_everywhere", plainRetryAfter)
+		g.sendRefusal(c, http.StatusServiceUnavailable, "rejected_everywhere", plainRetryAfter)
 	default:
-		g.refuse(c, http.StatusServiceUnavailable, "no_replica", noReplicaRetry)
+		g.sendRefusal(c, http.StatusServiceUnavailable, "no_replica", noReplicaRetryAfter)
 	}
 }
 
-// giveUp answers a request that may have run.
+// giveUp ends a request that may have run, with an error response if the client is still
+// connected.
 func (g *Gateway) giveUp(ctx context.Context, c *call) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		g.finish(c, statusCallerLeft, "caller_left")
+		g.logEnd(c, statusClientClosed, "caller_left")
 		return
 	}
 	if ctx.Err() != nil {
-		g.refuse(c, http.StatusGatewayTimeout, "deadline_"+c.late, 0)
+		g.sendRefusal(c, http.StatusGatewayTimeout, "deadline_"+c.deadlineSource, 0)
 		return
 	}
-	g.refuse(c, http.StatusBadGateway, "answer_lost", 0)
+	g.sendRefusal(c, http.StatusBadGateway, "answer_lost", 0)
 }
 
-// statusCallerLeft is logged for callers that closed their connection.
-const statusCallerLeft = 499
+// statusClientClosed is the logged status for clients that closed their connection.
+const statusClientClosed = 499
 
-// sendPlain sends the request to one replica and reads the whole answer.
-func (g *Gateway) sendPlain(ctx context.Context, c *call, pool *plainPool, replica Replica, h *forward.History) (forward.Outcome, *plainAnswer, error) {
+// sendPlain sends the request to one replica and reads the whole response. It records the
+// result for the replica's load, its health and the detection of crashes.
+func (g *Gateway) sendPlain(ctx context.Context, c *call, pool *plainPool, replica Replica, h *forward.History) (forward.Outcome, *plainResponse, error) {
 	now := time.Now()
 	if h.Repeatable && h.Runs+1 < h.MaxRuns {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(float64(c.left(now))*firstTryShare))
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(float64(c.remaining(now))*firstAttemptShare))
 		defer cancel()
 	}
-	pool.begin(replica.ID)
-	began := time.Now()
+	pool.recordSend(replica.ID)
+	sent := time.Now()
 	outcome, answer, err := g.exchangePlain(ctx, c, replica, !h.Repeatable, pool)
 	switch {
 	case outcome == forward.Answered && answer.status < http.StatusMultipleChoices:
-		g.crashes.succeeded(c.fingerprint)
+		g.crashes.recordSuccess(c.fingerprint)
 	case outcome == forward.Lost && mayBeCrash(err) && !errors.Is(c.http.Context().Err(), context.Canceled) && pool.listed(replica):
-		r := g.crashes.process(poison.Incarnation{Replica: replica.ID, Born: replica.Born}, began)
-		g.crashes.lost(c, []poison.Incarnation{r}, began, false)
-		g.crashes.check(r, replica.Address)
+		r := g.crashes.process(poison.Incarnation{Replica: replica.ID, Born: replica.Born}, sent)
+		g.crashes.recordLostRun(c, []poison.Incarnation{r}, sent, false)
+		g.crashes.scheduleCheck(r, replica.Address)
 	}
-	pool.end(time.Now(), replica.ID, outcome, time.Since(now))
+	pool.recordOutcome(time.Now(), replica.ID, outcome, time.Since(now))
 	return outcome, answer, err
 }
 
 var (
-	errOtherRequest = errors.New("the answer belongs to another request")
-	errUnsigned     = errors.New("the answer is not signed by a replica")
+	errResponseMismatch = errors.New("the response belongs to another request")
+	errUnsignedResponse = errors.New("the response is not signed by a replica")
 )
 
-// unsigned tells whether an answer claims success without the signature that every
-// replica gives with what it ran.
-func unsigned(status int, a Answer) bool {
+// lacksSignature reports whether a response claims success without the signature that every
+// replica adds when it ran the request.
+func lacksSignature(status int, a Answer) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices && !a.Signed
 }
 
-func (g *Gateway) exchangePlain(ctx context.Context, c *call, replica Replica, fresh bool, pool *plainPool) (forward.Outcome, *plainAnswer, error) {
-	resp, err := g.opts.Client.Do(ctx, replica.Address, g.request(c, Send{Replica: replica.ID, Rank: -1}, fresh))
+// exchangePlain sends the request, reads the response and classifies the outcome.
+func (g *Gateway) exchangePlain(ctx context.Context, c *call, replica Replica, fresh bool, pool *plainPool) (forward.Outcome, *plainResponse, error) {
+	resp, err := g.opts.Client.Do(ctx, replica.Address, g.newRequest(c, Send{Replica: replica.ID, Rank: -1}, fresh))
 	if err != nil {
 		return outcomeOf(err), nil, err
 	}
 	defer resp.Close()
-	g.crashes.sign(replica.ID)
+	g.crashes.markResponsive(replica.ID)
 	info := g.opts.Codec.Answer(resp.Status, resp.Header)
 	if info.ID != c.ID {
 		resp.Discard()
-		return forward.Lost, nil, errOtherRequest
+		return forward.Lost, nil, errResponseMismatch
 	}
-	pool.loaded(replica.ID, info)
-	g.noteAnswer(replica, info)
+	pool.recordLoad(replica.ID, info)
+	g.reportIfLeaving(replica, info)
 	if info.Pause > 0 {
 		g.logPause(c.ID, replica.ID, info.Pause, pool.pause(replica, info.Pause))
 	}
 	if info.NotRun {
-		drain(resp)
+		drainBody(resp)
 		return forward.Rejected, nil, nil
 	}
-	body, err := c.hold.ReadAll(resp.Body, maxAnswerBytes)
+	body, err := c.memory.ReadAll(resp.Body, maxResponseBytes)
 	if err != nil {
 		return forward.Lost, nil, err
 	}
-	if unsigned(resp.Status, info) {
+	if lacksSignature(resp.Status, info) {
 		resp.Discard()
-		return forward.Lost, nil, errUnsigned
+		return forward.Lost, nil, errUnsignedResponse
 	}
-	answer := &plainAnswer{status: resp.Status, header: resp.Header, body: body}
+	answer := &plainResponse{status: resp.Status, header: resp.Header, body: body}
 	if resp.Status >= http.StatusInternalServerError {
 		return forward.Failed, answer, nil
 	}
 	return forward.Answered, answer, nil
 }
 
-// drain reads the rest of a short answer, so that its connection can be used again. The
+// drainBody reads the rest of a short response so that its connection can be reused. The
 // connection of a longer one is closed.
-func drain(resp *exchange.Response) {
-	// An error leaves the connection unusable, which Close sees.
+func drainBody(resp *exchange.Response) {
+	// After an error the connection can't be reused; Close detects that.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrainBytes))
 }
 
-// maxDrainBytes bounds what is read of a rejection.
+// maxDrainBytes limits how much of a rejection's body is read.
 const maxDrainBytes = 64 << 10
 
+// outcomeOf classifies an error of sending a request: Unsent if it certainly did not reach the
+// replica, else Lost.
 func outcomeOf(err error) forward.Outcome {
 	var ee *exchange.Error
 	if errors.As(err, &ee) && !ee.Sent {
@@ -191,8 +196,8 @@
 	return forward.Lost
 }
 
-// deliver passes a whole answer on.
-func (g *Gateway) deliver(c *call, a *plainAnswer) {
+// deliver sends a complete response of a replica to the client.
+func (g *Gateway) deliver(c *call, a *plainResponse) {
 	h := c.writer.Header()
 	for k, v := range g.opts.Codec.ToCaller(a.header) {
 		h[k] = v
@@ -200,5 +205,5 @@
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	c.writer.WriteHeader(a.status)
 	_, err := c.writer.Write(a.body)
-	g.finish(c, a.status, "delivered", zap.Error(err))
+	g.logEnd(c, a.status, "delivered", zap.Error(err))
 }
--- a/node/gateway/plainpool.go
+++ b/node/gateway/plainpool.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// ejectTime is the first time out of use of a replica that fails; it doubles
-	// with each failure in a row up to maxEjectTime.
-	ejectTime    = 300 * time.Millisecond
-	maxEjectTime = 3 * time.Second
-	// ejectAfter is the number of failures in a row that take a replica out of use.
-	ejectAfter = 2
-	// loadAge is how long the load that a replica states counts.
-	loadAge = 500 * time.Millisecond
+	// An ejection lasts baseEjection, doubled for each failure in a row, up to maxEjection.
+	baseEjection = 300 * time.Millisecond
+	maxEjection  = 3 * time.Second
+	// ejectionThreshold is the number of failures in a row after which a replica is ejected. A
+	// request that could not be sent ejects it at once.
+	ejectionThreshold = 2
+	// maxLoadAge is how long the load that a replica reported is used.
+	maxLoadAge = 500 * time.Millisecond
 )
 
-// plainPool chooses among the replicas of a plain service: the one with the
-// least work, by the calls of this instance and by what the replica last stated.
-// It is safe for concurrent use.
+// plainPool selects replicas of a plain service by least expected work, from the requests
+// of this instance and the load that each replica last reported. It is safe for concurrent
+// use.
 type plainPool struct {
 	mu       sync.Mutex
 	zone     string
@@ -37,21 +37,22 @@
 	zone     string
 	slots    int
 	inFlight int
-	// stated is the load that the replica told at statedAt.
-	stated   int
-	statedAt time.Time
-	failures int
-	outUntil time.Time
-	// typical is a moving mean of the time of answers.
-	typical time.Duration
+	// reportedLoad is the load that the replica reported at statedAt.
+	reportedLoad int
+	reportedAt   time.Time
+	failures     int
+	ejectedUntil time.Time
+	// meanDuration is an exponential moving average of the response time.
+	meanDuration time.Duration
 }
 
 func newPlainPool(zone string) *plainPool {
 	return &plainPool{zone: zone, replicas: map[string]*plainReplica{}, pauses: pause.New()}
 }
 
-// set replaces the list of replicas.
-func (p *plainPool) set(entries []roster.Entry) {
+// setReplicas replaces the list of replicas. The state of those that keep their address
+// stays.
+func (p *plainPool) setReplicas(entries []roster.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	next := make(map[string]*plainReplica, len(entries))
@@ -68,15 +69,15 @@
 	p.pauses.Prune(time.Now())
 }
 
-// pause keeps requests off a replica that asked for it, and returns until when.
+// pause keeps requests away from a replica that asked for a pause, and returns its end.
 func (p *plainPool) pause(r Replica, d time.Duration) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pauses.Add(time.Now(), r.ID, r.Born, d, rand.Float64())
 }
 
-// paused returns the time until the first replica takes requests again if all of them
-// asked for a pause, else 0.
+// paused returns the time until the first pause ends if all replicas asked for one, else
+// 0.
 func (p *plainPool) paused(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,9 +94,9 @@
 	return least
 }
 
-// pick returns the replica with the least work that was not tried and has not asked for
-// a pause. Replicas that fail are used only when no other one is left.
-func (p *plainPool) pick(now time.Time, tried map[string]bool) (Replica, bool) {
+// selectReplica returns the replica with the least work among those that were neither tried nor
+// asked for a pause. Ejected replicas are used only if no other is left.
+func (p *plainPool) selectReplica(now time.Time, tried map[string]bool) (Replica, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []*plainReplica
@@ -107,15 +108,16 @@
 	if len(list) == 0 {
 		return Replica{}, false
 	}
-	sort.Slice(list, func(i, j int) bool { return p.better(now, list[i], list[j]) })
+	sort.Slice(list, func(i, j int) bool { return p.less(now, list[i], list[j]) })
 	return list[0].Replica, true
 }
 
-func (p *plainPool) better(now time.Time, a, b *plainReplica) bool {
-	if outA, outB := now.Before(a.outUntil), now.Before(b.outUntil); outA != outB {
+// less orders replicas: not ejected first, then least work, then the zone of this instance.
+func (p *plainPool) less(now time.Time, a, b *plainReplica) bool {
+	if outA, outB := now.Before(a.ejectedUntil), now.Before(b.ejectedUntil); outA != outB {
 		return outB
 	}
-	if la, lb := a.work(now), b.work(now); la != lb {
+	if la, lb := a.expectedTime(now), b.expectedTime(now); la != lb {
 		return la < lb
 	}
 	if za, zb := a.zone == p.zone, b.zone == p.zone; za != zb {
@@ -124,26 +126,27 @@
 	return a.ID < b.ID
 }
 
-// work is the expected time behind the calls that are there, in units of the
-// typical answer.
-func (r *plainReplica) work(now time.Time) float64 {
+// expectedTime is the expected time of a new request on the replica: the average response time,
+// multiplied by one plus the number of requests above its slots.
+func (r *plainReplica) expectedTime(now time.Time) float64 {
 	calls := r.inFlight
-	if now.Sub(r.statedAt) < loadAge {
-		calls = max(calls, r.stated)
+	if now.Sub(r.reportedAt) < maxLoadAge {
+		calls = max(calls, r.reportedLoad)
 	}
-	pace := max(r.typical, time.Millisecond).Seconds()
-	over := max(0, calls+1-max(1, r.slots))
-	return pace * float64(1+over)
+	mean := max(r.meanDuration, time.Millisecond).Seconds()
+	queued := max(0, calls+1-max(1, r.slots))
+	return mean * float64(1+queued)
 }
 
-// listed tells whether a replica, or a later process of it, may get new work.
+// listed reports whether the replica, in this or a later process, may get new work.
 func (p *plainPool) listed(r Replica) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.replicas[r.ID] != nil
 }
 
-func (p *plainPool) begin(id string) {
+// recordSend records that a request is sent to the replica.
+func (p *plainPool) recordSend(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.replicas[id]; r != nil {
@@ -151,23 +154,23 @@
 	}
 }
 
-// loaded takes the load that a replica states.
-func (p *plainPool) loaded(id string, a Answer) {
+// recordLoad records the load that a replica reports with a response.
+func (p *plainPool) recordLoad(id string, a Answer) {
 	if !a.HasLoad {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.replicas[id]; r != nil {
-		r.stated, r.statedAt = a.Running+a.Waiting, time.Now()
+		r.reportedLoad, r.reportedAt = a.Running+a.Waiting, time.Now()
 	}
 }
 
-// typicalWeight is the weight of a new answer in the moving mean.
-const typicalWeight = 0.1
+// meanWeight is the weight of a new response in the moving average.
+const meanWeight = 0.1
 
-// end takes the outcome of a call.
-func (p *plainPool) end(now time.Time, id string, o forward.Outcome, took time.Duration) {
+// recordOutcome records the outcome of a request.
+func (p *plainPool) recordOutcome(now time.Time, id string, o forward.Outcome, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.replicas[id]
@@ -178,15 +181,15 @@
 	switch o {
 	case forward.Answered, forward.Failed:
 		r.failures = 0
-		r.outUntil = time.Time{}
-		if r.typical == 0 {
-			r.typical = took
+		r.ejectedUntil = time.Time{}
+		if r.meanDuration == 0 {
+			r.meanDuration = took
 		}
-		r.typical += time.Duration(float64(took-r.typical) * typicalWeight)
+		r.meanDuration += time.Duration(float64(took-r.meanDuration) * meanWeight)
 	case forward.Lost, forward.Unsent:
 		r.failures++
-		if r.failures >= ejectAfter || o == forward.Unsent {
-			r.outUntil = now.Add(min(maxEjectTime, ejectTime<<min(r.failures, 4)))
+		if r.failures >= ejectionThreshold || o == forward.Unsent {
+			r.ejectedUntil = now.Add(min(maxEjection, baseEjection<<min(r.failures, 4)))
 		}
 	case forward.Rejected:
 	}
--- a/node/gateway/port.go
+++ b/node/gateway/port.go
@@ -1,9 +1,9 @@
-// Package gateway serves callers in front of replicas that hold the layers of a
-// model or answer plain calls. It carries out what core decides: it finds the
-// route and the workspace, chooses replicas, forwards requests, passes the events
-// of streams on as they arrive, and repairs streams whose replicas fail.
+// Package gateway serves clients in front of replicas, which run the layers of a model or
+// serve plain calls. It executes the decisions of the core packages: it finds the route
+// and the workspace, selects replicas, forwards requests, relays stream events as they
+// arrive, and moves streams to other replicas when theirs fail.
 //
-// What the system around speaks is translated by a Codec and a ReplicaControl.
+// A Codec and a ReplicaControl translate to and from the platform's protocols.
 package gateway
 
 import (
@@ -14,137 +14,141 @@
 	"masticbank.example/core/pipeline"
 )
 
-// Request is what the headers of a caller's request say.
+// Request is the decoded headers of a client's request.
 type Request struct {
-	// ID is the caller's ID of this attempt.
+	// ID identifies this attempt; the client chooses it.
 	ID string
 	// Key is the API key, or "".
 	Key string
-	// Deadline is how long the caller waits; 0 if it does not say.
+	// Deadline is how long the client waits; 0 if not given.
 	Deadline time.Duration
-	// LastEvent is the ID of the last event that the caller has, or "".
+	// LastEvent is the ID of the last event that the client received, or "".
 	LastEvent string
-	// PromptTokens and MaxOutputTokens are 0 if the caller does not say.
+	// PromptTokens and MaxOutputTokens are 0 if not given.
 	PromptTokens    float64
 	MaxOutputTokens float64
-	// OutputHint is the caller's own estimate of the output, 0 if it has none.
+	// OutputHint is the client's estimate of the number of output tokens; 0 if not given.
 	OutputHint float64
 }
 
-// Send is what the router tells a replica beside the caller's headers.
+// Send is what the router adds to the client's headers when it forwards a request.
 type Send struct {
-	// Replica is the ID of the replica that is meant.
+	// Replica is the ID of the replica that the request is addressed to.
 	Replica string
-	// Workspace owns the key; "" if the route needs none.
+	// Workspace is the workspace of the API key; "" if the route needs no key.
 	Workspace string
-	// Deadline is the time that is left.
+	// Deadline is the remaining time.
 	Deadline time.Duration
-	// LastEvent, if set, is the last event that the caller has received.
+	// LastEvent, if set, is the ID of the last event that the client received.
 	LastEvent string
-	// Path, if set, is the way through the layers.
+	// Path, if set, lists the stages that run the layers of the model.
 	Path pipeline.Path
-	// Rank is 0 for the most urgent; below 0 it is not sent.
+	// Rank is the priority class, 0 being the most urgent; a negative one is not sent.
 	Rank int
 }
 
-// Answer is what the headers of a replica's answer say.
+// Answer is the decoded headers of a replica's response.
 type Answer struct {
-	// ID is the ID of the request that the answer belongs to.
+	// ID is the ID of the request that the response belongs to.
 	ID string
-	// Signed answers come from a replica that ran the request.
+	// Signed is true if the response has the signature of a replica that ran the request.
 	Signed bool
-	// NotRun is the replica's word that the request did not run.
+	// NotRun is true if the replica reports that the request did not run.
 	NotRun bool
-	// FailingPart is the address of the replica at fault on a path, or "".
+	// FailingPart is the address of the replica whose stage of the path failed, or "".
 	FailingPart string
-	// Running and Waiting are counts of requests, if HasLoad.
+	// Running and Waiting are numbers of requests; valid if HasLoad is true.
 	Running, Waiting int
 	HasLoad          bool
-	// Leaving is the word of the replica that answers that it leaves: it wants no new
-	// requests.
+	// Leaving is true if the responding replica shuts down and accepts no new requests.
 	Leaving bool
-	// Pause is how long the replica wants no more requests from this instance; 0 if it
-	// does not say.
+	// Pause is how long this instance is asked to send no requests to the replica; 0 if
+	// not given.
 	Pause time.Duration
 }
 
-// Codec translates headers.
+// Codec translates headers between the platform's protocol and the gateway's types.
 type Codec interface {
-	// Request decodes a caller's request.
+	// Request decodes the headers of a client's request.
 	Request(http.Header) Request
-	// Forward makes the headers for a replica.
+	// Forward returns the headers of a request to a replica.
 	Forward(http.Header, Send) http.Header
-	// Answer decodes a replica's answer.
+	// Answer decodes the headers of a replica's response.
 	Answer(status int, h http.Header) Answer
-	// ToCaller makes the headers of a replica's answer for the caller.
+	// ToCaller returns the headers that the client receives with a replica's response.
 	ToCaller(http.Header) http.Header
-	// Refusal makes the headers of an answer of the router's own.
+	// Refusal returns the headers of a response that the router makes itself.
 	Refusal(id string, retryAfter time.Duration) http.Header
 }
 
-// Replica names a replica and its address.
+// Replica identifies a replica and, if its start time is set, one process of it.
 type Replica struct {
 	ID      string
 	Address string
-	// Born is the start of its process, in Unix milliseconds; 0 where it does not
-	// matter.
+	// Born is the start time of the process in Unix milliseconds; 0 where any process will
+	// do.
 	Born int64
 }
 
-// Report is the state of a replica some hundred milliseconds ago.
+// Report is the state that a replica reported. It is some hundred milliseconds old.
 type Report struct {
-	// CacheUsed and CacheRoom are in tokens times layers.
+	// CacheUsed and CacheRoom are the used and the total KV cache capacity, in tokens
+	// times layers.
 	CacheUsed, CacheRoom float64
-	// Pace over 1 means that the replica is slow.
+	// Pace is the ratio of the replica's step time to the usual one; above 1 it is slow.
 	Pace float64
-	// From and To bound the layers held; both are 0 if the replica holds none.
+	// From and To are the range of layers held; both are 0 if the replica holds none.
 	From, To int
-	// HasLayers is false if the report does not tell.
+	// HasLayers is false if the report does not include From and To.
 	HasLayers bool
-	// Born is the start of the replica's process, in Unix milliseconds; 0 if the report
-	// does not tell.
+	// Born is the start time of the replica's process in Unix milliseconds; 0 if not
+	// reported.
 	Born int64
-	// Leaving replicas want no new requests.
+	// Leaving is true if the replica shuts down and accepts no new requests.
 	Leaving bool
-	// Stalled holds, by request ID, the address of the part that is silent.
+	// Stalled maps the IDs of stalled requests to the address of the stage that does not
+	// respond.
 	Stalled map[string]string
 }
 
-// OrderStatus is what a replica says of an order.
+// OrderStatus is a replica's result for a command: a layer assignment or a path change.
 type OrderStatus int
 
-// Answers to orders.
+// Results of commands.
 const (
-	// OrderTaken orders have begun or are done.
+	// OrderTaken means that execution has begun or is done.
 	OrderTaken OrderStatus = iota
-	// OrderConflict means that the order does not fit the state of the replica.
+	// OrderConflict means that the command does not fit the state of the replica.
 	OrderConflict
-	// OrderFenced means that a higher fencing token was seen.
+	// OrderFenced means that the replica has seen a higher fencing token.
 	OrderFenced
 	// OrderUnknownRequest means that the replica does not run the request.
 	OrderUnknownRequest
-	// OrderOtherReplica means that another replica has the address now.
+	// OrderOtherReplica means that the address now belongs to another replica.
 	OrderOtherReplica
 )
 
-// String returns the name used in logs.
+// String returns the name that logs contain.
 func (s OrderStatus) String() string {
 	return [...]string{"taken", "conflict", "fenced", "unknown_request", "other_replica"}[s]
 }
 
-// OrderResult is the answer to an order.
+// OrderResult is a replica's response to a command.
 type OrderResult struct {
 	Status OrderStatus
-	// Part is the address of the part that was missing or full, or "".
+	// Part is the address of the stage that was missing or full, or "".
 	Part string
-	// Leaving and Pause have the meaning that they have in an Answer.
+	// Leaving and Pause have the same meaning as in the headers of a response.
 	Leaving bool
 	Pause   time.Duration
 }
 
-// ReplicaControl reads the state of replicas and orders them.
+// ReplicaControl reads the state of replicas and sends them commands.
 type ReplicaControl interface {
+	// Report returns the state that the replica reports.
 	Report(ctx context.Context, r Replica) (Report, error)
+	// Place assigns the layers [from, to) to the replica under the fencing token fence.
 	Place(ctx context.Context, r Replica, from, to int, fence int64) (OrderResult, error)
+	// Repath moves a running request, whose first stage is r, to another path.
 	Repath(ctx context.Context, r Replica, requestID string, path pipeline.Path) (OrderResult, error)
 }
--- a/node/gateway/progress_test.go
+++ b/node/gateway/progress_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Only events over a while speak for a request, not the first ones of a run.
+// Only events over progressTime count in favor of a request, not the first ones of a run.
 func TestProgressOfARun(t *testing.T) {
 	start := time.Unix(1000, 0)
 	s := &stream{}
 	s.beginRun(start)
 	require.False(t, s.progressed())
-	s.runFirstAt, s.lastAt = start, start.Add(progressTime-1)
+	s.runFirstEvent, s.lastProgress = start, start.Add(progressTime-1)
 	require.False(t, s.progressed())
-	s.lastAt = start.Add(progressTime)
+	s.lastProgress = start.Add(progressTime)
 	require.True(t, s.progressed())
-	s.beginRun(s.lastAt)
+	s.beginRun(s.lastProgress)
 	require.False(t, s.progressed())
 }
--- a/node/gateway/retries.go
+++ b/node/gateway/retries.go
@@ -9,24 +9,26 @@
 	"masticbank.example/core/retry"
 )
 
-// Reasons for which a request is not retried.
+// Reasons why a retry is denied.
 const (
 	deniedDeadline = "deadline"
 	deniedCrashes  = "crashes"
 	deniedBudget   = "budget"
 )
 
-// mayRetry tells whether a request may be sent again, and spends a retry then.
+// mayRetry reports whether a request may be sent again; if so, it spends one retry of the
+// budget.
 func (g *Gateway) mayRetry(ctx context.Context, c *call) bool {
-	c.denied = g.denial(ctx, c)
-	if c.denied != "" {
-		g.opts.Metrics.RetryDenied(c.denied)
+	c.denialReason = g.retryDenial(ctx, c)
+	if c.denialReason != "" {
+		g.opts.Metrics.RetryDenied(c.denialReason)
 	}
-	return c.denied == ""
+	return c.denialReason == ""
 }
 
-// denial returns why a request may not be sent again, or "" and spends a retry.
-func (g *Gateway) denial(ctx context.Context, c *call) string {
+// retryDenial returns the reason why a request may not be sent again, or "" after spending
+// one retry of the budget.
+func (g *Gateway) retryDenial(ctx context.Context, c *call) string {
 	switch {
 	case ctx.Err() != nil:
 		return deniedDeadline
@@ -39,43 +41,43 @@
 	}
 }
 
-// budgetInterval is the time between two looks whether the budget allows a retry.
-const budgetInterval = 100 * time.Millisecond
+// budgetPollInterval is the time between two checks whether the budget allows a retry.
+const budgetPollInterval = 100 * time.Millisecond
 
-// awaitRetry is mayRetry that waits while only the budget forbids the retry, until a time:
-// other requests pay into the budget.
-func (g *Gateway) awaitRetry(ctx context.Context, c *call, until time.Time) bool {
-	c.denied = deniedBudget
-	for time.Now().Add(budgetInterval).Before(until) {
-		if c.denied = g.denial(ctx, c); c.denied != deniedBudget {
+// awaitRetry is like mayRetry, but while only the budget denies the retry it waits until
+// the given time: each new request of the service adds to the budget.
+func (g *Gateway) awaitRetry(ctx context.Context, c *call, end time.Time) bool {
+	c.denialReason = deniedBudget
+	for time.Now().Add(budgetPollInterval).Before(end) {
+		if c.denialReason = g.retryDenial(ctx, c); c.denialReason != deniedBudget {
 			break
 		}
-		t := time.NewTimer(budgetInterval)
+		t := time.NewTimer(budgetPollInterval)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
 		}
 	}
-	switch c.denied {
+	switch c.denialReason {
 	case "":
 		return true
 	case deniedBudget:
 		return g.mayRetry(ctx, c)
 	default:
-		g.opts.Metrics.RetryDenied(c.denied)
+		g.opts.Metrics.RetryDenied(c.denialReason)
 		return false
 	}
 }
 
-// retryAllowed spends one retry of a service.
+// retryAllowed spends one retry of a service's budget, or returns false.
 func (g *Gateway) retryAllowed(service string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.budget(service).Take(time.Now())
 }
 
-// countFirst records the first attempt of a request.
+// countFirst adds the first attempt of a request to the service's budget.
 func (g *Gateway) countFirst(service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,19 +85,19 @@
 }
 
 const (
-	// retryRatioShare is the part of the allowed ratio of repeats that is used. What the
-	// requests of one window pay for may be spent in the next one, so that it counts
-	// twice; the rest covers requests that are counted in another window.
+	// retryRatioShare is the fraction of the allowed retry ratio that is used. What the
+	// requests of one window add may be spent in the next one, so it counts twice; the
+	// rest covers requests that are counted in another window.
 	retryRatioShare = 0.4
-	// retryBankShare is the part of the slack that may be spent at once, when a
-	// replica dies with many streams, and retryRateShare the part that comes back
-	// within one window. Together they stay below 1: an instance that starts anew
-	// has a full bank.
+	// retryBankShare is the fraction of the slack that may be spent at once, as when a
+	// replica dies with many streams; retryRateShare is the fraction that is refilled
+	// within one window. Their sum stays below 1 because an instance that restarts has a
+	// full bank again.
 	retryBankShare = 0.5
 	retryRateShare = 0.25
 )
 
-// budget returns this instance's part of a service's retry budget.
+// budget returns this instance's share of a service's retry budget. The lock is held.
 func (g *Gateway) budget(service string) *retry.Budget {
 	b := g.budgets[service]
 	if b == nil {
@@ -105,9 +107,9 @@
 	return b
 }
 
-// budgetConfig returns this instance's part of the bound. An instance that does not
-// know how many there are retries only what its own requests pay for: when all start
-// at once, each of them would take itself for one of few.
+// budgetConfig returns this instance's share of the limit. While the number of instances
+// is unknown, retries are limited to what this instance's own requests add: when all
+// instances start at once, each would otherwise assume that it is one of a few.
 func (g *Gateway) budgetConfig() retry.BudgetConfig {
 	if g.instances == 0 {
 		return retry.BudgetConfig{Ratio: g.opts.Retries.Ratio * retryRatioShare, Bank: 1, Window: g.opts.Retries.Window}
@@ -123,20 +125,20 @@
 	}
 }
 
-// sharing tells with whom the replicas are shared. An instance that does not know how many
-// there are knows nothing of their load. The caller holds the lock.
-func (g *Gateway) sharing() pipeline.Sharing {
+// sharingLocked describes how the replicas are shared. An instance that does not know the
+// number of instances has no information about their load either. The lock is held.
+func (g *Gateway) sharingLocked() pipeline.Sharing {
 	return pipeline.Sharing{Random: rand.Float64, Instances: g.instances, Uninformed: g.instances == 0}
 }
 
-// Instances returns the number of entry instances, 0 while it is not known.
+// Instances returns the number of entry instances; 0 while unknown.
 func (g *Gateway) Instances() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.instances
 }
 
-// SetInstances tells how many entry instances share the work.
+// SetInstances sets the number of entry instances that share the work.
 func (g *Gateway) SetInstances(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,10 +148,10 @@
 	first := g.instances == 0
 	g.instances = n
 	for _, p := range g.models {
-		p.share(g.sharing())
+		p.setSharing(g.sharingLocked())
 	}
 	if first {
-		clear(g.budgets) // they start anew, with a full bank
+		clear(g.budgets) // recreated on demand with a full bank
 	}
 	now := time.Now()
 	for _, b := range g.budgets {
--- a/node/gateway/state.go
+++ b/node/gateway/state.go
@@ -11,7 +11,7 @@
 	"masticbank.example/core/routing"
 )
 
-// Configure puts a configuration in force. Versions come in order.
+// Configure puts a configuration in force. Versions must be ascending.
 func (g *Gateway) Configure(t *routing.Table) {
 	g.mu.Lock()
 	for _, s := range t.Services() {
@@ -23,12 +23,12 @@
 		}
 	}
 	g.mu.Unlock()
-	g.table.Store(t)
+	g.routes.Store(t)
 }
 
 // SetReplicas replaces the list of usable replicas of each service.
 func (g *Gateway) SetReplicas(usable func(service string) []roster.Entry) {
-	t := g.table.Load()
+	t := g.routes.Load()
 	if t == nil {
 		return
 	}
@@ -36,27 +36,27 @@
 		s := &t.Services()[i]
 		entries := usable(s.Name)
 		if s.Model != nil {
-			g.model(s).set(entries)
+			g.model(s).setReplicas(entries)
 			continue
 		}
-		g.plain(s.Name).set(entries)
+		g.plain(s.Name).setReplicas(entries)
 	}
 }
 
-// model returns the pool of a model service.
+// model returns the pool of a model service, which it creates if necessary.
 func (g *Gateway) model(s *routing.Service) *modelPool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.models[s.Name]
 	if p == nil {
 		p = newModelPool(s, g.opts.Control, g.log)
-		p.share(g.sharing())
+		p.setSharing(g.sharingLocked())
 		g.models[s.Name] = p
 	}
 	return p
 }
 
-// plain returns the pool of a plain service.
+// plain returns the pool of a plain service, which it creates if necessary.
 func (g *Gateway) plain(name string) *plainPool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -78,10 +78,12 @@
 	return out
 }
 
-// pruneInterval is how often idle connections are looked at.
+// pruneInterval is the time between two removals of idle connections and expired crash
+// data.
 const pruneInterval = time.Second
 
-// Run looks at waiting requests and idle connections until ctx ends.
+// Run does the periodic work until ctx ends: it grants paths to waiting requests,
+// publishes evidence, and removes idle connections and expired crash data.
 func (g *Gateway) Run(ctx context.Context) {
 	grants := time.NewTicker(grantInterval)
 	defer grants.Stop()
@@ -96,45 +98,46 @@
 			return
 		case <-grants.C:
 			for _, p := range g.modelPools() {
-				p.tick()
+				p.grantNow()
 			}
-			g.tellEvidence()
+			g.publishEvidence()
 		case <-prune.C:
 			g.opts.Client.Prune()
-			g.crashes.tidy()
+			g.crashes.expire()
 		}
 	}
 }
 
-// tellEvidence passes on what is new about requests that crash replicas.
-func (g *Gateway) tellEvidence() {
-	news, recurring := g.crashes.news()
+// publishEvidence publishes new evidence about requests that crash replicas.
+func (g *Gateway) publishEvidence() {
+	news, recurring := g.crashes.pending()
 	if !news.Empty() && g.opts.OnEvidence != nil {
 		g.opts.OnEvidence(news, recurring)
 	}
 }
 
-// LearnEvidence takes what other instances know about requests that crash replicas.
-func (g *Gateway) LearnEvidence(s poison.State) { g.crashes.learn(s) }
+// LearnEvidence merges another instance's evidence about requests that crash replicas.
+func (g *Gateway) LearnEvidence(s poison.State) { g.crashes.merge(s) }
 
-// Evidence returns all that is known about requests that crash replicas.
+// Evidence returns all evidence about requests that crash replicas.
 func (g *Gateway) Evidence() poison.State { return g.crashes.state() }
 
-// EvidenceDigest is equal for two instances that know the same of such requests.
+// EvidenceDigest returns a hash of the evidence, equal for two instances with the same
+// evidence.
 func (g *Gateway) EvidenceDigest() uint64 { return g.crashes.digest() }
 
-// ReplicaEnded takes a process of a replica that ended without being asked to.
-// Restarted is true when a later process of it is listed, false when it is listed no
-// more.
+// ReplicaEnded records that a process of a replica ended without an orderly shutdown.
+// restarted is true if a later process of the replica is listed, false if the replica is
+// no longer listed.
 func (g *Gateway) ReplicaEnded(r poison.Incarnation, restarted bool) {
-	sign := signRemoved
+	sign := endRemoved
 	if restarted {
-		sign = signRestarted
+		sign = endRestarted
 	}
-	g.crashes.ended(r, sign)
+	g.crashes.recordEnd(r, sign)
 }
 
-// Loads returns the work of this instance by service and replica.
+// Loads returns the load that this instance causes, by service and replica.
 func (g *Gateway) Loads() map[string]map[string]pipeline.Load {
 	out := map[string]map[string]pipeline.Load{}
 	for _, p := range g.modelPools() {
@@ -145,15 +148,15 @@
 	return out
 }
 
-// Rejected takes a replica out of use that rejected a request of another instance, for
-// the count-th time in a row.
+// Rejected blocks a replica that rejected a request of another instance; count is the
+// number of rejections in a row.
 func (g *Gateway) Rejected(replica string, count int) {
 	for _, p := range g.modelPools() {
-		p.toldRejected(replica, count)
+		p.rejectedElsewhere(replica, count)
 	}
 }
 
-// Layers returns the layers that a replica reported lately.
+// Layers returns the layers that a replica recently reported.
 func (g *Gateway) Layers(service, replica string) (from, to int, ok bool) {
 	g.mu.Lock()
 	p := g.models[service]
@@ -166,7 +169,7 @@
 	return p.fleet.Layers(time.Now(), replica)
 }
 
-// Links returns what this instance sends between zones, in prompt tokens a second.
+// Links returns what this instance sends between zones, in prompt tokens per second.
 func (g *Gateway) Links() map[pipeline.Link]float64 {
 	out := map[pipeline.Link]float64{}
 	for _, p := range g.modelPools() {
@@ -179,7 +182,7 @@
 	return out
 }
 
-// SetForeign takes the work of all other instances by replica and by link.
+// SetForeign sets the total load of all other instances, by replica and by link.
 func (g *Gateway) SetForeign(of func(replica string) pipeline.Load, link func(pipeline.Link) float64) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
@@ -189,23 +192,22 @@
 	}
 }
 
-// suspectBlock is how long a replica is out of use that another instance found
-// silent.
-const suspectBlock = 2 * time.Second
+// reportedBlock is how long a replica is blocked that another instance found unresponsive.
+const reportedBlock = 2 * time.Second
 
-// Suspect takes a replica out of use that another instance found silent.
+// Suspect blocks a replica that another instance found unresponsive.
 func (g *Gateway) Suspect(replica string) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
 		_, known := p.fleet.Replica(replica)
 		p.mu.Unlock()
 		if known {
-			p.block(replica, suspectBlock, "silent for another instance")
+			p.block(replica, reportedBlock, "unresponsive for another instance")
 		}
 	}
 }
 
-// SetRetryBound changes the bound on repeats.
+// SetRetryBound changes the limit on retries.
 func (g *Gateway) SetRetryBound(b RetryBound) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -216,11 +218,11 @@
 	}
 }
 
-// Drain refuses streams that come after the time: they could not end before the
-// process does.
+// Drain refuses model requests that arrive after the given time, as they could not end
+// before the process does.
 func (g *Gateway) Drain(after time.Time) { g.drainAfter.Store(after.UnixNano()) }
 
-// draining tells whether new streams are refused.
+// draining reports whether new model requests are refused.
 func (g *Gateway) draining() bool {
 	at := g.drainAfter.Load()
 	return at != 0 && time.Now().UnixNano() > at
--- a/node/gateway/survey.go
+++ b/node/gateway/survey.go
@@ -12,89 +12,94 @@
 	"masticbank.example/core/roster"
 )
 
-// surveyInterval is the time between two reports that one instance reads from each
-// replica for all instances. Replicas report with a lag of 0.2 s.
+// surveyInterval is the time between two reads of each replica's report by the instance
+// that reads for all. Replicas report with a lag of 0.2 s.
 const surveyInterval = time.Second
 
-// Survey reads the reports of all replicas that hold layers until ctx ends, while
-// wanted returns true, and tells the result. While deputy returns true it also does when
-// no other instance has told its own for a while, as after a start of all together.
-func (g *Gateway) Survey(ctx context.Context, wanted, deputy func() bool, tell func(map[string]pipeline.Observed)) {
+// Survey reads the reports of all replicas that hold layers, and publishes them, until ctx
+// ends. It does so each second while wanted returns true. While designated returns true,
+// it also does so when no reports of another instance have arrived for some time, as after
+// a start of all instances together.
+func (g *Gateway) Survey(ctx context.Context, wanted, designated func() bool, publish func(map[string]pipeline.Observed)) {
 	ticker := time.NewTicker(surveyInterval)
 	defer ticker.Stop()
-	silence := drawSilence(startSilence, startSpread)
+	timeout := randomTimeout(startReportTimeout, startReportSpread)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(silence - time.Since(g.observedAt())):
-			if time.Since(g.observedAt()) < silence {
-				continue // another instance told its reports meanwhile
+		case <-time.After(timeout - time.Since(g.observedAt())):
+			if time.Since(g.observedAt()) < timeout {
+				continue // reports of another instance arrived meanwhile
 			}
-			silence = drawSilence(surveySilence, surveySpread)
-			g.noteObserved()
-			if !deputy() {
+			timeout = randomTimeout(remoteReportTimeout, remoteReportSpread)
+			g.markObserved()
+			if !designated() {
 				continue
 			}
-			tell(withoutLayers(g.survey(ctx)))
+			publish(withoutLayers(g.survey(ctx)))
 		case <-ticker.C:
 			if wanted() {
-				g.noteObserved()
-				tell(g.survey(ctx))
+				g.markObserved()
+				publish(g.survey(ctx))
 			}
 		}
 	}
 }
 
-// withoutLayers leaves out what replicas hold. Which layers are where is told by the
-// instance with the duty alone: reports of others may come late and in another order, and
-// its own orders would seem not to have been carried out.
-func withoutLayers(states map[string]pipeline.Observed) map[string]pipeline.Observed {
-	for id, o := range states {
+// withoutLayers removes the layers from reports. Only the leader publishes which replica
+// holds which layers: reports of others may arrive late and out of order, and the leader's
+// own assignments would then seem not to have been carried out.
+func withoutLayers(reports map[string]pipeline.Observed) map[string]pipeline.Observed {
+	for id, o := range reports {
 		o.HasLayers, o.From, o.To = false, 0, 0
-		states[id] = o
+		reports[id] = o
 	}
-	return states
+	return reports
 }
 
 const (
-	// surveySilence is the shortest time without the reports of another instance after
-	// which one reads them itself. The one with the duty tells them each second, and half
-	// a second later if replicas do not answer.
-	surveySilence = 2500 * time.Millisecond
-	// surveySpread is added to it at random, so that the first deputy tells the others
-	// before they read; reading and telling take some tenths of a second.
-	surveySpread = 2 * time.Second
-	// startSilence and startSpread take their place after a start, when callers come back
-	// and replicas still run what others have sent.
-	startSilence = 800 * time.Millisecond
-	startSpread  = 2 * time.Second
+	// remoteReportTimeout is the minimum time without reports of another instance after which
+	// one reads them itself. The leader publishes them each second, or half a second later
+	// if replicas do not respond.
+	remoteReportTimeout = 2500 * time.Millisecond
+	// remoteReportSpread is the range of a random time that is added to it, so that the first
+	// designated reader publishes before the others read. Reading and publishing take a
+	// few tenths of a second.
+	remoteReportSpread = 2 * time.Second
+	// startReportTimeout and startReportSpread apply instead after a start, when clients
+	// reconnect and replicas still run what other instances have sent.
+	startReportTimeout = 800 * time.Millisecond
+	startReportSpread  = 2 * time.Second
 )
 
-func drawSilence(least, spread time.Duration) time.Duration {
-	return least + time.Duration(rand.Float64()*float64(spread))
+// randomTimeout returns minimum plus a random part of spread.
+func randomTimeout(minimum, spread time.Duration) time.Duration {
+	return minimum + time.Duration(rand.Float64()*float64(spread))
 }
 
-// observedAt is on the steady clock: the time of day may jump.
+// observedAt returns when reports were last read or received. It uses the monotonic clock,
+// as the wall clock may jump.
 func (g *Gateway) observedAt() time.Time { return g.started.Add(time.Duration(g.observed.Load())) }
 
-func (g *Gateway) noteObserved() { g.observed.Store(int64(time.Since(g.started))) }
+// markObserved sets the time of the last reports to now.
+func (g *Gateway) markObserved() { g.observed.Store(int64(time.Since(g.started))) }
 
-// survey asks all replicas at the same time.
+// survey requests the reports of all replicas concurrently.
 func (g *Gateway) survey(ctx context.Context) map[string]pipeline.Observed {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	out := map[string]pipeline.Observed{}
 	for _, p := range g.modelPools() {
-		for _, r := range p.holders() {
+		for _, r := range p.reportingReplicas() {
 			wg.Go(func() {
 				report, err := g.opts.Control.Report(ctx, r)
 				if err != nil {
-					g.log.Info("no report", zap.String("replica", r.ID), zap.Error(err))
+					g.log.Info("report of a replica could not be read", zap.String("replica", r.ID), zap.Error(err))
 					return
 				}
 				if report.Leaving {
-					g.leaves(r)
+					g.reportLeaving(r)
 				}
 				o := report.observed()
 				p.observe(r.ID, o)
@@ -108,8 +113,8 @@
 	return out
 }
 
-// holders returns the replicas that hold layers and have not asked for a pause.
-func (p *modelPool) holders() []Replica {
+// reportingReplicas returns the replicas that hold layers and have not asked for a pause.
+func (p *modelPool) reportingReplicas() []Replica {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Replica
@@ -123,10 +128,10 @@
 	return out
 }
 
-// Observe takes what another instance has read, by replica; replicas that it does
-// not know are left out.
+// Observe records reports that another instance has read; of returns false for replicas
+// without one.
 func (g *Gateway) Observe(of func(replica string) (pipeline.Observed, bool)) {
-	g.noteObserved()
+	g.markObserved()
 	now := time.Now()
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
@@ -139,7 +144,7 @@
 	}
 }
 
-// Slow tells whether a replica is so slow that others should hold its layers.
+// Slow reports whether a replica is so slow that other replicas should hold its layers.
 func (g *Gateway) Slow(e roster.Entry) bool {
 	g.mu.Lock()
 	p := g.models[e.Service]
@@ -149,9 +154,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fleet.Pace(time.Now(), e.ID) >= slowPace
+	return p.fleet.Pace(time.Now(), e.ID) >= slowStepRatio
 }
 
-// slowPace is the multiple of the usual step time from which a replica is left out
-// of the layout: every request of its zone waits for it.
-const slowPace = 6
+// slowStepRatio is the ratio to the usual step time from which a replica is left out of the
+// layout, because every request of its zone waits for it.
+const slowStepRatio = 6
--- a/node/gateway/survey_test.go
+++ b/node/gateway/survey_test.go
@@ -16,14 +16,14 @@
 	"masticbank.example/node/exchange"
 )
 
-// countedReports counts the reports that are read.
-type countedReports struct {
+// countingControl is a ReplicaControl that counts the reports read.
+type countingControl struct {
 	ReplicaControl
 	mu sync.Mutex
 	n  int
 }
 
-func (c *countedReports) Report(context.Context, Replica) (Report, error) {
+func (c *countingControl) Report(context.Context, Replica) (Report, error) {
 	c.mu.Lock()
 	c.n++
 	c.mu.Unlock()
@@ -31,7 +31,7 @@
 	return Report{Pace: 1, HasLayers: true, From: 0, To: 4}, nil
 }
 
-func (c *countedReports) take() int {
+func (c *countingControl) reset() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.n
@@ -39,16 +39,17 @@
 	return n
 }
 
-// reportTime is what a report takes if some replicas do not answer.
+// reportTime is how long reading reports takes if some replicas do not respond.
 const reportTime = 250 * time.Millisecond
 
-// TestReportsDoNotGrowWithTheInstances replays the start of forty instances at the same
-// moment, of which none holds the duty: two may read for all.
-func TestReportsDoNotGrowWithTheInstances(t *testing.T) {
+// Forty instances start at the same moment and none is the leader. Only the two designated
+// readers read reports, so the load on replicas does not grow with the number of
+// instances.
+func TestReportLoadIsIndependentOfInstanceCount(t *testing.T) {
 	const instances, replicas, seconds = 40, 10, 10
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		reports := &countedReports{}
+		reports := &countingControl{}
 		model := newPool().fleet.Model()
 		var all []*Gateway
 		var wg sync.WaitGroup
@@ -72,7 +73,7 @@
 			tell := func(states map[string]pipeline.Observed) {
 				for id, o := range states {
 					if o.HasLayers {
-						t.Errorf("layers of %s told without the duty", id)
+						t.Errorf("layers of %s published by an instance that is not the leader", id)
 					}
 				}
 				time.Sleep(reportTime)
@@ -85,9 +86,9 @@
 			wg.Go(func() { g.Survey(ctx, func() bool { return false }, deputy, tell) })
 		}
 		time.Sleep(seconds * time.Second)
-		got := reports.take()
-		require.LessOrEqual(t, got, seconds*replicas, "one report of each replica a second")
-		require.GreaterOrEqual(t, got, seconds/5*replicas, "and one in five seconds at least")
+		got := reports.reset()
+		require.LessOrEqual(t, got, seconds*replicas, "at most one report per replica and second")
+		require.GreaterOrEqual(t, got, seconds/5*replicas, "at least one report per replica in five seconds")
 		cancel()
 		wg.Wait()
 	})
--- a/node/gateway/waiting.go
+++ b/node/gateway/waiting.go
@@ -8,7 +8,7 @@
 	"masticbank.example/core/waitlist"
 )
 
-// acquire waits for a path until giveUp or the end of ctx; it returns nil then.
+// acquire waits for a path until it.GiveUp or the end of ctx, and then returns nil.
 func (p *modelPool) acquire(ctx context.Context, it *waitlist.Item, d pipeline.Demand, limit pipeline.Constraint) *grant {
 	w := &waiter{demand: d, limit: limit, granted: make(chan *grant, 1)}
 	p.mu.Lock()
@@ -32,7 +32,7 @@
 	return p.withdraw(it, w)
 }
 
-// withdraw takes a waiter out; it returns a grant that came meanwhile.
+// withdraw removes a waiter and returns a grant that arrived meanwhile, if any.
 func (p *modelPool) withdraw(it *waitlist.Item, w *waiter) *grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,26 +46,27 @@
 	}
 }
 
-// mostPassedOver bounds the waiters that are passed over in one look at the list.
-const mostPassedOver = 4
+// maxSkippedWaiters limits how many waiters are skipped in one pass over the list.
+const maxSkippedWaiters = 4
 
-// grantWaiting grants paths to the first waiters. One that avoids the only replicas with
-// room does not hold back those behind it; one that is too large for the room does, or
-// smaller ones would take the room for ever. The caller holds the lock.
+// grantWaiting grants paths to the first waiters. A waiter that gets no path only because
+// it avoids the replicas with free capacity is skipped. One whose request is too large for
+// the free capacity is not: smaller requests behind it would use up the capacity again and
+// again. The lock is held.
 func (p *modelPool) grantWaiting(now time.Time) {
-	passed := 0
-	for passed < mostPassedOver {
-		it := p.waiting.At(passed)
+	skipped := 0
+	for skipped < maxSkippedWaiters {
+		it := p.waiting.At(skipped)
 		if it == nil {
 			return
 		}
 		w := p.waiters[it]
 		choice, ok := p.fleet.Choose(now, w.demand, w.limit)
 		if !ok {
-			if !p.heldByAvoidance(now, w) {
+			if !p.blockedByConstraint(now, w) {
 				return
 			}
-			passed++
+			skipped++
 			continue
 		}
 		p.waiting.Remove(it)
@@ -74,9 +75,9 @@
 	}
 }
 
-// heldByAvoidance tells whether a waiter without a path would have one if it avoided no
+// blockedByConstraint reports whether a waiter without a path would get one if it avoided no
 // replica.
-func (p *modelPool) heldByAvoidance(now time.Time, w *waiter) bool {
+func (p *modelPool) blockedByConstraint(now time.Time, w *waiter) bool {
 	if len(w.limit.Avoid) == 0 {
 		return false
 	}
--- a/node/gateway/watch.go
+++ b/node/gateway/watch.go
@@ -10,75 +10,76 @@
 )
 
 const (
-	// firstSuspicion is the time beyond the expected first token after which the
-	// first replica is asked whether the request stalls.
-	firstSuspicion = 500 * time.Millisecond
-	// gapSuspicion is the shortest gap between two events after which it is asked;
-	// callers leave after a gap of 2 s.
-	gapSuspicion = 280 * time.Millisecond
-	// gapFactor times the usual gap of the stream is another lower bound.
+	// firstTokenSlack is the time beyond the expected first token after which the first
+	// replica's report is checked for a stall.
+	firstTokenSlack = 500 * time.Millisecond
+	// minGap is the shortest gap between two events after which the report is
+	// checked. Clients disconnect after a gap of 2 s.
+	minGap = 280 * time.Millisecond
+	// gapFactor times the usual gap of the stream is another lower bound for that gap.
 	gapFactor = 4
-	// askAgain is the time between two questions; a report is 0.2 s old.
-	askAgain = 130 * time.Millisecond
-	// silentReports is the number of reports in a row that a first replica must not
-	// answer to be taken for dead: one may be lost on the way.
-	silentReports = 2
-	// longestUsualGap bounds what a slow stream's usual gap adds to gapSuspicion.
-	longestUsualGap = 900 * time.Millisecond
-	// maxRepaths bounds the changes of path that are tried for one failure.
+	// recheckInterval is the time between two checks. A report is 0.2 s old.
+	recheckInterval = 130 * time.Millisecond
+	// maxUnansweredReports is the number of unanswered report requests in a row after which the
+	// first replica counts as dead. A single one may be lost in the network.
+	maxUnansweredReports = 2
+	// maxGapBound limits the bound from gapFactor for slow streams.
+	maxGapBound = 900 * time.Millisecond
+	// maxRepaths limits the path changes that are tried for one failure.
 	maxRepaths = 3
 )
 
-// watch finds out why a stream makes no progress. It is used by one goroutine.
-type watch struct {
+// stallWatch detects why a stream makes no progress. It is used by one goroutine.
+type stallWatch struct {
 	s     *stream
 	timer *time.Timer
-	// gap is a moving mean of the time between events.
-	gap   time.Duration
-	since time.Time
-	// unanswered counts reports without an answer in a row.
+	// meanGap is an exponential moving average of the time between events.
+	meanGap      time.Duration
+	lastProgress time.Time
+	// unanswered counts report requests without a response in a row.
 	unanswered int
 }
 
-func (s *stream) newWatch() *watch {
-	return &watch{s: s, since: s.lastAt, timer: time.NewTimer(s.grant.choice.FirstToken*2 + firstSuspicion)}
+func (s *stream) newWatch() *stallWatch {
+	return &stallWatch{s: s, lastProgress: s.lastProgress, timer: time.NewTimer(s.grant.choice.FirstToken*2 + firstTokenSlack)}
 }
 
-func (w *watch) stop() { w.timer.Stop() }
+func (w *stallWatch) stop() { w.timer.Stop() }
 
-// gapWeight is the weight of a new gap in the moving mean.
+// gapWeight is the weight of a new gap in the moving average.
 const gapWeight = 0.2
 
-// progress notes an event.
-func (w *watch) progress() {
+// progress records an event and restarts the timer.
+func (w *stallWatch) progress() {
 	now := time.Now()
-	gap := now.Sub(w.since)
-	w.since = now
-	if w.gap == 0 {
-		w.gap = gap
+	gap := now.Sub(w.lastProgress)
+	w.lastProgress = now
+	if w.meanGap == 0 {
+		w.meanGap = gap
 	}
-	w.gap += time.Duration(float64(gap-w.gap) * gapWeight)
-	w.timer.Reset(max(gapSuspicion, min(gapFactor*w.gap, longestUsualGap)))
+	w.meanGap += time.Duration(float64(gap-w.meanGap) * gapWeight)
+	w.timer.Reset(max(minGap, min(gapFactor*w.meanGap, maxGapBound)))
 }
 
-// check asks the first replica about a stream that makes no progress and moves
-// it to another path if a part is silent. It returns true when the run is lost.
-func (w *watch) check(ctx context.Context) (lost bool) {
+// checkStall reads the report of the first replica when the stream makes no progress, and moves
+// the request to another path if a stage is unresponsive. It returns true if the run is
+// lost.
+func (w *stallWatch) checkStall(ctx context.Context) (lost bool) {
 	s := w.s
-	w.timer.Reset(askAgain)
+	w.timer.Reset(recheckInterval)
 	first := s.grant.path()[0]
 	report, err := s.pool.report(ctx, Replica{ID: first.ID, Address: first.Address})
 	if err != nil {
 		w.unanswered++
-		if ctx.Err() != nil || w.unanswered < silentReports {
+		if ctx.Err() != nil || w.unanswered < maxUnansweredReports {
 			return false
 		}
-		s.silent(first.ID, "no report")
+		s.markUnresponsive(first.ID, "no response to report requests")
 		return true
 	}
 	w.unanswered = 0
 	if report.Leaving {
-		s.g.leaves(Replica{ID: first.ID, Born: first.Born})
+		s.g.reportLeaving(Replica{ID: first.ID, Born: first.Born})
 	}
 	address, stalled := report.Stalled[s.ID]
 	if !stalled {
@@ -86,63 +87,64 @@
 	}
 	dead := s.pool.idAt(address)
 	if dead != "" {
-		if !s.avoid[dead] {
-			s.lostPart(dead)
+		if !s.excluded[dead] {
+			s.recordLostStage(dead)
 		}
-		s.silent(dead, "requests stall there")
+		s.markUnresponsive(dead, "requests stall on it")
 	}
 	if w.repath(ctx, first) {
-		w.timer.Reset(s.grant.choice.FirstToken + firstSuspicion)
+		w.timer.Reset(s.grant.choice.FirstToken + firstTokenSlack)
 		return false
 	}
 	return s.route.Repeatable()
 }
 
-// silent takes a replica that gives no sign of life out of use here and at the
-// other instances.
-func (s *stream) silent(id, why string) {
-	s.avoid[id] = true
-	known := s.pool.block(id, deadBlock, why)
+// markUnresponsive blocks an unresponsive replica on this instance and reports it to the
+// others.
+func (s *stream) markUnresponsive(id, why string) {
+	s.excluded[id] = true
+	known := s.pool.block(id, unresponsiveBlock, why)
 	if !known && s.g.opts.OnSilent != nil {
 		s.g.opts.OnSilent(id)
 	}
 }
 
-// repath moves the running request to a path without the replicas that failed.
-func (w *watch) repath(ctx context.Context, first pipeline.Hop) bool {
+// repath moves the running request to a path that avoids the failed replicas, and reports
+// whether it succeeded.
+func (w *stallWatch) repath(ctx context.Context, first pipeline.Hop) bool {
 	s := w.s
 	if !s.g.crashes.mayRetry(s.call) {
-		s.g.log.Info("not moved, it may crash the next replica", zap.String("request", s.ID), zap.Stringer("fingerprint", s.fingerprint))
+		s.g.log.Info("request not moved to another path: it may crash the next replica", zap.String("request", s.ID), zap.Stringer("fingerprint", s.fingerprint))
 		return false
 	}
 	for range maxRepaths {
-		choice, ok := s.grant.move(s.avoid)
+		choice, ok := s.grant.alternative(s.excluded)
 		if !ok {
-			s.g.log.Info("no other path", zap.String("request", s.ID), zap.String("first", first.ID), zap.Int("avoided", len(s.avoid)))
+			s.g.log.Info("no alternative path", zap.String("request", s.ID), zap.String("first", first.ID), zap.Int("avoided", len(s.excluded)))
 			return false
 		}
 		res, err := s.pool.control.Repath(ctx, Replica{ID: first.ID, Address: first.Address}, s.ID, choice.Path)
 		if res.Leaving {
-			s.g.leaves(Replica{ID: first.ID, Born: first.Born})
+			s.g.reportLeaving(Replica{ID: first.ID, Born: first.Born})
 		}
 		s.g.log.Info("path changed", zap.String("request", s.ID), zap.String("first", first.ID),
 			zap.Stringer("result", res.Status), zap.String("part", res.Part), zap.Int("parts", len(choice.Path)),
-			zap.Duration("silent", time.Since(s.lastAt)), zap.Error(err))
+			zap.Duration("silent", time.Since(s.lastProgress)), zap.Error(err))
 		switch {
 		case err != nil:
 			return false
 		case res.Status == OrderTaken:
-			s.grant.confirm(choice)
-			// What follows on the new parts is another run.
+			s.grant.switchPath(choice)
+			// The continuation on the new stages counts as another run.
 			s.beginRun(time.Now())
 			s.repaths++
 			return true
 		case res.Status == OrderConflict && res.Part != "":
 			id := s.pool.idAt(res.Part)
-			if id == "" || s.avoid[id] {
+			if id == "" || s.excluded[id] {
 				return false
 			}
-			s.avoid[id] = true
+			s.excluded[id] = true
 		default:
 			return false
 		}
