--- a/node/control/control.go
+++ b/node/control/control.go
@@ -16,69 +16,71 @@
 )
 
 const (
-	// configWait is the longest wait for a new configuration in one call. A poll that
-	// misses one, or whose connection has gone silent, does not make it late: peers
-	// tell which version they have.
-	configWait = 20 * time.Second
-	// configWaitAlone is the same without peers. It is below the 2 s within which a
-	// version must be in force.
-	configWaitAlone = 1500 * time.Millisecond
-	// configUnread is the longest time without a look at the configuration in the store,
-	// for instances that rely on others for it.
-	configUnread = time.Minute
-	// turnInterval is the time between two looks whether this instance is to follow the
-	// configuration itself.
-	turnInterval = 250 * time.Millisecond
-	// startPatience is how long after the first start of the whole system replicas and
-	// configuration are read less often: there is no traffic yet, and the instances do not
-	// know each other.
-	startPatience = 3 * time.Second
-	// peersEnough is the number of peers from which on they are relied on for the
-	// configuration: one may have missed a version itself.
-	peersEnough = 2
-	// replicaInterval is the time between two reads of the replicas' entries. A
-	// replica that leaves must get nothing new within 2 s.
+	// configPollWait is the longest wait for a new configuration in one call. If a poll
+	// misses a version, or its connection has broken unnoticed, the version still arrives
+	// in time, because peers publish which version they have.
+	configPollWait = 20 * time.Second
+	// configPollWaitWithoutPeers is the same without peers. It is below the 2 s within
+	// which a version must be in force.
+	configPollWaitWithoutPeers = 1500 * time.Millisecond
+	// maxConfigReadInterval is the longest time without a read of the configuration in the
+	// store, for instances that rely on designated readers for it.
+	maxConfigReadInterval = time.Minute
+	// readerCheckInterval is the time between two checks whether this instance is a
+	// designated reader of the configuration.
+	readerCheckInterval = 250 * time.Millisecond
+	// firstStartInterval is how long after the first start of the whole system replicas
+	// and configuration are read less often: there is no traffic yet, and the instances do
+	// not know each other.
+	firstStartInterval = 3 * time.Second
+	// minPeersForConfig is the number of peers from which an instance relies on them for
+	// the configuration. A single one may have missed a version itself.
+	minPeersForConfig = 2
+	// replicaInterval is the time between two reads of the replicas' entries. A replica
+	// that shuts down must get no new requests after 2 s.
 	replicaInterval = 800 * time.Millisecond
-	// dutyInterval is the same for the instance that reads for the others.
-	dutyInterval = 400 * time.Millisecond
-	// passedPatience is how long an instance does not read after another one has
-	// passed on what it read. Together with the way of the message it is below the 2 s
-	// within which a replica that leaves must get nothing new.
-	passedPatience = time.Second
-	// latenessForPeer and mostLateness bound what is added to passedPatience at random. On
-	// systems with so many instances the users allow 3 s and more.
-	latenessForPeer = 10 * time.Millisecond
-	mostLateness    = 900 * time.Millisecond
-	// expireInterval is the time between two looks at entries whose time to come back may
-	// be over.
+	// leaderReadInterval is the same for the leader, which reads for the other instances.
+	leaderReadInterval = 400 * time.Millisecond
+	// relayedReadTimeout is how long after updates relayed by another instance this one
+	// does not read itself. Together with the transmission time it is below the 2 s after
+	// which a replica that shuts down must get no new requests.
+	relayedReadTimeout = time.Second
+	// readDelayPerPeer and maxReadDelay limit a random time that is added to
+	// relayedReadTimeout. Users with so many instances that the sum exceeds 2 s allow 3 s
+	// and more.
+	readDelayPerPeer = 10 * time.Millisecond
+	maxReadDelay     = 900 * time.Millisecond
+	// expireInterval is the time between two checks for entries whose time to return after
+	// an outage has expired.
 	expireInterval = 200 * time.Millisecond
-	// orderedInterval is the same while this instance waits for replicas to load
-	// layers; loading a few layers takes some hundred milliseconds.
-	orderedInterval = 250 * time.Millisecond
-	// retryInterval is the time between two joins while the store does not answer. A
-	// join has a tenth of the price of other calls.
-	retryInterval = 250 * time.Millisecond
-	// readRetryInterval is the time until another call is tried again if no join has
-	// been answered before. Outages may concern some calls only.
+	// pendingReadInterval replaces replicaInterval while replicas load layers that this
+	// instance assigned; loading a few layers takes some hundred milliseconds.
+	pendingReadInterval = 250 * time.Millisecond
+	// joinRetryInterval is the time between two joins while the store is unavailable. A
+	// join costs a tenth of other calls.
+	joinRetryInterval = 250 * time.Millisecond
+	// readRetryInterval is the time until another call is retried if no join has succeeded
+	// before. Outages may affect some calls only.
 	readRetryInterval = 3 * time.Second
-	// memberTTL is how long the group keeps a member that it does not hear.
+	// memberTTL is how long the group keeps a member after its last join.
 	memberTTL = 3 * time.Second
-	// memberInterval is the shortest time between two reads of the member list. New
+	// memberReadInterval is the shortest time between two reads of the member list. New
 	// instances connect to the others by themselves.
-	memberInterval = 30 * time.Second
-	// startMemberInterval is the same within startTime after the start, when others may
-	// start too.
-	startMemberInterval = 2500 * time.Millisecond
-	startTime           = 10 * time.Second
-	// restartMemberInterval takes its place when the system was there before: callers
-	// come back at once, and until the number of instances is known hardly any request is
-	// sent again. All that start together have joined within that time.
-	restartMemberInterval = 500 * time.Millisecond
-	// joinInterval is the time between two joins, three within memberTTL.
+	memberReadInterval = 30 * time.Second
+	// startMemberReadInterval is the same within startupPeriod after the start, when other
+	// instances may start too.
+	startMemberReadInterval = 2500 * time.Millisecond
+	startupPeriod           = 10 * time.Second
+	// restartMemberReadInterval replaces startMemberReadInterval if the system was running
+	// before. Clients return at once, and hardly any request is retried until the number
+	// of instances is known. All instances that start together have joined within that
+	// time.
+	restartMemberReadInterval = 500 * time.Millisecond
+	// joinInterval is the time between two joins; memberTTL covers three.
 	joinInterval = time.Second
-	// changedJoinInterval is the time between joins within joinInterval after a change
-	// of the group.
-	changedJoinInterval = 250 * time.Millisecond
+	// changedGroupJoinInterval is the time between joins in the joinInterval after a
+	// change of the group.
+	changedGroupJoinInterval = 250 * time.Millisecond
 )
 
 // Options configures a Control.
@@ -88,33 +90,32 @@
 	Group    Group
 	Orders   gateway.ReplicaControl
 	Gateway  *gateway.Gateway
-	// Evidence, if set, keeps evidence on requests that crash replicas.
+	// Evidence, if set, stores evidence about requests that crash replicas.
 	Evidence EvidenceStore
-	// FirstStart is true when the whole system starts for the first time.
+	// FirstStart is true if the whole system starts for the first time.
 	FirstStart bool
 	Logger     *zap.Logger
-	// LeastTTL is the shortest time to live that the group takes.
+	// LeastTTL is the shortest time to live that the group accepts.
 	LeastTTL time.Duration
 	// OnMembers, if set, is called with the names of all members.
 	OnMembers func([]string)
-	// OnLeaving, if set, is called with a process of a replica that begins to leave,
-	// OnRemoved with the ID of one whose entry is gone.
+	// OnLeaving, if set, is called with a replica process that begins to shut down,
+	// OnRemoved with the ID of a replica whose entry was removed.
 	OnLeaving func(roster.Process)
 	OnRemoved func(replica string)
 	// OnConfig, if set, is called with each configuration that is put in force.
 	OnConfig func(version int64, content []byte)
-	// OnUpdates, if set, is called with what this instance reads of the replicas,
-	// heartbeats left out.
+	// OnUpdates, if set, is called with the changes of replicas that this instance reads,
+	// without mere heartbeats.
 	OnUpdates func(roster.Updates)
 	// Peers, if set, returns the number of instances that this one is connected to.
 	Peers func() int
-	// Reads, if set, tells whether this instance follows the configuration in the store
-	// for all; otherwise its peers tell it.
+	// Reads, if set, reports whether this instance is a designated reader, which follows
+	// the configuration in the store for all; others receive it from their peers.
 	Reads func() bool
 }
 
-// Control runs the connection of one instance to the store. It is safe for
-// concurrent use.
+// Control connects one instance to the platform's store. It is safe for concurrent use.
 type Control struct {
 	opts Options
 	log  *zap.Logger
@@ -123,44 +124,46 @@
 	version int64
 	roster  *roster.Roster
 	feed    roster.Feed
-	// lateness is added to passedPatience, so that not all instances read at once.
-	lateness time.Duration
-	// endPoll ends the wait for a configuration that is under way.
-	endPoll context.CancelFunc
-	duty    dutyState
-	placed  map[string]placement
-	// suspects holds the heartbeat number at which a replica was found silent.
-	suspects map[string]suspicion
-	store    dependency
-	// back is closed when the store answers again; nil while it answers.
-	back chan struct{}
-	// malformed holds the keys that were reported as unreadable.
+	// readDelay is added to relayedReadTimeout so that not all instances read at once.
+	readDelay time.Duration
+	// cancelPoll ends the wait for a configuration in progress.
+	cancelPoll context.CancelFunc
+	leadership leaderState
+	// pending holds the assignments in progress by replica ID.
+	pending map[string]assignment
+	// unresponsive holds the suspected failures by replica ID.
+	unresponsive map[string]failureReport
+	store        storeStatus
+	// available is closed when the store responds again; nil while it is available.
+	available chan struct{}
+	// malformed maps the keys of unreadable records to the errors that were logged.
 	malformed map[string]string
-	// joinedAt is when a replica joined last, changedAt when one joined, left or fell
-	// silent, by zone.
-	joinedAt time.Time
-	// kept are the crashes that wait to be written to the store.
-	kept      []poison.Crash
-	changedAt map[string]time.Time
+	// lastJoin is when a replica last joined.
+	lastJoin time.Time
+	// unwritten are the crashes that wait to be written to the store.
+	unwritten []poison.Crash
+	// lastChange is when a replica last joined, left or became unresponsive, by zone.
+	lastChange map[string]time.Time
 
-	started    time.Time
-	retired    atomic.Bool
-	retire     chan struct{}
-	configured atomic.Bool
-	loaded     atomic.Bool
+	started        time.Time
+	retired        atomic.Bool
+	retireSignal   chan struct{}
+	configLoaded   atomic.Bool
+	replicasLoaded atomic.Bool
 }
 
-// dutyState is the last word of the group.
-type dutyState struct {
+// leaderState is the group's last response about the leader task of assigning layers.
+type leaderState struct {
 	Membership
-	// until is when this word is too old to act on.
+	// until is when the response expires.
 	until time.Time
-	// fenced is the generation that a replica refused.
-	fenced int64
+	// rejectedToken is the highest generation that a replica refused as a fencing token.
+	rejectedToken int64
 }
 
-// suspicion is the last heartbeat before a replica was found silent.
-type suspicion struct {
+// failureReport is the last heartbeat of a replica before it was found unresponsive, and
+// when the report expires.
+type failureReport struct {
 	born, heartbeat int64
 	until           time.Time
 }
@@ -168,40 +171,40 @@
 // membershipCall names joins in the log.
 const membershipCall = "membership"
 
-// dependency notes whether the store answers.
-type dependency struct {
-	away  bool
-	since time.Time
+// storeStatus records since when the store is unavailable, if it is.
+type storeStatus struct {
+	unavailable bool
+	since       time.Time
 }
 
-// New returns a control that has read nothing yet.
+// New returns a Control that has not read anything yet.
 func New(o Options) *Control {
 	return &Control{
-		opts:      o,
-		log:       o.Logger,
-		roster:    roster.New(),
-		placed:    map[string]placement{},
-		suspects:  map[string]suspicion{},
-		malformed: map[string]string{},
-		changedAt: map[string]time.Time{},
-		retire:    make(chan struct{}),
-		started:   time.Now(),
+		opts:         o,
+		log:          o.Logger,
+		roster:       roster.New(),
+		pending:      map[string]assignment{},
+		unresponsive: map[string]failureReport{},
+		malformed:    map[string]string{},
+		lastChange:   map[string]time.Time{},
+		retireSignal: make(chan struct{}),
+		started:      time.Now(),
 	}
 }
 
-// ttl is how long the group keeps this instance without a join.
+// ttl is how long the group keeps this instance after a join.
 func (c *Control) ttl() time.Duration { return max(memberTTL, c.opts.LeastTTL) }
 
-// Ready tells whether the configuration and the replicas are known.
-func (c *Control) Ready() bool { return c.configured.Load() && c.loaded.Load() }
+// Ready reports whether the configuration and the replicas are known.
+func (c *Control) Ready() bool { return c.configLoaded.Load() && c.replicasLoaded.Load() }
 
-// Run follows the store until ctx ends, and leaves the group then.
+// Run follows the store until ctx ends and then leaves the group.
 func (c *Control) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.followConfig(ctx) })
 	g.Go(func() error { return c.followReplicas(ctx) })
 	g.Go(func() error { return c.keepMembership(ctx) })
-	g.Go(func() error { return c.keepLayout(ctx) })
+	g.Go(func() error { return c.runLayout(ctx) })
 	if c.opts.Evidence != nil {
 		g.Go(func() error { return c.readEvidence(ctx) })
 		g.Go(func() error { return c.writeEvidence(ctx) })
@@ -209,52 +212,54 @@
 	return g.Wait()
 }
 
-// answered notes that the store answered.
-func (c *Control) answered(call string) {
+// storeResponded records a successful call of the store.
+func (c *Control) storeResponded(call string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.store.away {
+	if !c.store.unavailable {
 		return
 	}
 	now := time.Now()
-	c.log.Info("store answers again", zap.String("call", call), zap.Duration("away", now.Sub(c.store.since)))
-	c.store = dependency{}
-	close(c.back)
-	c.back = nil
+	c.log.Info("store is available again", zap.String("call", call), zap.Duration("away", now.Sub(c.store.since)))
+	c.store = storeStatus{}
+	close(c.available)
+	c.available = nil
 	c.roster.StoreBack(now)
-	if c.endPoll != nil {
-		c.endPoll()
+	if c.cancelPoll != nil {
+		c.cancelPoll()
 	}
 }
 
-// failed notes that the store did not answer, and waits until the call is to be made
-// again. Joins find out when the store answers again; the other calls wait for that.
-func (c *Control) failed(ctx context.Context, call string, err error) {
+// storeFailed records a failed call of the store and waits until the call is to be
+// retried. Joins probe whether the store is available again; other calls wait for one to
+// succeed, or for readRetryInterval.
+func (c *Control) storeFailed(ctx context.Context, call string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
-	if !c.store.away {
-		c.store = dependency{away: true, since: time.Now()}
-		c.back = make(chan struct{})
-		c.log.Warn("store does not answer", zap.String("call", call), zap.Error(err))
+	if !c.store.unavailable {
+		c.store = storeStatus{unavailable: true, since: time.Now()}
+		c.available = make(chan struct{})
+		c.log.Warn("store is unavailable", zap.String("call", call), zap.Error(err))
 	}
 	c.roster.StoreAway()
-	back := c.back
+	available := c.available
 	c.mu.Unlock()
 	if call == membershipCall {
-		sleep(ctx, retryInterval)
+		sleep(ctx, joinRetryInterval)
 		return
 	}
 	t := time.NewTimer(readRetryInterval)
 	defer t.Stop()
 	select {
-	case <-back:
+	case <-available:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -264,7 +269,7 @@
 	}
 }
 
-// reportMalformed logs an unreadable record once for each content.
+// reportMalformed logs each unreadable record once per error.
 func (c *Control) reportMalformed(list []*Malformed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -278,18 +283,19 @@
 	}
 }
 
-// maxMalformed bounds the unreadable keys that are remembered.
+// maxMalformed limits the unreadable keys that are remembered.
 const maxMalformed = 256
 
-// apply puts a configuration in force if it is newer than the present one. Source is
-// where it came from.
+// apply puts a configuration in force if it is newer than the current one. source says in
+// the log where it came from.
 func (c *Control) apply(p *Published, source string) {
-	if c.putInForce(p.Config, source) && c.opts.OnConfig != nil {
+	if c.activate(p.Config, source) && c.opts.OnConfig != nil {
 		c.opts.OnConfig(p.Config.Version, p.Content)
 	}
 }
 
-func (c *Control) putInForce(cfg *routing.Config, source string) bool {
+// activate configures the gateway with cfg if it is newer, and reports whether it was.
+func (c *Control) activate(cfg *routing.Config, source string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cfg.Version <= c.version {
@@ -304,60 +310,61 @@
 	c.version = cfg.Version
 	c.opts.Gateway.Configure(routing.NewTable(cfg))
 	c.opts.Gateway.SetReplicas(c.roster.Usable)
-	c.configured.Store(true)
+	c.configLoaded.Store(true)
 	if c.Ready() {
 		c.opts.Gateway.Open()
 	}
 	return true
 }
 
-// ReplicaLeaves takes the word of a replica, in an answer to this instance, that its
-// process leaves, and tells the other instances.
+// ReplicaLeaves records that a replica process said in a response to this instance that it
+// shuts down, and reports it to the other instances.
 func (c *Control) ReplicaLeaves(p roster.Process) {
-	if c.leave(p, "its own answer") && c.opts.OnLeaving != nil {
+	if c.markLeaving(p, "response of the replica") && c.opts.OnLeaving != nil {
 		c.opts.OnLeaving(p)
 	}
 }
 
-// Leaving takes another instance's word that the process of a replica leaves.
-func (c *Control) Leaving(p roster.Process) { c.leave(p, "another instance") }
+// Leaving records another instance's report that a replica process shuts down.
+func (c *Control) Leaving(p roster.Process) { c.markLeaving(p, "another instance") }
 
-// leave keeps new work off a process for good, and returns whether that is new.
-func (c *Control) leave(p roster.Process, source string) bool {
+// markLeaving permanently keeps new work away from a process, and reports whether that is
+// new.
+func (c *Control) markLeaving(p roster.Process, source string) bool {
 	c.mu.Lock()
-	marked := c.roster.Leave(p)
-	if marked {
-		c.log.Info("replica leaves", zap.String("replica", p.ID), zap.Int64("born", p.Born), zap.String("source", source))
+	isNew := c.roster.Leave(p)
+	if isNew {
+		c.log.Info("replica shuts down", zap.String("replica", p.ID), zap.Int64("born", p.Born), zap.String("source", source))
 		if e, _, ok := c.roster.Get(p.ID); ok {
-			c.changedAt[e.Zone] = time.Now()
+			c.lastChange[e.Zone] = time.Now()
 		}
 	}
 	c.mu.Unlock()
-	c.publish(marked)
-	return marked
+	c.updateGateway(isNew)
+	return isNew
 }
 
-// Removed takes another instance's word that the entry of a replica is gone. It counts
-// only while this instance waits for entries to come back, since the store does not answer
-// it or has just begun to: the other one has had the store all the while.
+// Removed records another instance's report that the entry of a replica was removed. It is
+// ignored unless this instance waits for entries to return during or after an outage of
+// the store; the other instance has had access to the store all along.
 func (c *Control) Removed(id string) {
 	c.mu.Lock()
 	marked := c.roster.InGrace(time.Now()) && c.roster.Removed(id)
 	if marked {
-		c.log.Info("entry of a replica is gone", zap.String("replica", id), zap.String("source", "another instance"))
+		c.log.Info("entry of a replica was removed", zap.String("replica", id), zap.String("source", "another instance"))
 	}
 	c.mu.Unlock()
-	c.publish(marked)
+	c.updateGateway(marked)
 }
 
-// StoreAway tells whether the store does not answer.
+// StoreAway reports whether the store is unavailable.
 func (c *Control) StoreAway() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.store.away
+	return c.store.unavailable
 }
 
-// Departed returns the processes of replicas that leave for good or have left.
+// Departed returns the replica processes that are shutting down or have done so.
 func (c *Control) Departed() []roster.Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/control/control_test.go
+++ b/node/control/control_test.go
@@ -19,47 +19,47 @@
 	"masticbank.example/node/gateway"
 )
 
-// world is a store, a group and replicas without sockets.
-type world struct {
-	mu         sync.Mutex
-	away       bool
-	config     *routing.Config
-	entries    []roster.Entry
-	duty       bool
-	generation int64
-	left       bool
-	members    []string
-	history    []roster.Update
+// fakePlatform is a store, a group and replicas without network connections.
+type fakePlatform struct {
+	mu          sync.Mutex
+	unavailable bool
+	config      *routing.Config
+	entries     []roster.Entry
+	duty        bool
+	generation  int64
+	left        bool
+	members     []string
+	history     []roster.Update
 	// reads counts the reads of the history, polls those of the configuration.
-	reads  int
-	polls  int
-	answer gateway.OrderResult
-	orders []int64 // fencing tokens
-	told   []int64 // generations that joins named
+	reads           int
+	polls           int
+	result          gateway.OrderResult
+	tokensUsed      []int64 // fencing tokens
+	joinGenerations []int64 // generations sent with joins
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
-func (w *world) check() error {
-	if w.away {
-		return errAway
+func (w *fakePlatform) check() error {
+	if w.unavailable {
+		return errUnavailable
 	}
 	return nil
 }
 
-func (w *world) set(f func()) {
+func (w *fakePlatform) set(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-func (w *world) tokens() []int64 {
+func (w *fakePlatform) tokens() []int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]int64(nil), w.orders...)
+	return append([]int64(nil), w.tokensUsed...)
 }
 
-type configs struct{ *world }
+type configs struct{ *fakePlatform }
 
 func (c configs) Newest(context.Context) (*Published, int64, error) {
 	c.mu.Lock()
@@ -67,7 +67,7 @@
 	return &Published{Config: c.config}, 0, c.check()
 }
 
-// Next answers when the wait is over, so that each version is missed by one poll.
+// Next returns when the wait is over, so that each version is missed by one poll.
 func (c configs) Next(ctx context.Context, cursor int64, wait time.Duration) ([]*Published, []*Malformed, int64, error) {
 	c.set(func() { c.polls++ })
 	sleep(ctx, wait)
@@ -76,7 +76,7 @@
 	return []*Published{{Config: c.config}}, nil, cursor, errors.Join(c.check(), ctx.Err())
 }
 
-// Decode takes a version in decimal digits.
+// Decode accepts a version in decimal digits.
 func (c configs) Decode(content []byte) (*Published, error) {
 	version, err := strconv.ParseInt(string(content), 10, 64)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return &Published{Config: &cfg, Content: content}, nil
 }
 
-type replicas struct{ *world }
+type replicas struct{ *fakePlatform }
 
 func (r replicas) Newest(context.Context) ([]roster.Entry, []*Malformed, int64, error) {
 	r.mu.Lock()
@@ -106,45 +106,45 @@
 	return u, nil, r.check()
 }
 
-func (w *world) Join(_ context.Context, _ time.Duration, generation int64) (Membership, error) {
+func (w *fakePlatform) Join(_ context.Context, _ time.Duration, generation int64) (Membership, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told = append(w.told, generation)
+	w.joinGenerations = append(w.joinGenerations, generation)
 	return Membership{Generation: w.generation, Duty: w.duty}, w.check()
 }
 
-func (w *world) Members(context.Context) ([]string, error) {
+func (w *fakePlatform) Members(context.Context) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.members, w.check()
 }
 
-func (w *world) Leave(context.Context) error {
+func (w *fakePlatform) Leave(context.Context) error {
 	w.set(func() { w.left = true })
 	return nil
 }
 
-func (w *world) Report(context.Context, gateway.Replica) (gateway.Report, error) {
-	return gateway.Report{}, errAway
+func (w *fakePlatform) Report(context.Context, gateway.Replica) (gateway.Report, error) {
+	return gateway.Report{}, errUnavailable
 }
 
-func (w *world) Place(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.OrderResult, error) {
+func (w *fakePlatform) Place(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.OrderResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.orders = append(w.orders, fence)
-	return w.answer, nil
+	w.tokensUsed = append(w.tokensUsed, fence)
+	return w.result, nil
 }
 
-func (w *world) Repath(context.Context, gateway.Replica, string, pipeline.Path) (gateway.OrderResult, error) {
-	return gateway.OrderResult{}, errAway
+func (w *fakePlatform) Repath(context.Context, gateway.Replica, string, pipeline.Path) (gateway.OrderResult, error) {
+	return gateway.OrderResult{}, errUnavailable
 }
 
-func newWorld() *world {
+func newFakePlatform() *fakePlatform {
 	m := &pipeline.Model{
 		Layers: 4, LayerMB: 100, KVTokenBytes: 1000, LoadSeconds: 1,
 		Kinds: map[string]pipeline.Kind{"k": {Name: "k", MemoryMB: 1000, StepFactor: 1, ReadFactor: 1}},
 	}
-	return &world{
+	return &fakePlatform{
 		config:     &routing.Config{Version: 3, Services: []routing.Service{{Name: "s", Model: m}}},
 		entries:    []roster.Entry{{ID: "r", Service: "s", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Born: 1, Sequence: 1}},
 		duty:       true,
@@ -152,12 +152,12 @@
 	}
 }
 
-// run starts a control in a bubble of virtual time and calls f.
-func run(t *testing.T, w *world, f func(c *Control, g *gateway.Gateway)) {
+// run starts a Control under a fake clock and calls f.
+func run(t *testing.T, w *fakePlatform, f func(c *Control, g *gateway.Gateway)) {
 	runWith(t, w, Options{}, f)
 }
 
-func runWith(t *testing.T, w *world, o Options, f func(c *Control, g *gateway.Gateway)) {
+func runWith(t *testing.T, w *fakePlatform, o Options, f func(c *Control, g *gateway.Gateway)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gateway.New(gateway.Options{Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: gateway.NewMetrics(), Control: w})
 		o.Configs, o.Replicas, o.Group, o.Orders, o.Gateway, o.Logger = configs{w}, replicas{w}, w, w, g, zap.NewNop()
@@ -169,5 +169,5 @@
 		cancel()
 		require.NoError(t, <-done)
 	})
-	require.True(t, w.left, "a control that ends leaves its group")
+	require.True(t, w.left, "a Control that ends leaves its group")
 }
--- a/node/control/duty.go
+++ b/node/control/duty.go
@@ -11,152 +11,160 @@
 )
 
 const (
-	// dutyMargin is the part of memberTTL after the last join was sent at which an
-	// instance stops to act on it.
-	dutyMargin = 700 * time.Millisecond
-	// awayDuty is how long the duty goes on while the store does not answer. Outages
-	// last some seconds; after more than that the view of the fleet is too old.
-	awayDuty = 12 * time.Second
-	// layoutInterval is the time between two looks at the layout.
+	// leaderMargin is how long before memberTTL after the last join expires the instance
+	// stops to act as the leader.
+	leaderMargin = 700 * time.Millisecond
+	// outageLeadership is how long the leader continues while the store is unavailable.
+	// Outages last some seconds; after a longer one the view of the replicas is too old.
+	outageLeadership = 12 * time.Second
+	// layoutInterval is the time between two evaluations of the layout.
 	layoutInterval = 200 * time.Millisecond
-	// orderPatience is how long an order without an answer counts as under way.
-	orderPatience = 1500 * time.Millisecond
-	// conflictPatience is the time until a replica that is busy with an earlier order
-	// gets another one; it waits for requests that pass through what it gives up.
-	conflictPatience = 3 * time.Second
-	// suspicionTime is how long a silent replica is left out of the layout if its
-	// entry stays: a little longer than the platform keeps entries of dead ones.
-	suspicionTime = 5 * time.Second
-	// aliveBeats is the number of heartbeats after which a silent replica is taken to
-	// be alive; one may have been on its way.
-	aliveBeats = 2
-	// settleTime is how long no replica must have joined before a fleet without
-	// layers is laid out. Entries are read within replicaInterval of each other.
+	// assignmentTimeout is how long an assignment without a response counts as in
+	// progress.
+	assignmentTimeout = 1500 * time.Millisecond
+	// conflictRetryDelay is the time until a replica that is busy with an earlier
+	// assignment gets another one. It waits for requests that use the layers which it
+	// unloads.
+	conflictRetryDelay = 3 * time.Second
+	// suspectedFailureTime is how long an unresponsive replica is left out of the layout
+	// if its entry stays: a little longer than the platform keeps entries of dead
+	// replicas.
+	suspectedFailureTime = 5 * time.Second
+	// recoveryHeartbeats is the number of new heartbeats after which an unresponsive
+	// replica counts as alive; a single one may have been in transit.
+	recoveryHeartbeats = 2
+	// settleTime is how long no replica must have joined before layers are assigned to
+	// replicas that hold none. Instances of the service read entries within
+	// replicaInterval of each other.
 	settleTime = 1200 * time.Millisecond
-	// calmTime is how long no replica must have joined, left or fallen silent for
-	// layers to be moved between replicas that work.
-	calmTime = 2500 * time.Millisecond
-	// loadSlack is added to the expected time of a load before it is ordered again.
-	loadSlack = 3 * time.Second
+	// stableTime is how long no replica of a zone must have joined, left or become
+	// unresponsive before layers are moved between working replicas.
+	stableTime = 2500 * time.Millisecond
+	// loadTimeMargin is added to the expected load time before an assignment is repeated.
+	loadTimeMargin = 3 * time.Second
 )
 
-// membership is what an instance remembers between joins.
+// membership is the state that an instance keeps between joins.
 type membership struct {
-	// generation is the last one received. It tells the store that this member knows
-	// what it gave up. changed is when it changed.
+	// generation is the last one received. Sending it with a join tells the store that
+	// this member knows what it no longer owns. changedAt is when it changed.
 	generation int64
-	changed    time.Time
-	// listed is the generation of the member list, which was read at readAt and had
-	// members.
-	listed  int64
-	readAt  time.Time
-	members int
-	started time.Time
-	// restart is true when the system was there before this process.
-	restart bool
+	changedAt  time.Time
+	// listedGeneration is the generation at which the member list was read, at readAt and
+	// with members entries.
+	listedGeneration int64
+	readAt           time.Time
+	members          int
+	started          time.Time
+	// isRestart is true if the system was running before this process.
+	isRestart bool
 }
 
-// keepMembership stays in the group until ctx ends, and leaves it then.
+// keepMembership stays in the group until ctx ends or the instance retires, and then
+// leaves it.
 func (c *Control) keepMembership(ctx context.Context) error {
-	m := membership{started: time.Now(), restart: !c.opts.FirstStart}
+	m := membership{started: time.Now(), isRestart: !c.opts.FirstStart}
 	for ctx.Err() == nil && !c.retired.Load() {
 		sent := time.Now()
 		if err := c.join(ctx, sent, &m); err != nil {
-			c.failed(ctx, membershipCall, err)
+			c.storeFailed(ctx, membershipCall, err)
 			continue
 		}
-		c.rest(ctx, m.pause(sent)-time.Since(sent))
+		c.awaitNextJoin(ctx, m.joinDelay(sent)-time.Since(sent))
 	}
-	c.setDuty(time.Now(), Membership{Generation: m.generation})
-	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), retryInterval)
+	c.setLeadership(time.Now(), Membership{Generation: m.generation})
+	leaveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), joinRetryInterval)
 	defer cancel()
 	if err := c.opts.Group.Leave(leaveCtx); err != nil {
-		c.log.Info("the group drops this member by itself", zap.Error(err))
+		c.log.Info("leaving the group failed, the membership will expire", zap.Error(err))
 	}
 	return nil
 }
 
-// pause returns the time until the next join. The duty changes hands in two joins
-// after a change of the group: one of the old holder, one of the new.
-func (m *membership) pause(sent time.Time) time.Duration {
-	if sent.Sub(m.changed) < joinInterval {
-		return changedJoinInterval
+// joinDelay returns the time until the next join. After a change of the group the leader
+// changes within two joins, one of the old leader and one of the new, so joins are more
+// frequent.
+func (m *membership) joinDelay(sent time.Time) time.Duration {
+	if sent.Sub(m.changedAt) < joinInterval {
+		return changedGroupJoinInterval
 	}
 	return joinInterval
 }
 
-// listDue tells whether the member list is to be read.
+// listDue reports whether the member list is to be read.
 func (m *membership) listDue(sent time.Time) bool {
-	interval := memberInterval
-	if sent.Sub(m.started) < startTime {
-		interval = startMemberInterval
-		if m.restart {
-			interval = restartMemberInterval
+	interval := memberReadInterval
+	if sent.Sub(m.started) < startupPeriod {
+		interval = startMemberReadInterval
+		if m.isRestart {
+			interval = restartMemberReadInterval
 		}
 	}
-	return m.generation != m.listed && sent.Sub(m.readAt) >= interval
+	return m.generation != m.listedGeneration && sent.Sub(m.readAt) >= interval
 }
 
 // join enters the group or stays in it. The generation grows with each change of the
-// members. Many change at once when the whole system starts; their number counts once
-// it has been the same for a join.
+// members. When the whole system starts, many join at once, so the number of members is
+// used only once it has not changed for a join.
 func (c *Control) join(ctx context.Context, sent time.Time, m *membership) error {
 	got, err := c.opts.Group.Join(ctx, c.ttl(), m.generation)
 	if err != nil {
 		return err
 	}
-	c.answered(membershipCall)
+	c.storeResponded(membershipCall)
 	if got.Generation != m.generation {
-		m.generation, m.changed = got.Generation, sent
+		m.generation, m.changedAt = got.Generation, sent
 	}
-	c.setDuty(sent, got)
-	if m.generation == m.listed {
+	c.setLeadership(sent, got)
+	if m.generation == m.listedGeneration {
 		c.opts.Gateway.SetInstances(c.instances(m.members))
 		return nil
 	}
 	if m.listDue(sent) {
 		if n, ok := c.readMembers(ctx); ok {
-			m.listed, m.readAt, m.members = m.generation, sent, n
+			m.listedGeneration, m.readAt, m.members = m.generation, sent, n
 		}
 	}
 	return nil
 }
 
-// rest waits until the next join, or until the instance retires.
-func (c *Control) rest(ctx context.Context, d time.Duration) {
+// awaitNextJoin waits for d, or until the instance retires.
+func (c *Control) awaitNextJoin(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-c.retire:
+	case <-c.retireSignal:
 	case <-ctx.Done():
 	}
 }
 
-// Retire gives the duty to another instance. The rest goes on until Run ends.
+// Retire releases the leader task to another instance. Everything else continues until Run
+// ends.
 func (c *Control) Retire() {
 	if c.retired.CompareAndSwap(false, true) {
-		close(c.retire)
+		close(c.retireSignal)
 	}
 }
 
-func (c *Control) setDuty(sent time.Time, m Membership) {
+// setLeadership records the group's response to a join sent at sent.
+func (c *Control) setLeadership(sent time.Time, m Membership) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m.Duty != c.duty.Duty {
-		c.log.Info("duty of ordering replicas", zap.Bool("held", m.Duty), zap.Int64("generation", m.Generation))
-		clear(c.placed)
+	if m.Duty != c.leadership.Duty {
+		c.log.Info("leader task of assigning layers changed", zap.Bool("held", m.Duty), zap.Int64("generation", m.Generation))
+		clear(c.pending)
 	}
-	c.duty.Membership = m
-	c.duty.until = sent.Add(c.ttl() - dutyMargin)
+	c.leadership.Membership = m
+	c.leadership.until = sent.Add(c.ttl() - leaderMargin)
 }
 
-// readMembers passes on the list of members and returns their number; it returns
-// false when the store does not answer.
+// readMembers publishes the member list and returns its length, or false if the store is
+// unavailable.
 func (c *Control) readMembers(ctx context.Context) (int, bool) {
 	members, err := c.opts.Group.Members(ctx)
 	if err != nil {
-		c.log.Info("members not read", zap.Error(err))
+		c.log.Info("member list could not be read", zap.Error(err))
 		return 0, false
 	}
 	if c.opts.OnMembers != nil {
@@ -165,8 +173,8 @@
 	return len(members), true
 }
 
-// instances returns the number of instances. Members are missing in the list while
-// they hold no partition yet.
+// instances returns the number of instances. Members that own no partition yet are missing
+// from the list, so connected peers count as well.
 func (c *Control) instances(listed int) int {
 	if c.opts.Peers == nil {
 		return listed
@@ -174,58 +182,58 @@
 	return max(listed, c.opts.Peers()+1)
 }
 
-// fence returns the token for orders, or false without the duty. While the store
-// does not answer, nobody can take the duty over through it, and the last holder
-// goes on for awayDuty: replicas refuse its token once they have seen a higher one,
-// and a peer that holds the duty tells so.
-func (c *Control) fence(now time.Time) (int64, bool) {
+// fencingToken returns the token for assignments, or false unless this instance is the
+// leader. While the store is unavailable, no other instance can become the leader through
+// it, so the last leader continues for outageLeadership. This is safe because replicas
+// refuse its token once they have seen a higher one, and a peer that is the leader
+// publishes that.
+func (c *Control) fencingToken(now time.Time) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until := c.duty.until
-	if c.store.away {
-		until = until.Add(awayDuty)
+	until := c.leadership.until
+	if c.store.unavailable {
+		until = until.Add(outageLeadership)
 	}
-	if !c.duty.Duty || !now.Before(until) || c.duty.Generation <= c.duty.fenced {
+	if !c.leadership.Duty || !now.Before(until) || c.leadership.Generation <= c.leadership.rejectedToken {
 		return 0, false
 	}
-	return c.duty.Generation, true
+	return c.leadership.Generation, true
 }
 
-// OtherDuty takes a peer's word that it holds the duty. A later generation ends
-// this instance's.
+// OtherDuty records a peer's report that it is the leader. A later generation than this
+// instance's ends its own leadership.
 func (c *Control) OtherDuty(generation int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.duty.Duty && generation > c.duty.Generation {
-		c.log.Info("another instance holds the duty", zap.Int64("generation", generation), zap.Int64("own", c.duty.Generation))
-		c.duty.Duty = false
+	if c.leadership.Duty && generation > c.leadership.Generation {
+		c.log.Info("another instance is the leader", zap.Int64("generation", generation), zap.Int64("own", c.leadership.Generation))
+		c.leadership.Duty = false
 	}
 }
 
-// DutyGeneration returns the generation under which this instance may give orders,
-// or 0.
+// DutyGeneration returns the generation under which this instance may assign layers, or 0.
 func (c *Control) DutyGeneration() int64 {
-	token, _ := c.fence(time.Now())
+	token, _ := c.fencingToken(time.Now())
 	return token
 }
 
-// Duty tells whether this instance held the duty by the last word of the group,
-// which may be old.
+// Duty reports whether this instance was the leader in the last response of the group,
+// which may have expired.
 func (c *Control) Duty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.duty.Duty
+	return c.leadership.Duty
 }
 
-// placement is an order under way.
-type placement struct {
+// assignment is a layer assignment in progress.
+type assignment struct {
 	from, to int
 	born     int64
 	until    time.Time
 }
 
-// keepLayout orders replicas to hold layers while this instance has the duty.
-func (c *Control) keepLayout(ctx context.Context) error {
+// runLayout assigns layers to replicas while this instance is the leader.
+func (c *Control) runLayout(ctx context.Context) error {
 	ticker := time.NewTicker(layoutInterval)
 	defer ticker.Stop()
 	for {
@@ -233,34 +241,35 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if token, ok := c.fence(time.Now()); ok {
-				c.orderLayout(ctx, token)
+			if token, ok := c.fencingToken(time.Now()); ok {
+				c.assignLayers(ctx, token)
 			}
 		}
 	}
 }
 
-func (c *Control) orderLayout(ctx context.Context, token int64) {
+// assignLayers plans the layout of each model service and sends the assignments.
+func (c *Control) assignLayers(ctx context.Context, token int64) {
 	table := c.opts.Gateway.Table()
-	if table == nil || !c.loaded.Load() {
+	if table == nil || !c.replicasLoaded.Load() {
 		return
 	}
 	for i := range table.Services() {
-		s := &table.Services()[i]
-		if s.Model == nil {
+		service := &table.Services()[i]
+		if service.Model == nil {
 			continue
 		}
-		nodes, entries := c.nodes(s.Name)
+		nodes, entries := c.nodes(service.Name)
 		if c.stillJoining(time.Now(), nodes) {
 			continue
 		}
 		now := time.Now()
-		orders := layout.Plan(s.Model, nodes, func(zone string) bool { return c.calm(now, zone) })
-		c.send(ctx, s.Model, entries, orders, token)
+		assignments := layout.Plan(service.Model, nodes, func(zone string) bool { return c.stable(now, zone) })
+		c.sendAssignments(ctx, service.Model, entries, assignments, token)
 	}
 }
 
-// Suspect leaves a silent replica out of the layout before its entry lapses.
+// Suspect leaves an unresponsive replica out of the layout before its entry expires.
 func (c *Control) Suspect(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -268,28 +277,28 @@
 	if !ok {
 		return
 	}
-	if _, known := c.suspects[id]; !known {
-		c.changedAt[e.Zone] = time.Now()
+	if _, known := c.unresponsive[id]; !known {
+		c.lastChange[e.Zone] = time.Now()
 		c.log.Info("replica left out of the layout", zap.String("replica", id), zap.Int64("heartbeat", e.Sequence))
 	}
-	c.suspects[id] = suspicion{born: e.Born, heartbeat: e.Sequence, until: time.Now().Add(suspicionTime)}
+	c.unresponsive[id] = failureReport{born: e.Born, heartbeat: e.Sequence, until: time.Now().Add(suspectedFailureTime)}
 }
 
-// suspected tells whether a replica is left out. The caller holds the lock.
+// suspected reports whether a replica is left out as unresponsive. The lock is held.
 func (c *Control) suspected(now time.Time, e roster.Entry) bool {
-	s, ok := c.suspects[e.ID]
+	s, ok := c.unresponsive[e.ID]
 	if !ok {
 		return false
 	}
-	if s.born != e.Born || e.Sequence >= s.heartbeat+aliveBeats || now.After(s.until) {
-		delete(c.suspects, e.ID)
+	if s.born != e.Born || e.Sequence >= s.heartbeat+recoveryHeartbeats || now.After(s.until) {
+		delete(c.unresponsive, e.ID)
 		return false
 	}
 	return true
 }
 
-// stillJoining tells whether a fleet without layers is growing yet, so that a
-// layout would soon be wrong.
+// stillJoining reports whether no replica holds layers yet and replicas are still joining,
+// so that a layout would soon be outdated.
 func (c *Control) stillJoining(now time.Time, nodes []layout.Node) bool {
 	for _, n := range nodes {
 		if n.To > n.From || n.WantTo > n.WantFrom {
@@ -298,17 +307,19 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.joinedAt) < settleTime
+	return now.Sub(c.lastJoin) < settleTime
 }
 
-// calm tells whether no replica of the zone has joined or left for a while.
-func (c *Control) calm(now time.Time, zone string) bool {
+// stable reports whether no replica of the zone has joined, left or become unresponsive
+// for stableTime.
+func (c *Control) stable(now time.Time, zone string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.changedAt[zone]) >= calmTime
+	return now.Sub(c.lastChange[zone]) >= stableTime
 }
 
-// nodes returns the replicas that take layers.
+// nodes returns the replicas that can hold layers: what they hold and what was assigned to
+// them.
 func (c *Control) nodes(service string) ([]layout.Node, map[string]roster.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -327,9 +338,9 @@
 		if from, to, ok := c.opts.Gateway.Layers(service, e.ID); ok && e.Layers != nil {
 			n.From, n.To = from, to
 		}
-		if p, ok := c.placed[e.ID]; ok {
+		if p, ok := c.pending[e.ID]; ok {
 			if p.born != e.Born || now.After(p.until) || (p.from == n.From && p.to == n.To) {
-				delete(c.placed, e.ID)
+				delete(c.pending, e.ID)
 			} else {
 				n.WantFrom, n.WantTo = p.from, p.to
 			}
--- a/node/control/duty_test.go
+++ b/node/control/duty_test.go
@@ -11,8 +11,8 @@
 	"masticbank.example/node/gateway"
 )
 
-func TestLayersAreOrderedUnderTheGeneration(t *testing.T) {
-	w := newWorld()
+func TestAssignmentsUseTheGenerationAsToken(t *testing.T) {
+	w := newFakePlatform()
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(3 * time.Second)
 		require.True(t, c.Ready())
@@ -20,25 +20,24 @@
 	})
 }
 
-// TestFencedHolderStops has a replica that saw a higher token: this one must not
-// be used again, a later one may.
-func TestFencedHolderStops(t *testing.T) {
-	w := newWorld()
-	w.answer = gateway.OrderResult{Status: gateway.OrderFenced}
+// A replica has seen a higher token: this one must not be used again, but a later one may.
+func TestFencedLeaderStops(t *testing.T) {
+	w := newFakePlatform()
+	w.result = gateway.OrderResult{Status: gateway.OrderFenced}
 	run(t, w, func(*Control, *gateway.Gateway) {
 		time.Sleep(time.Minute)
 		require.Equal(t, []int64{7}, w.tokens())
 		w.set(func() {
 			w.generation = 9
-			w.answer = gateway.OrderResult{}
+			w.result = gateway.OrderResult{}
 		})
 		time.Sleep(5 * time.Second)
 		require.Equal(t, int64(9), w.tokens()[1])
 	})
 }
 
-func TestWithoutTheDutyNothingIsOrdered(t *testing.T) {
-	w := newWorld()
+func TestOnlyTheLeaderAssignsLayers(t *testing.T) {
+	w := newFakePlatform()
 	w.duty = false
 	run(t, w, func(*Control, *gateway.Gateway) {
 		time.Sleep(time.Minute)
@@ -46,29 +45,29 @@
 	})
 }
 
-// TestDutyEndsWithTheOutageOrAnotherHolder lets the store go away: the duty goes
-// on for a while, and not against a peer with a later generation.
-func TestDutyEndsWithTheOutageOrAnotherHolder(t *testing.T) {
-	w := newWorld()
+// When the store becomes unavailable, the leader continues for a while, but not against a
+// peer with a later generation.
+func TestLeadershipEndsByOutageOrNewerLeader(t *testing.T) {
+	w := newFakePlatform()
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(3 * time.Second)
-		w.set(func() { w.away = true })
+		w.set(func() { w.unavailable = true })
 		time.Sleep(6 * time.Second)
 		require.Equal(t, int64(7), c.DutyGeneration())
 		time.Sleep(30 * time.Second)
 		require.Zero(t, c.DutyGeneration(), "after a long outage the view is too old")
-		w.set(func() { w.away = false })
+		w.set(func() { w.unavailable = false })
 		time.Sleep(3 * time.Second)
 		require.Equal(t, int64(7), c.DutyGeneration())
-		w.set(func() { w.away = true })
+		w.set(func() { w.unavailable = true })
 		time.Sleep(time.Second)
 		c.OtherDuty(8)
 		require.Zero(t, c.DutyGeneration())
 	})
 }
 
-func TestRetiredInstancesGiveTheDutyBack(t *testing.T) {
-	w := newWorld()
+func TestRetiredInstancesReleaseLeadership(t *testing.T) {
+	w := newFakePlatform()
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(3 * time.Second)
 		c.Retire()
@@ -79,13 +78,12 @@
 	})
 }
 
-// TestSuspectsReturnWithTheirHeartbeats leaves a silent replica out until two more
-// heartbeats have come.
-func TestSuspectsReturnWithTheirHeartbeats(t *testing.T) {
+// An unresponsive replica is left out until two more heartbeats have arrived.
+func TestSuspectedReplicaRecoversWithHeartbeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Logger: zap.NewNop()})
 	e := roster.Entry{ID: "r", Born: 1, Sequence: 4}
-	c.suspects["r"] = suspicion{born: 1, heartbeat: 4, until: now.Add(time.Minute)}
+	c.unresponsive["r"] = failureReport{born: 1, heartbeat: 4, until: now.Add(time.Minute)}
 	require.True(t, c.suspected(now, e))
 	e.Sequence = 5
 	require.True(t, c.suspected(now, e))
@@ -94,42 +92,40 @@
 	require.False(t, c.suspected(now, roster.Entry{ID: "r", Born: 1, Sequence: 4}))
 }
 
-// TestJoinsNameTheLastGeneration changes the generation: until a member names it,
-// the store does not hand what the member gave up to another one.
-func TestJoinsNameTheLastGeneration(t *testing.T) {
-	w := newWorld()
+// When the generation changes, the next join sends it. Until then the store does not hand
+// over what the member no longer owns.
+func TestJoinsSendTheLastGeneration(t *testing.T) {
+	w := newFakePlatform()
 	run(t, w, func(*Control, *gateway.Gateway) {
-		time.Sleep(changedJoinInterval / 2)
+		time.Sleep(changedGroupJoinInterval / 2)
 		w.set(func() { w.generation = 8 })
-		time.Sleep(3*changedJoinInterval + changedJoinInterval/4)
-		w.set(func() { require.Equal(t, []int64{0, 7, 8, 8}, w.told) })
+		time.Sleep(3*changedGroupJoinInterval + changedGroupJoinInterval/4)
+		w.set(func() { require.Equal(t, []int64{0, 7, 8, 8}, w.joinGenerations) })
 	})
 }
 
-// TestNumberOfInstancesCountsWhenItIsStable has the whole system start at once: the
-// first list has only some members.
-func TestNumberOfInstancesCountsWhenItIsStable(t *testing.T) {
-	w := newWorld()
+// The whole system starts at once, and the first member list is incomplete.
+func TestInstanceCountIsUsedOnceStable(t *testing.T) {
+	w := newFakePlatform()
 	w.members = []string{"a"}
 	runWith(t, w, Options{FirstStart: true}, func(_ *Control, g *gateway.Gateway) {
-		time.Sleep(changedJoinInterval / 2)
+		time.Sleep(changedGroupJoinInterval / 2)
 		require.Zero(t, g.Instances())
 		w.set(func() { w.generation, w.members = 8, []string{"a", "b", "c"} })
 		time.Sleep(joinInterval)
 		require.Zero(t, g.Instances())
-		time.Sleep(startMemberInterval + joinInterval)
+		time.Sleep(startMemberReadInterval + joinInterval)
 		require.Equal(t, 3, g.Instances())
 	})
 }
 
-// TestNumberOfInstancesAfterARestart has all instances start again together: callers come
-// back at once, and the number is known within a second, from a list that was read when
-// all had joined.
-func TestNumberOfInstancesAfterARestart(t *testing.T) {
-	w := newWorld()
+// All instances restart together. Clients return at once, so the number of instances must
+// be known within a second, from a list that was read after all had joined.
+func TestInstanceCountAfterRestart(t *testing.T) {
+	w := newFakePlatform()
 	w.members = []string{"a"}
 	run(t, w, func(_ *Control, g *gateway.Gateway) {
-		time.Sleep(changedJoinInterval / 2)
+		time.Sleep(changedGroupJoinInterval / 2)
 		require.Zero(t, g.Instances())
 		w.set(func() { w.generation, w.members = 8, []string{"a", "b", "c"} })
 		time.Sleep(time.Second)
--- a/node/control/evidence.go
+++ b/node/control/evidence.go
@@ -13,51 +13,53 @@
 const (
 	// evidenceWait is the longest wait for new evidence in one call.
 	evidenceWait = 5 * time.Second
-	// evidenceInterval is the time between two looks whether evidence has to be read or
+	// evidenceInterval is the time between two checks whether evidence has to be read or
 	// written.
 	evidenceInterval = 100 * time.Millisecond
-	// evidenceGrace is the time that instances have to connect to each other when the
-	// whole system starts for the first time and there is no evidence yet.
+	// evidenceGrace is how long instances may take to connect to each other when the whole
+	// system starts for the first time and there is no evidence yet.
 	evidenceGrace = 5 * time.Second
-	// connectedShare is the part of the other instances from which on they are relied on
-	// for evidence: it comes round those that cannot reach each other.
-	connectedShare = 0.75
-	// maxExpired is the number of crashes beyond their retention that may stay in the
-	// store; a record takes some 200 bytes.
-	maxExpired = 256
-	// maxKept bounds the crashes that wait to be written.
-	maxKept = 1024
+	// minConnectedShare is the fraction of the other instances that must be connected for
+	// an instance to rely on them for evidence: then it also arrives through others from
+	// those that it cannot reach.
+	minConnectedShare = 0.75
+	// maxStoredExpired is the number of crashes past their retention that may stay in the
+	// store; a record takes about 200 bytes.
+	maxStoredExpired = 256
+	// maxUnwritten limits the crashes that wait to be written.
+	maxUnwritten = 1024
 )
 
-// EvidenceStore keeps evidence on requests that crash replicas.
+// EvidenceStore stores evidence about requests that crash replicas.
 type EvidenceStore interface {
 	// Newest returns all evidence and a cursor.
 	Newest(ctx context.Context) ([]poison.Crash, int64, error)
-	// Next returns what was added since the cursor. It waits up to wait for it.
+	// Next returns what was added since the cursor. It waits for it up to wait.
 	Next(ctx context.Context, cursor int64, wait time.Duration) ([]poison.Crash, int64, error)
-	// Add writes crashes; writing one again changes nothing.
+	// Add writes crashes. Writing one again has no effect.
 	Add(ctx context.Context, crashes []poison.Crash) error
-	// Drop removes crashes.
+	// Drop deletes crashes.
 	Drop(ctx context.Context, crashes []poison.Crash) error
 }
 
-// KeepEvidence has crashes written to the store, so that they outlast all instances.
+// KeepEvidence queues crashes to be written to the store, so that they survive when all
+// instances end.
 func (c *Control) KeepEvidence(crashes []poison.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kept = append(c.kept, crashes...)
-	if over := len(c.kept) - maxKept; over > 0 {
-		c.log.Warn("evidence dropped, too much waits for the store", zap.Int("crashes", over))
-		c.kept = c.kept[over:]
+	c.unwritten = append(c.unwritten, crashes...)
+	if over := len(c.unwritten) - maxUnwritten; over > 0 {
+		c.log.Warn("evidence discarded: too much is waiting to be written", zap.Int("crashes", over))
+		c.unwritten = c.unwritten[over:]
 	}
 }
 
-// writeEvidence writes what waits until ctx ends.
+// writeEvidence writes queued crashes until ctx ends.
 func (c *Control) writeEvidence(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		crashes := c.kept
-		c.kept = nil
+		crashes := c.unwritten
+		c.unwritten = nil
 		c.mu.Unlock()
 		if len(crashes) == 0 {
 			sleep(ctx, evidenceInterval)
@@ -65,16 +67,16 @@
 		}
 		if err := c.opts.Evidence.Add(ctx, crashes); err != nil {
 			c.KeepEvidence(crashes)
-			c.failed(ctx, "evidence", err)
+			c.storeFailed(ctx, "evidence", err)
 			continue
 		}
-		c.answered("evidence")
+		c.storeResponded("evidence")
 	}
 	return nil
 }
 
-// readEvidence reads all evidence after a start, and what is added while too few other
-// instances are connected to tell it.
+// readEvidence reads all evidence after a start. While too few other instances are
+// connected to publish new evidence, it also reads what is added.
 func (c *Control) readEvidence(ctx context.Context) error {
 	started := time.Now()
 	cursor := int64(-1)
@@ -90,11 +92,11 @@
 			cursor = -1
 			continue
 		case err != nil:
-			c.failed(ctx, "evidence", err)
+			c.storeFailed(ctx, "evidence", err)
 			continue
 		}
 		cursor = next
-		c.answered("evidence")
+		c.storeResponded("evidence")
 		if len(list) > 0 {
 			c.log.Info("evidence read", zap.Int("crashes", len(list)))
 			c.opts.Gateway.LearnEvidence(poison.State{Crashes: list})
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// fetchEvidence reads all evidence without a cursor, else what was added since.
+// fetchEvidence reads all evidence if there is no cursor, else what was added since.
 func (c *Control) fetchEvidence(ctx context.Context, cursor int64) ([]poison.Crash, int64, error) {
 	if cursor < 0 {
 		list, next, err := c.opts.Evidence.Newest(ctx)
@@ -115,7 +117,7 @@
 	return c.opts.Evidence.Next(ctx, cursor, evidenceWait)
 }
 
-// dropExpired removes the crashes beyond their retention when there are many.
+// dropExpired deletes the crashes past their retention if there are many.
 func (c *Control) dropExpired(ctx context.Context, list []poison.Crash) error {
 	var expired []poison.Crash
 	for _, crash := range list {
@@ -123,18 +125,18 @@
 			expired = append(expired, crash)
 		}
 	}
-	if len(expired) <= maxExpired {
+	if len(expired) <= maxStoredExpired {
 		return nil
 	}
-	c.log.Info("expired evidence dropped", zap.Int("crashes", len(expired)))
+	c.log.Info("expired evidence deleted from the store", zap.Int("crashes", len(expired)))
 	return c.opts.Evidence.Drop(ctx, expired)
 }
 
-// connected tells whether enough other instances are connected.
+// connected reports whether enough other instances are connected.
 func (c *Control) connected() bool {
 	if c.opts.Peers == nil {
 		return false
 	}
 	others := c.opts.Gateway.Instances() - 1
-	return others >= 0 && float64(c.opts.Peers()) >= connectedShare*float64(others)
+	return others >= 0 && float64(c.opts.Peers()) >= minConnectedShare*float64(others)
 }
--- a/node/control/follow.go
+++ b/node/control/follow.go
@@ -24,17 +24,18 @@
 		}
 		switch {
 		case errors.Is(err, ErrHistoryGone):
-			c.log.Info("history of the configuration is gone, reading the newest")
+			c.log.Info("history of the configuration was truncated, reading the newest version")
 			cursor = -1
 		case err != nil:
-			c.failed(ctx, "configuration", err)
+			c.storeFailed(ctx, "configuration", err)
 		default:
-			c.answered("configuration")
+			c.storeResponded("configuration")
 		}
 	}
 	return nil
 }
 
+// readConfig reads the newest configuration and returns the cursor after it.
 func (c *Control) readConfig(ctx context.Context) (int64, error) {
 	p, cursor, err := c.opts.Configs.Newest(ctx)
 	var m *Malformed
@@ -51,16 +52,16 @@
 	return cursor, nil
 }
 
-// nextConfig waits for configurations. The wait is given up when the store answers
-// again after an outage, as the call may have been lost in it.
+// nextConfig waits for new configurations. The wait is cancelled when the store is
+// available again after an outage, because the call may have been lost in it.
 func (c *Control) nextConfig(ctx context.Context, cursor int64) (int64, error) {
 	if c.opts.Reads != nil {
-		c.awaitTurn(ctx)
+		c.awaitReaderRole(ctx)
 	}
 	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.mu.Lock()
-	c.endPoll = cancel
+	c.cancelPoll = cancel
 	c.mu.Unlock()
 	list, malformed, next, err := c.opts.Configs.Next(pollCtx, cursor, c.configWait())
 	if err != nil && pollCtx.Err() != nil && ctx.Err() == nil {
@@ -76,70 +77,72 @@
 	return next, nil
 }
 
-// awaitTurn waits while other instances follow the configuration, for configUnread at most.
-func (c *Control) awaitTurn(ctx context.Context) {
-	end := time.Now().Add(time.Duration((1 + rand.Float64()) / 2 * float64(configUnread)))
+// awaitReaderRole waits while other instances follow the configuration, but no longer than
+// maxConfigReadInterval.
+func (c *Control) awaitReaderRole(ctx context.Context) {
+	end := time.Now().Add(time.Duration((1 + rand.Float64()) / 2 * float64(maxConfigReadInterval)))
 	for ctx.Err() == nil && !c.opts.Reads() && time.Now().Before(end) {
-		sleep(ctx, turnInterval)
+		sleep(ctx, readerCheckInterval)
 	}
 }
 
-// starting tells whether the whole system has just started for the first time.
-func (c *Control) starting() bool {
-	return c.opts.FirstStart && time.Since(c.started) < startPatience
+// inFirstStart reports whether the whole system has just started for the first time.
+func (c *Control) inFirstStart() bool {
+	return c.opts.FirstStart && time.Since(c.started) < firstStartInterval
 }
 
-// configWait is short for an instance that has no peers to tell it of a version that
-// its poll misses.
+// configWait returns how long the next poll waits. It is short for an instance without
+// peers from which it could receive a version that its poll misses.
 func (c *Control) configWait() time.Duration {
-	if c.opts.Peers != nil && c.opts.Peers() >= peersEnough {
-		return configWait
+	if c.opts.Peers != nil && c.opts.Peers() >= minPeersForConfig {
+		return configPollWait
 	}
-	if c.starting() {
-		return startPatience
+	if c.inFirstStart() {
+		return firstStartInterval
 	}
-	return configWaitAlone
+	return configPollWaitWithoutPeers
 }
 
-// TakeConfig takes a configuration that another instance has in force.
+// TakeConfig applies a configuration that another instance has in force.
 func (c *Control) TakeConfig(content []byte) {
 	p, err := c.opts.Configs.Decode(content)
 	if err != nil {
-		c.log.Warn("configuration of another instance not read", zap.Error(err))
+		c.log.Warn("configuration of another instance could not be decoded", zap.Error(err))
 		return
 	}
 	c.apply(p, "peer")
 }
 
-// followReplicas reads the replicas' entries until ctx ends. While the instance with
-// the duty passes on what it reads, this one does not read.
+// followReplicas reads the replicas' entries until ctx ends. It does not read while the
+// leader relays what it reads.
 func (c *Control) followReplicas(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if left := c.passedOn(time.Now()); left > 0 {
-			c.sleepExpiring(ctx, left)
+		if left := c.relayedReadDue(time.Now()); left > 0 {
+			c.sleepAndExpire(ctx, left)
 			continue
 		}
 		err := c.readReplicas(ctx)
 		switch {
 		case errors.Is(err, ErrHistoryGone):
-			c.log.Info("history of the replicas is gone, reading all entries")
+			c.log.Info("history of the replicas was truncated, reading all entries")
 			c.mu.Lock()
 			c.feed.Lose()
 			c.mu.Unlock()
 			continue
 		case err != nil:
-			c.failed(ctx, "replicas", err)
+			c.storeFailed(ctx, "replicas", err)
 			c.expire()
 			continue
 		}
-		c.answered("replicas")
-		c.sleepExpiring(ctx, c.readInterval())
+		c.storeResponded("replicas")
+		c.sleepAndExpire(ctx, c.readInterval())
 	}
 	return nil
 }
 
-// sleepExpiring sleeps, and drops entries as soon as their time to come back is over.
-func (c *Control) sleepExpiring(ctx context.Context, d time.Duration) {
+// sleepAndExpire waits for d and meanwhile removes entries as soon as their time to return
+// after an outage expires.
+func (c *Control) sleepAndExpire(ctx context.Context, d time.Duration) {
 	for end := time.Now().Add(d); ctx.Err() == nil; {
 		c.expire()
 		left := time.Until(end)
@@ -150,34 +153,35 @@
 	}
 }
 
-// passedOn returns how long this instance may leave reading to the one with the duty.
-func (c *Control) passedOn(now time.Time) time.Duration {
+// relayedReadDue returns how long this instance may rely on updates relayed by others
+// before it reads itself.
+func (c *Control) relayedReadDue(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.duty.Duty {
+	if c.leadership.Duty {
 		return 0
 	}
-	return c.feed.Due(now, passedPatience+c.lateness)
+	return c.feed.Due(now, relayedReadTimeout+c.readDelay)
 }
 
-// readInterval is shorter for the instance that reads for the others, and while
-// orders of this instance are under way.
+// readInterval returns the time until the next read. It is shorter for the leader, which
+// reads for the others, and while assignments of this instance are in progress.
 func (c *Control) readInterval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case len(c.placed) > 0:
-		return orderedInterval
-	case c.duty.Duty:
-		return dutyInterval
-	case c.starting():
-		return startPatience
+	case len(c.pending) > 0:
+		return pendingReadInterval
+	case c.leadership.Duty:
+		return leaderReadInterval
+	case c.inFirstStart():
+		return firstStartInterval
 	default:
 		return replicaInterval
 	}
 }
 
-// readReplicas reads all entries, or what has changed since the last time.
+// readReplicas reads all entries, or only the changes since the last read.
 func (c *Control) readReplicas(ctx context.Context) error {
 	c.mu.Lock()
 	cursor, known := c.feed.Next()
@@ -197,14 +201,15 @@
 		c.logChange(id, change)
 	}
 	c.mu.Unlock()
-	c.loaded.Store(true)
-	c.publish(len(changes) > 0)
+	c.replicasLoaded.Store(true)
+	c.updateGateway(len(changes) > 0)
 	if c.Ready() {
 		c.opts.Gateway.Open()
 	}
 	return nil
 }
 
+// nextReplicas reads and applies the changes since the cursor, and relays them.
 func (c *Control) nextReplicas(ctx context.Context, cursor int64) error {
 	updates, malformed, err := c.opts.Replicas.Next(ctx, cursor)
 	if err != nil {
@@ -214,28 +219,29 @@
 	c.mu.Lock()
 	fresh, follows := c.feed.Read(updates)
 	fresh.List = c.update(fresh.List)
-	c.lateness = c.drawLateness()
+	c.readDelay = c.randomReadDelay()
 	c.mu.Unlock()
-	c.publish(len(fresh.List) > 0)
+	c.updateGateway(len(fresh.List) > 0)
 	if follows && c.opts.OnUpdates != nil {
 		c.opts.OnUpdates(fresh)
 	}
 	return nil
 }
 
-// drawLateness returns how much longer than passedPatience this instance waits for what
-// others read. When the one with the duty is gone, the first that reads tells the others.
-func (c *Control) drawLateness() time.Duration {
+// randomReadDelay returns a random time that this instance waits beyond
+// relayedReadTimeout. If the leader has failed, the instance that reads first relays its
+// updates before the others read.
+func (c *Control) randomReadDelay() time.Duration {
 	if c.opts.Peers == nil {
 		return 0
 	}
-	most := min(mostLateness, time.Duration(c.opts.Peers())*latenessForPeer)
-	return time.Duration(rand.Float64() * float64(most))
+	limit := min(maxReadDelay, time.Duration(c.opts.Peers())*readDelayPerPeer)
+	return time.Duration(rand.Float64() * float64(limit))
 }
 
-// update puts updates into the roster and returns those that are more than a
-// heartbeat, or say that a replica leaves: this instance may have known it. The caller
-// holds the lock.
+// update applies updates to the roster. It returns those that are more than a heartbeat,
+// and those that report a shutdown even if this instance knew it already, as others may
+// not. The lock is held.
 func (c *Control) update(list []roster.Update) []roster.Update {
 	var changed []roster.Update
 	now := time.Now()
@@ -253,16 +259,16 @@
 	return changed
 }
 
-// TakeUpdates takes what the instance with the duty has read.
+// TakeUpdates applies updates that the leader has read.
 func (c *Control) TakeUpdates(u roster.Updates) {
 	c.mu.Lock()
 	changed := c.update(c.feed.Passed(time.Now(), u))
-	c.lateness = c.drawLateness()
+	c.readDelay = c.randomReadDelay()
 	c.mu.Unlock()
-	c.publish(len(changed) > 0)
+	c.updateGateway(len(changed) > 0)
 }
 
-// logChange writes one line about a replica. The caller holds the lock.
+// logChange logs a change of a replica and records its time. The lock is held.
 func (c *Control) logChange(id string, change roster.Change) {
 	e, leaving, _ := c.roster.Get(id)
 	fields := []zap.Field{
@@ -275,19 +281,20 @@
 	c.log.Info("replica changed", fields...)
 	now := time.Now()
 	if change == roster.Joined {
-		c.joinedAt = now
+		c.lastJoin = now
 	}
 	if change != roster.Updated {
-		c.changedAt[e.Zone] = now
+		c.lastChange[e.Zone] = now
 	}
 	if change == roster.Left {
-		c.tellLeft(id, e)
+		c.publishDeparture(id, e)
 	}
 }
 
-// tellLeft tells the other instances of a replica that is to get no new work: by its own
-// word if its entry e is there still, else because its entry is gone.
-func (c *Control) tellLeft(id string, e roster.Entry) {
+// publishDeparture reports to the other instances that a replica is to get no new work:
+// because it shuts down, if its entry e is still listed, else because its entry was
+// removed.
+func (c *Control) publishDeparture(id string, e roster.Entry) {
 	switch {
 	case e.ID != "" && c.opts.OnLeaving != nil:
 		c.opts.OnLeaving(roster.Process{ID: id, Born: e.Born})
@@ -296,19 +303,20 @@
 	}
 }
 
-// expire removes the entries that did not come back after an outage.
+// expire removes the entries that did not return in time after an outage.
 func (c *Control) expire() {
 	c.mu.Lock()
-	gone := c.roster.Expire(time.Now())
-	for _, id := range gone {
-		c.log.Info("replica did not come back after the outage of the store", zap.String("replica", id))
+	expired := c.roster.Expire(time.Now())
+	for _, id := range expired {
+		c.log.Info("replica did not return after the store outage", zap.String("replica", id))
 	}
 	c.mu.Unlock()
-	c.publish(len(gone) > 0)
+	c.updateGateway(len(expired) > 0)
 }
 
-// publish tells the gateway the usable replicas.
-func (c *Control) publish(changed bool) {
+// updateGateway passes the usable replicas and the ended processes to the gateway if
+// something changed.
+func (c *Control) updateGateway(changed bool) {
 	if !changed {
 		return
 	}
--- a/node/control/follow_test.go
+++ b/node/control/follow_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestOlderConfigurationsAreIgnored(t *testing.T) {
-	w := newWorld()
+	w := newFakePlatform()
 	run(t, w, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(time.Second)
 		require.Equal(t, int64(3), g.Table().Version())
@@ -34,10 +34,10 @@
 	})
 }
 
-// TestVersionsComeThoughAPollMissesThem has a store that answers a poll only when
-// its time is over. Users allow 2 s from the acknowledgement of a version.
-func TestVersionsComeThoughAPollMissesThem(t *testing.T) {
-	w := newWorld()
+// The store responds to a poll only when its wait is over. A version must be in force 2 s
+// after it was acknowledged.
+func TestMissedVersionIsReadWithinTwoSeconds(t *testing.T) {
+	w := newFakePlatform()
 	run(t, w, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(100 * time.Millisecond)
 		newer := *w.config
@@ -48,13 +48,12 @@
 	})
 }
 
-// TestPeersBringAVersion has a poll that has just begun and misses a version, which a
-// peer has in force.
-func TestPeersBringAVersion(t *testing.T) {
-	w := newWorld()
+// A poll that has just begun misses a version, which a peer has in force.
+func TestConfigurationFromPeer(t *testing.T) {
+	w := newFakePlatform()
 	var told []int64
 	o := Options{
-		Peers:    func() int { return peersEnough },
+		Peers:    func() int { return minPeersForConfig },
 		OnConfig: func(version int64, _ []byte) { told = append(told, version) },
 	}
 	runWith(t, w, o, func(c *Control, g *gateway.Gateway) {
@@ -68,18 +67,17 @@
 	})
 }
 
-// TestPollEndsWhenTheStoreIsBack lets the store go away during a long poll, whose
-// connection may be lost with it.
-func TestPollEndsWhenTheStoreIsBack(t *testing.T) {
-	w := newWorld()
-	runWith(t, w, Options{Peers: func() int { return peersEnough }}, func(_ *Control, g *gateway.Gateway) {
+// The store becomes unavailable during a long poll, whose connection may be lost with it.
+func TestPollEndsAfterOutage(t *testing.T) {
+	w := newFakePlatform()
+	runWith(t, w, Options{Peers: func() int { return minPeersForConfig }}, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(100 * time.Millisecond)
-		w.set(func() { w.away = true })
+		w.set(func() { w.unavailable = true })
 		time.Sleep(2 * time.Second)
 		newer := *w.config
 		newer.Version = 4
-		w.set(func() { w.away, w.config = false, &newer })
-		time.Sleep(configWait + time.Second)
+		w.set(func() { w.unavailable, w.config = false, &newer })
+		time.Sleep(configPollWait + time.Second)
 		require.Equal(t, int64(4), g.Table().Version())
 	})
 }
@@ -91,8 +89,8 @@
 	}}
 }
 
-// drop empties a channel and returns how much was in it.
-func drop(ch chan roster.Updates) int {
+// drainUpdates empties a channel and returns how many updates it held.
+func drainUpdates(ch chan roster.Updates) int {
 	n := len(ch)
 	for range n {
 		<-ch
@@ -100,86 +98,83 @@
 	return n
 }
 
-// TestOneReadsForAll has an instance with the duty that passes on what it reads:
-// heartbeats only move the offset.
-func TestOneReadsForAll(t *testing.T) {
-	w := newWorld()
+// The leader relays what it reads. Mere heartbeats only advance the offset.
+func TestLeaderPublishesUpdates(t *testing.T) {
+	w := newFakePlatform()
 	passed := make(chan roster.Updates, 100)
 	runWith(t, w, Options{OnUpdates: func(u roster.Updates) { passed <- u }}, func(*Control, *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		drop(passed)
+		drainUpdates(passed)
 		w.set(func() { w.history = append(w.history, entryAt(0, 2, roster.Ready), entryAt(1, 3, roster.Draining)) })
-		time.Sleep(dutyInterval + 100*time.Millisecond)
+		time.Sleep(leaderReadInterval + 100*time.Millisecond)
 		require.Equal(t, roster.Updates{From: 0, To: 2, List: w.history[1:]}, <-passed)
-		drop(passed)
+		drainUpdates(passed)
 		time.Sleep(2 * time.Second)
-		require.GreaterOrEqual(t, drop(passed), 4, "that there is nothing new is told too")
+		require.GreaterOrEqual(t, drainUpdates(passed), 4, "empty updates are published too")
 	})
 }
 
-func (c *Control) leaves(id string) bool {
+func (c *Control) isLeaving(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, leaving, _ := c.roster.Get(id)
 	return leaving
 }
 
-func (c *Control) knows(id string) bool {
+func (c *Control) isListed(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _, ok := c.roster.Get(id)
 	return ok
 }
 
-// TestOthersDoNotRead has an instance without the duty: it reads when nothing has
-// been passed on for a second, so that a replica that leaves gets nothing new after
-// 2 s in any case.
-func TestOthersDoNotRead(t *testing.T) {
-	w := newWorld()
+// An instance that is not the leader reads only when nothing has been relayed for a
+// second. A replica that shuts down then gets no new requests after 2 s in any case.
+func TestFollowersReadOnlyWithoutUpdates(t *testing.T) {
+	w := newFakePlatform()
 	w.duty = false
 	run(t, w, func(c *Control, g *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
 		w.set(func() { w.reads = 0 })
 		for range 10 {
 			c.TakeUpdates(roster.Updates{})
-			time.Sleep(dutyInterval)
+			time.Sleep(leaderReadInterval)
 		}
-		w.set(func() { require.LessOrEqual(t, w.reads, 1, "the read that was due when the other one began") })
+		w.set(func() { require.LessOrEqual(t, w.reads, 1, "the read that was due when the leader began") })
 		c.TakeUpdates(roster.Updates{To: 1, List: []roster.Update{entryAt(0, 2, roster.Draining)}})
-		require.True(t, c.leaves("r"))
+		require.True(t, c.isLeaving("r"))
 		w.set(func() {
 			w.reads = 0
 			w.history = append(w.history, entryAt(0, 2, roster.Draining), roster.Update{ID: "r", Offset: 1})
 		})
-		time.Sleep(passedPatience + replicaInterval)
-		require.False(t, c.knows("r"), "the silence of the other one is no reason to miss a change")
+		time.Sleep(relayedReadTimeout + replicaInterval)
+		require.False(t, c.isListed("r"), "changes are read although the leader is unresponsive")
 		w.set(func() { require.Positive(t, w.reads) })
 	})
 }
 
-// TestOutagesCostFewCalls counts the reads of an outage: joins, which are cheap, find
-// out when it ends.
-func TestOutagesCostFewCalls(t *testing.T) {
-	w := newWorld()
+// During an outage only joins, which are cheap, probe the store often; reads are rare.
+func TestFewReadsDuringOutage(t *testing.T) {
+	w := newFakePlatform()
 	w.duty = false
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		w.set(func() { w.away, w.reads = true, 0 })
+		w.set(func() { w.unavailable, w.reads = true, 0 })
 		time.Sleep(10 * time.Second)
 		w.set(func() {
 			require.LessOrEqual(t, w.reads, int(10*time.Second/readRetryInterval)+2)
-			w.away, w.reads = false, 0
+			w.unavailable, w.reads = false, 0
 		})
-		time.Sleep(retryInterval + 50*time.Millisecond)
-		w.set(func() { require.Positive(t, w.reads, "read as soon as a join is answered") })
+		time.Sleep(joinRetryInterval + 50*time.Millisecond)
+		w.set(func() { require.Positive(t, w.reads, "read as soon as a join succeeds") })
 	})
 }
 
-// TestFewReadWhenNobodyPassesOn replays the loss of the instance with the duty among
-// thirty: the first that reads passes on, so that reads do not grow with the instances.
-func TestFewReadWhenNobodyPassesOn(t *testing.T) {
+// The leader of thirty instances fails. The first instance that reads relays its updates,
+// so the number of reads does not grow with the instances.
+func TestFewReadsWithoutLeader(t *testing.T) {
 	const instances = 30
-	w := newWorld()
+	w := newFakePlatform()
 	w.duty = false
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -206,66 +201,66 @@
 		w.set(func() { w.reads = 0 })
 		time.Sleep(20 * time.Second)
 		w.set(func() {
-			require.LessOrEqual(t, w.reads, 2*20, "two in a second for all together")
-			require.GreaterOrEqual(t, w.reads, 20/2, "and one in two seconds at least")
+			require.LessOrEqual(t, w.reads, 2*20, "at most two per second for all together")
+			require.GreaterOrEqual(t, w.reads, 20/2, "at least one in two seconds")
 		})
 		cancel()
 		require.NoError(t, g.Wait())
 	})
 }
 
-// TestOthersFollowTheConfiguration has an instance whose peers follow it: it polls when
-// its turn comes, and once in a minute.
-func TestOthersFollowTheConfiguration(t *testing.T) {
-	w := newWorld()
+// An instance whose peers follow the configuration polls only while it is a designated
+// reader, and once a minute.
+func TestDesignatedReadersPollConfiguration(t *testing.T) {
+	w := newFakePlatform()
 	var turn atomic.Bool
 	runWith(t, w, Options{Peers: func() int { return 94 }, Reads: turn.Load}, func(*Control, *gateway.Gateway) {
 		time.Sleep(20 * time.Second)
 		w.set(func() { require.Zero(t, w.polls) })
 		turn.Store(true)
-		time.Sleep(2 * turnInterval)
+		time.Sleep(2 * readerCheckInterval)
 		w.set(func() { require.Equal(t, 1, w.polls) })
 		turn.Store(false)
-		time.Sleep(2*configUnread + configWait)
+		time.Sleep(2*maxConfigReadInterval + configPollWait)
 		w.set(func() { require.InDelta(t, 3, w.polls, 1) })
 	})
 }
 
-// TestPeersTellOfRemovalsAfterAnOutage has the store turn this instance away and come back.
-// An entry that is removed then might come back, but another instance, which has had the
-// store all the while, says that it is gone.
-func TestPeersTellOfRemovalsAfterAnOutage(t *testing.T) {
-	w := newWorld()
+// The store is unavailable to this instance and returns. An entry that is removed then
+// might come back, but another instance that has had access to the store all along reports
+// its removal.
+func TestRemovalReportedByPeerAfterOutage(t *testing.T) {
+	w := newFakePlatform()
 	w.duty = false
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		w.set(func() { w.away = true })
+		w.set(func() { w.unavailable = true })
 		time.Sleep(3 * time.Second)
-		w.set(func() { w.away = false })
+		w.set(func() { w.unavailable = false })
 		time.Sleep(time.Second)
 		c.TakeUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
-		require.False(t, c.leaves("r"), "it may come back")
+		require.False(t, c.isLeaving("r"), "it may come back")
 		c.Removed("r")
-		require.True(t, c.leaves("r"))
+		require.True(t, c.isLeaving("r"))
 	})
 }
 
-// TestEntriesThatDoNotComeBackAreDroppedInTime has another instance pass on what it reads
-// while the time to come back ends.
-func TestEntriesThatDoNotComeBackAreDroppedInTime(t *testing.T) {
-	w := newWorld()
+// Another instance relays its updates while the time for entries to return after an outage
+// expires.
+func TestMissingEntriesExpireAfterOutage(t *testing.T) {
+	w := newFakePlatform()
 	w.duty = false
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		w.set(func() { w.away = true })
+		w.set(func() { w.unavailable = true })
 		time.Sleep(3 * time.Second)
-		w.set(func() { w.away = false })
+		w.set(func() { w.unavailable = false })
 		back := time.Now()
 		c.TakeUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
 		for time.Since(back) < 2900*time.Millisecond {
 			c.TakeUpdates(roster.Updates{From: 1, To: 1})
-			time.Sleep(dutyInterval / 4)
+			time.Sleep(leaderReadInterval / 4)
 		}
-		require.False(t, c.knows("r"), "2.5 s after the store is back, and a join and a look later")
+		require.False(t, c.isListed("r"), "2.5 s after the store returns, plus a join and a check")
 	})
 }
--- a/node/gateway/plainpool.go
+++ b/node/gateway/plainpool.go
@@ -37,7 +37,7 @@
 	zone     string
 	slots    int
 	inFlight int
-	// reportedLoad is the load that the replica reported at statedAt.
+	// reportedLoad is the load that the replica reported at reportedAt.
 	reportedLoad int
 	reportedAt   time.Time
 	failures     int
