--- a/node/duty/duty.go
+++ b/node/duty/duty.go
@@ -1,6 +1,6 @@
-// Package duty keeps the leases of an instance's duties on a stream of the
-// platform's log. Package core/lease decides; this one reads, appends and keeps
-// the time.
+// Package duty keeps the leases of an instance's leader tasks on a stream of the
+// platform's log. Package core/lease decides what to append; this package reads and
+// appends the records and provides the time.
 package duty
 
 import (
@@ -18,38 +18,38 @@
 	"masticbank.example/node/logstream"
 )
 
-// Snapshots is the duty of writing snapshots of the configuration.
+// Snapshots is the leader task of writing configuration snapshots.
 const Snapshots = "snapshots"
 
 const (
-	defaultTTL    = 10 * time.Second
-	defaultMargin = 2 * time.Second
-	defaultRenew  = 3 * time.Second
-	// stepsPerRenewal is how often per renewal period the machine is stepped.
+	defaultTTL           = 10 * time.Second
+	defaultMargin        = 2 * time.Second
+	defaultRenewInterval = 3 * time.Second
+	// stepsPerRenewal is how often the lease machine is stepped per renewal interval.
 	stepsPerRenewal = 10
 	maxBatch        = 1024
 	minRetry        = 50 * time.Millisecond
 	maxRetry        = 500 * time.Millisecond
 )
 
-// DefaultTerms returns the usual times.
+// DefaultTerms returns the default lease durations.
 func DefaultTerms() lease.Terms {
-	return lease.Terms{TTL: defaultTTL, Margin: defaultMargin, Renew: defaultRenew}
+	return lease.Terms{TTL: defaultTTL, Margin: defaultMargin, Renew: defaultRenewInterval}
 }
 
-// Options sets up a Keeper. Log, Appender, Stream, Self and Terms are required.
+// Options configures a Keeper. Log, Appender, Stream, Self and Terms are required.
 type Options struct {
 	Log      logstream.Log
 	Appender *logstream.Appender
 	Stream   string
-	// Self names this instance.
+	// Self is the name of this instance.
 	Self   string
 	Terms  lease.Terms
 	Logger *zap.Logger
 }
 
-// Keeper holds and renews the wanted duties of one instance. It is safe for
-// concurrent use.
+// Keeper acquires and renews the leases of the leader tasks that one instance wants. It is
+// safe for concurrent use.
 type Keeper struct {
 	opts Options
 
@@ -57,8 +57,8 @@
 	machine *lease.Machine
 }
 
-// New returns a Keeper that wants no duty yet; Run must be running for it to
-// hold any.
+// New returns a Keeper that wants no leader task. It acquires leases only while Run is
+// running.
 func New(opts Options) *Keeper {
 	if opts.Logger == nil {
 		opts.Logger = zap.NewNop()
@@ -66,35 +66,35 @@
 	return &Keeper{opts: opts, machine: lease.New(opts.Terms, opts.Self, uuid.NewString())}
 }
 
-// Want sets whether this instance is to hold the duty.
+// Want sets whether this instance should be the leader of the task.
 func (k *Keeper) Want(duty string, wanted bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.machine.Want(duty, wanted)
 }
 
-// Valid tells whether this instance may act for the duty now, and with which
-// epoch, the fencing number. Ask again after every wait, immediately before each
-// order; an order that is held up after that carries an older epoch than any of
-// the next holder's.
+// Valid reports whether this instance may act as the leader of the task now, and under
+// which epoch, the fencing token. Call it again after every wait, immediately before each
+// command: a command that is delayed after that carries an older epoch than any of the
+// next leader's.
 func (k *Keeper) Valid(duty string) (epoch uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.machine.Valid(time.Now(), duty)
 }
 
-// Holder returns the last known holder of the duty, which may have stopped.
+// Holder returns the last known leader of the task, which may have stopped.
 func (k *Keeper) Holder(duty string) (holder string, epoch uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.machine.Holder(duty)
 }
 
-// Run reads the stream, acquires and renews until ctx ends, and returns its
-// error.
+// Run reads the stream and acquires and renews leases until ctx ends. It returns the error
+// of ctx.
 func (k *Keeper) Run(ctx context.Context) error {
 	var reader sync.WaitGroup
-	reader.Go(func() { k.follow(ctx) })
+	reader.Go(func() { k.readStream(ctx) })
 	defer reader.Wait()
 	ticker := time.NewTicker(k.opts.Terms.Renew / stepsPerRenewal)
 	defer ticker.Stop()
@@ -108,9 +108,9 @@
 	}
 }
 
-// Release gives all duties back, so that others need not wait for them to lapse.
-// It returns when the log has taken the records or ctx ends. This instance wants
-// no duty afterwards.
+// Release releases all leases so that other instances need not wait for them to expire. It
+// returns when the records are appended or ctx ends. Afterwards this instance wants no
+// leader task.
 func (k *Keeper) Release(ctx context.Context) error {
 	k.mu.Lock()
 	records := k.machine.Release(time.Now())
@@ -118,7 +118,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	done, err := k.append(ctx, records)
+	done, err := k.startAppend(ctx, records)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,8 @@
 	}
 }
 
-func (k *Keeper) follow(ctx context.Context) {
+// readStream applies the records of the stream until ctx ends.
+func (k *Keeper) readStream(ctx context.Context) {
 	failures := 0
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
@@ -151,12 +152,13 @@
 	}
 }
 
+// readFailed logs the first of several failed reads and waits before the next one.
 func (k *Keeper) readFailed(ctx context.Context, err error, failures int) {
 	if ctx.Err() != nil {
 		return
 	}
 	if failures == 1 {
-		k.opts.Logger.Warn("lease stream can't be read", zap.Error(err))
+		k.opts.Logger.Warn("reading the lease stream failed", zap.Error(err))
 	}
 	timer := time.NewTimer(minRetry + rand.N(maxRetry-minRetry))
 	defer timer.Stop()
@@ -166,8 +168,8 @@
 	}
 }
 
-// step appends what the machine asks for and does not wait for it. A record that
-// is not appended within TTL is of no more use.
+// step appends the records that the lease machine returns and does not wait for the
+// append. A record that is not appended within the TTL is useless.
 func (k *Keeper) step(ctx context.Context) {
 	k.mu.Lock()
 	records := k.machine.Step(time.Now())
@@ -176,22 +178,22 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, k.opts.Terms.TTL)
-	done, err := k.append(ctx, records)
+	done, err := k.startAppend(ctx, records)
 	if err != nil {
 		cancel()
-		k.opts.Logger.Warn("lease records were not queued", zap.Error(err))
+		k.opts.Logger.Warn("lease records could not be queued", zap.Error(err))
 		return
 	}
 	go func() {
 		defer cancel()
 		if err := <-done; err != nil && ctx.Err() == nil {
-			k.opts.Logger.Warn("lease records were not appended", zap.Error(err))
+			k.opts.Logger.Warn("lease records could not be appended", zap.Error(err))
 		}
 	}()
 }
 
-// append queues the records for one append, however many duties they renew.
-func (k *Keeper) append(ctx context.Context, records []record.Record) (<-chan error, error) {
+// startAppend queues the records for a single append, however many leases they renew.
+func (k *Keeper) startAppend(ctx context.Context, records []record.Record) (<-chan error, error) {
 	encoded := make([][]byte, 0, len(records))
 	for _, r := range records {
 		data, err := record.Encode(r)
--- a/node/duty/duty_test.go
+++ b/node/duty/duty_test.go
@@ -16,22 +16,22 @@
 
 const stream = "leases"
 
-func start(ctx context.Context, log *logtest.Log, self string, duties int) *duty.Keeper {
+func startKeeper(ctx context.Context, log *logtest.Log, self string, duties int) *duty.Keeper {
 	appender := logstream.NewAppender(log, stream, logstream.AppenderOptions{})
 	k := duty.New(duty.Options{Log: log, Appender: appender, Stream: stream, Self: self, Terms: duty.DefaultTerms()})
 	for i := range duties {
-		k.Want(name(i), true)
+		k.Want(leaseName(i), true)
 	}
 	go func() { _ = appender.Run(ctx) }()
 	go func() { _ = k.Run(ctx) }()
 	return k
 }
 
-func name(i int) string { return fmt.Sprint("duty", i) }
+func leaseName(i int) string { return fmt.Sprint("duty", i) }
 
-func holders(keepers []*duty.Keeper) (valid []*duty.Keeper, epoch uint64) {
+func validHolders(keepers []*duty.Keeper) (valid []*duty.Keeper, epoch uint64) {
 	for _, k := range keepers {
-		if e, ok := k.Valid(name(0)); ok {
+		if e, ok := k.Valid(leaseName(0)); ok {
 			valid = append(valid, k)
 			epoch = e
 		}
@@ -39,40 +39,40 @@
 	return valid, epoch
 }
 
-// Exactly one instance holds a duty; it stops during an outage; it hands over at
-// once when it leaves.
-func TestHolderThroughOutageAndRelease(t *testing.T) {
+// Exactly one instance holds a lease. It stops acting on it during an outage of the log,
+// and another instance acquires it at once when the holder releases it.
+func TestLeaseThroughOutageAndRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := &logtest.Log{Delay: time.Millisecond}
 		var keepers []*duty.Keeper
 		for i := range 3 {
-			keepers = append(keepers, start(ctx, log, fmt.Sprint("i", i), 1))
+			keepers = append(keepers, startKeeper(ctx, log, fmt.Sprint("i", i), 1))
 		}
 		terms := duty.DefaultTerms()
 		time.Sleep(terms.TTL + terms.Renew)
-		first, epoch := holders(keepers)
+		first, epoch := validHolders(keepers)
 		require.Len(t, first, 1)
 		log.LoseNext(2)
 		time.Sleep(3 * terms.TTL)
-		still, same := holders(keepers)
+		still, same := validHolders(keepers)
 		require.Equal(t, first, still)
 		require.Equal(t, epoch, same)
 
 		log.SetDown(true)
 		time.Sleep(terms.TTL - terms.Margin)
-		none, _ := holders(keepers)
+		none, _ := validHolders(keepers)
 		require.Empty(t, none)
 		log.SetDown(false)
 		time.Sleep(2 * terms.TTL)
-		again, _ := holders(keepers)
+		again, _ := validHolders(keepers)
 		require.Len(t, again, 1)
 
 		log.Truncate(stream, log.Next(stream))
-		_, before := holders(keepers)
+		_, before := validHolders(keepers)
 		require.NoError(t, again[0].Release(ctx))
 		time.Sleep(terms.Renew)
-		next, after := holders(keepers)
+		next, after := validHolders(keepers)
 		require.Len(t, next, 1)
 		require.NotEqual(t, again, next)
 		require.Greater(t, after, before)
@@ -81,14 +81,14 @@
 	})
 }
 
-// Renewals of all duties of an instance share one append.
+// Renewals of all leases of an instance share one append.
 func TestRenewalsShareOneAppend(t *testing.T) {
 	const period = 10 * time.Minute
 	count := func(duties int) (appends, records int) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			log := &logtest.Log{}
-			start(ctx, log, "i", duties)
+			startKeeper(ctx, log, "i", duties)
 			time.Sleep(period)
 			appends, records = log.Counts()
 			cancel()
