--- a/node/follower/bench_test.go
+++ b/node/follower/bench_test.go
@@ -11,8 +11,8 @@
 	"masticbank.example/node/logstream/logtest"
 )
 
-// BenchmarkPublish gives the time from publishing until the revision is in force
-// on nine instances that only read the log, which takes 0.25 ms an append.
+// BenchmarkPublish measures the time from publishing a revision until it is in force on
+// nine instances that only read the log. An append takes 0.25 ms.
 func BenchmarkPublish(b *testing.B) {
 	const instances = 9
 	ctx, cancel := context.WithCancel(context.Background())
--- a/node/follower/decode.go
+++ b/node/follower/decode.go
@@ -15,8 +15,8 @@
 	return content, trace.Wrap(err)
 }
 
-// DecodeJSON parses and validates the content of a proposal. Unknown fields are
-// an error, as in the operators' files.
+// DecodeJSON parses and validates the content of a proposal. Unknown fields are an error,
+// as in the operators' files.
 func DecodeJSON(content []byte) (*config.Config, error) {
 	dec := json.NewDecoder(bytes.NewReader(content))
 	dec.DisallowUnknownFields()
--- a/node/follower/follower.go
+++ b/node/follower/follower.go
@@ -1,6 +1,6 @@
-// Package follower reads the configuration stream of the platform's log, keeps
-// the accepted configuration for lock-free reading, takes and gives the state
-// of peers, publishes proposals and writes snapshots.
+// Package follower reads the configuration stream of the platform's log and keeps the
+// accepted configuration for lock-free reads. It also exchanges the state with peers,
+// publishes proposals and writes snapshots.
 package follower
 
 import (
@@ -30,24 +30,24 @@
 	snapshotTimeout        = 30 * time.Second
 )
 
-// Options sets up a Follower. Log, Appender and Stream are required.
+// Options configures a Follower. Log, Appender and Stream are required.
 type Options struct {
 	Log      logstream.Log
 	Appender *logstream.Appender
 	Stream   string
-	// Decode parses and checks the content of a proposal. Its verdict must
-	// depend on the content alone; nil means DecodeJSON.
+	// Decode parses and validates the content of a proposal. Its result must depend on the
+	// content alone, so that all instances decide alike. nil means DecodeJSON.
 	Decode func(content []byte) (*config.Config, error)
-	// HoldsSnapshotDuty tells whether this instance is to write snapshots; nil
-	// means never.
+	// HoldsSnapshotDuty reports whether this instance should write snapshots; nil means
+	// never.
 	HoldsSnapshotDuty func() bool
-	// SnapshotEvery is the time between snapshots, a quarter of the log's
-	// retention at most.
+	// SnapshotEvery is the time between snapshots. It must be at most a quarter of the
+	// log's retention.
 	SnapshotEvery time.Duration
-	// SnapshotRecords is the number of records after which a snapshot is written
-	// early.
+	// SnapshotRecords is the number of records after which a snapshot is written before
+	// SnapshotEvery has passed.
 	SnapshotRecords uint64
-	// Poll is how long one read waits for a record.
+	// Poll is how long a read waits for a record.
 	Poll   time.Duration
 	Logger *zap.Logger
 }
@@ -55,7 +55,7 @@
 // Revision is an accepted configuration. It is shared and must not be modified.
 type Revision struct {
 	Number uint64
-	// Winner names the proposal; it is empty if no longer known.
+	// Winner identifies the accepted proposal. It is empty if no longer known.
 	Winner record.Winner
 	Config *config.Config
 }
@@ -67,20 +67,20 @@
 
 	mu          sync.Mutex
 	machine     *revision.Machine
-	waiters     map[record.ID]*waiter
+	waiters     map[record.ID]*proposalWaiter
 	subscribers map[*Subscription]struct{}
 
-	// idle is set after a read that found nothing.
-	idle bool
-	// interrupt ends the read in progress.
-	interrupt context.CancelFunc
+	// lastReadEmpty is set after a read that returned no records.
+	lastReadEmpty bool
+	// cancelRead ends the read in progress.
+	cancelRead context.CancelFunc
 
-	lastSnapshot time.Time
-	snapshotNext uint64
-	writing      bool
+	lastSnapshot    time.Time
+	snapshotNext    uint64
+	snapshotPending bool
 }
 
-// New returns a Follower; Run must be running for it to follow the log.
+// New returns a Follower. It follows the log only while Run is running.
 func New(opts Options) *Follower {
 	if opts.Decode == nil {
 		opts.Decode = DecodeJSON
@@ -107,16 +107,16 @@
 	return &Follower{
 		opts:        opts,
 		machine:     revision.New(validate),
-		waiters:     map[record.ID]*waiter{},
+		waiters:     map[record.ID]*proposalWaiter{},
 		subscribers: map[*Subscription]struct{}{},
 	}
 }
 
-// Current returns the configuration in force, or nil. It takes no lock.
+// Current returns the configuration in force, or nil. It acquires no lock.
 func (f *Follower) Current() *Revision { return f.current.Load() }
 
-// Ready tells whether a configuration is in force, and the reason if it is not
-// or if the log can't be followed at present.
+// Ready reports whether a configuration is in force. reason says why not, or that the log
+// is currently unavailable.
 func (f *Follower) Ready() (ready bool, reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,31 +124,30 @@
 	return s.Ready, string(s.Reason)
 }
 
-// State returns the state to hand out to peers; its Revision is 0 if there is
-// none.
+// State returns the state to send to peers. Its Revision is 0 if there is none.
 func (f *Follower) State() record.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.machine.State()
 }
 
-// Offer takes the state of a peer, which must be authenticated, and tells
-// whether it was news. A state whose content is not valid here is refused.
+// Offer merges the state of a peer, which must be authenticated, and reports whether it
+// changed anything. A state whose content is not valid here is rejected.
 func (f *Follower) Offer(s record.Snapshot) bool {
 	if _, err := f.opts.Decode(s.Content); err != nil || len(s.Winners) > revision.MaxWinners {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	news := f.machine.Offer(s)
-	f.update()
-	if news && f.interrupt != nil {
-		f.interrupt()
+	changed := f.machine.Offer(s)
+	f.activateRevision()
+	if changed && f.cancelRead != nil {
+		f.cancelRead()
 	}
-	return news
+	return changed
 }
 
-// Run follows the log until ctx ends and returns its error.
+// Run follows the log until ctx ends and returns the error of ctx.
 func (f *Follower) Run(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -164,8 +163,7 @@
 	return trace.Wrap(ctx.Err())
 }
 
-// readOnce reads and applies one batch. An offer that moves the state ends the
-// read early.
+// readOnce reads and applies one batch. A peer's state that is newer ends the read early.
 func (f *Follower) readOnce(ctx context.Context) error {
 	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -182,58 +180,61 @@
 	return err
 }
 
+// nextRead returns where the next read begins and how long it may wait.
 func (f *Follower) nextRead(cancel context.CancelFunc) (from uint64, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.interrupt = cancel
-	if f.idle {
+	f.cancelRead = cancel
+	if f.lastReadEmpty {
 		wait = f.opts.Poll
 	}
 	return f.machine.NextRead(), wait
 }
 
+// readFailed records that the log is unavailable and waits before the next read.
 func (f *Follower) readFailed(ctx context.Context, err error, failures int) {
 	if ctx.Err() != nil {
 		return
 	}
 	if failures == 1 {
-		f.opts.Logger.Warn("configuration stream can't be read", zap.Error(err))
+		f.opts.Logger.Warn("reading the configuration stream failed", zap.Error(err))
 	}
 	f.mu.Lock()
 	f.machine.Unavailable()
-	f.update()
+	f.activateRevision()
 	f.mu.Unlock()
-	pause(ctx, minRetry+rand.N(maxRetry-minRetry))
+	sleep(ctx, minRetry+rand.N(maxRetry-minRetry))
 }
 
-// apply ignores a batch that an offered state has made obsolete.
+// apply applies a batch, unless a peer's state has made it obsolete since the read began.
 func (f *Follower) apply(from uint64, batch record.Batch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.machine.NextRead() != from {
-		f.idle = false
+		f.lastReadEmpty = false
 		return
 	}
 	for _, v := range f.machine.Apply(batch) {
-		f.decide(v)
+		f.resolve(v)
 	}
-	f.idle = len(batch.Entries) == 0 && f.machine.NextRead() == from
-	f.update()
+	f.lastReadEmpty = len(batch.Entries) == 0 && f.machine.NextRead() == from
+	f.activateRevision()
 }
 
-// update puts a new revision in force and tells waiters and subscribers.
-func (f *Follower) update() {
+// activateRevision puts a new revision in force and notifies waiters and subscribers. The
+// lock is held.
+func (f *Follower) activateRevision() {
 	state := f.machine.State()
-	f.settle(state)
+	f.resolveFromState(state)
 	if !f.machine.Status().Ready {
 		return
 	}
-	if now := f.current.Load(); now != nil && now.Number >= state.Revision {
+	if current := f.current.Load(); current != nil && current.Number >= state.Revision {
 		return
 	}
 	c, err := f.opts.Decode(state.Content)
 	if err != nil {
-		f.opts.Logger.Error("accepted configuration can't be decoded", zap.Uint64("revision", state.Revision), zap.Error(err))
+		f.opts.Logger.Error("decoding the accepted configuration failed", zap.Uint64("revision", state.Revision), zap.Error(err))
 		return
 	}
 	r := &Revision{Number: state.Revision, Config: c}
@@ -242,11 +243,12 @@
 	}
 	f.current.Store(r)
 	for s := range f.subscribers {
-		s.put(r)
+		s.replace(r)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/node/follower/follower_test.go
+++ b/node/follower/follower_test.go
@@ -38,7 +38,7 @@
 	return f
 }
 
-func bubble(t *testing.T, run func(t *testing.T, ctx context.Context)) {
+func runInFakeTime(t *testing.T, run func(t *testing.T, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		run(t, ctx)
@@ -47,11 +47,11 @@
 	})
 }
 
-// Of nine instances that publish on the same base, one wins each round, and the
-// others learn who did although answers of the log are lost.
-func TestRacingPublishersHaveOneWinner(t *testing.T) {
+// Nine instances publish on the same base while responses of the log are lost. One wins
+// each round, and the others learn which.
+func TestConcurrentPublishersHaveOneWinner(t *testing.T) {
 	const instances, rounds = 9, 56
-	bubble(t, func(t *testing.T, ctx context.Context) {
+	runInFakeTime(t, func(t *testing.T, ctx context.Context) {
 		log := &logtest.Log{Delay: time.Millisecond}
 		followers := make([]*follower.Follower, instances)
 		for i := range followers {
@@ -92,10 +92,10 @@
 	require.Equal(t, 1, wins)
 }
 
-// An instance that starts while the log is away works with a peer's state, and
-// one that starts after the log has forgotten the proposal works with a snapshot.
-func TestStartWithoutTheLogAndAfterTruncation(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context) {
+// An instance that starts while the log is unavailable uses a peer's state. One that
+// starts after the log has deleted the proposal uses a snapshot.
+func TestStartDuringOutageAndAfterTruncation(t *testing.T) {
+	runInFakeTime(t, func(t *testing.T, ctx context.Context) {
 		log := &logtest.Log{}
 		old := start(ctx, log, func(o *follower.Options) {
 			o.HoldsSnapshotDuty = func() bool { return true }
--- a/node/follower/publish.go
+++ b/node/follower/publish.go
@@ -13,37 +13,37 @@
 )
 
 var (
-	// ErrInvalid means that the content was refused.
+	// ErrInvalid means that the content is not a valid configuration.
 	ErrInvalid = errors.New("configuration is not valid")
-	// ErrBaseUnknown means that the base is above the revision known here.
+	// ErrBaseUnknown means that the base is newer than the latest revision known here.
 	ErrBaseUnknown = errors.New("base revision is not known here")
-	// ErrUndecided means that the fate of the proposal is not known yet; it may
-	// have been accepted or may still be.
+	// ErrUndecided means that the outcome of the proposal is not known yet. It may have
+	// been accepted, or may still be.
 	ErrUndecided = errors.New("fate of the proposal is not known")
 )
 
-// LostError means that another proposal replaced the base revision.
+// LostError means that another proposal has already replaced the base revision.
 type LostError struct {
-	// Winner is the proposal that did; its ID is empty if no longer known.
+	// Winner identifies that proposal. Its ID is empty if no longer known.
 	Winner record.Winner
-	// Revision is the accepted revision.
+	// Revision is the number of the accepted revision.
 	Revision uint64
 }
 
-// Error names the winner.
+// Error names the author of the proposal that won.
 func (e *LostError) Error() string {
 	return fmt.Sprintf("lost to %q, who published revision %d; revision %d is accepted", e.Winner.Author, e.Winner.Revision, e.Revision)
 }
 
-type waiter struct {
-	base    uint64
-	verdict chan revision.Verdict
+// proposalWaiter is a call of Publish that waits for the decision on its proposal.
+type proposalWaiter struct {
+	base     uint64
+	decision chan revision.Verdict
 }
 
-// Publish proposes content in place of revision base and waits until ctx ends
-// for the log to decide. It returns the new revision, or an error that matches
-// ErrInvalid, ErrBaseUnknown, ErrUndecided, *LostError, or one of logstream if
-// nothing was proposed.
+// Publish proposes content as the successor of revision base, and waits until the log
+// decides or ctx ends. It returns the new revision, or an error that matches ErrInvalid,
+// ErrBaseUnknown, ErrUndecided or *LostError, or one of logstream if nothing was proposed.
 func (f *Follower) Publish(ctx context.Context, author string, content []byte, base uint64) (uint64, error) {
 	if _, err := f.opts.Decode(content); err != nil {
 		return 0, trace.Wrap(ErrInvalid, err.Error())
@@ -53,26 +53,27 @@
 	if err != nil {
 		return 0, trace.Wrap(ErrInvalid, err.Error())
 	}
-	w, err := f.await(id, base)
+	w, err := f.addWaiter(id, base)
 	if err != nil {
 		return 0, err
 	}
-	defer f.forget(id)
+	defer f.removeWaiter(id)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if _, err := f.opts.Appender.Start(ctx, data); err != nil {
 		return 0, err
 	}
 	select {
-	case v := <-w.verdict:
-		return outcome(v)
+	case v := <-w.decision:
+		return publishResult(v)
 	case <-ctx.Done():
 		return 0, trace.Wrap(ErrUndecided, ctx.Err().Error())
 	}
 }
 
-// await registers a waiter, unless the fate of a proposal on base is clear.
-func (f *Follower) await(id record.ID, base uint64) (*waiter, error) {
+// addWaiter registers a waiter for the decision, or returns an error if a proposal on base
+// cannot be accepted or cannot be made now.
+func (f *Follower) addWaiter(id record.ID, base uint64) (*proposalWaiter, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.machine.State()
@@ -86,38 +87,40 @@
 	if f.machine.Status().Reason == revision.ReasonUnavailable {
 		return nil, trace.Wrap(logstream.ErrUnavailable)
 	}
-	w := &waiter{base: base, verdict: make(chan revision.Verdict, 1)}
+	w := &proposalWaiter{base: base, decision: make(chan revision.Verdict, 1)}
 	f.waiters[id] = w
 	return w, nil
 }
 
-func (f *Follower) forget(id record.ID) {
+func (f *Follower) removeWaiter(id record.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.waiters, id)
 }
 
-// decide passes a verdict on to its waiter.
-func (f *Follower) decide(v revision.Verdict) {
+// resolve passes a decision to the waiter of the proposal. The lock is held.
+func (f *Follower) resolve(v revision.Verdict) {
 	if w, ok := f.waiters[v.ID]; ok {
-		w.verdict <- v
+		w.decision <- v
 		delete(f.waiters, v.ID)
 	}
 }
 
-// settle decides the proposals whose own records were skipped by taking over the
-// state of a peer, or whose base another proposal has replaced.
-func (f *Follower) settle(s record.Snapshot) {
+// resolveFromState resolves proposals that the state s decides: their own records may have
+// been skipped when a peer's state was merged, or another proposal has replaced their
+// base. The lock is held.
+func (f *Follower) resolveFromState(s record.Snapshot) {
 	for id, w := range f.waiters {
 		winner, ok := revision.FindWinner(s, w.base)
 		if !ok {
 			continue
 		}
-		f.decide(revision.Verdict{ID: id, Accepted: winner.ID == id, Revision: s.Revision, Winner: winner})
+		f.resolve(revision.Verdict{ID: id, Accepted: winner.ID == id, Revision: s.Revision, Winner: winner})
 	}
 }
 
-func outcome(v revision.Verdict) (uint64, error) {
+// publishResult converts a decision to the result of Publish.
+func publishResult(v revision.Verdict) (uint64, error) {
 	switch {
 	case v.Accepted:
 		return v.Winner.Revision, nil
--- a/node/follower/snapshot.go
+++ b/node/follower/snapshot.go
@@ -9,8 +9,8 @@
 	"masticbank.example/core/record"
 )
 
-// writeSnapshot appends the state if this instance holds the duty and the last
-// snapshot is old. It does not wait for the append.
+// writeSnapshot appends the state to the log if this instance is the leader for snapshots
+// and one is due. It does not wait for the append.
 func (f *Follower) writeSnapshot(ctx context.Context) {
 	if !f.opts.HoldsSnapshotDuty() {
 		return
@@ -21,47 +21,50 @@
 	}
 	data, err := record.Encode(record.Record{ID: newID(), Snapshot: &state})
 	if err != nil {
-		f.opts.Logger.Error("snapshot can't be encoded", zap.Error(err))
+		f.opts.Logger.Error("encoding a snapshot failed", zap.Error(err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	done, err := f.opts.Appender.Start(ctx, data)
 	if err != nil {
 		cancel()
-		f.snapshotWritten(err)
+		f.finishSnapshot(err)
 		return
 	}
 	go func() {
 		defer cancel()
-		f.snapshotWritten(<-done)
+		f.finishSnapshot(<-done)
 	}()
 }
 
-// snapshotDue notes when snapshots of others are read. One that was read before
-// the stream's end may be about to be forgotten and counts for nothing.
+// snapshotDue reports whether a snapshot should be written now, and returns the state to
+// write. Snapshots of other instances count from when they are read. One that was read
+// before the end of the stream was reached is ignored, as the log may be about to delete
+// it.
 func (f *Follower) snapshotDue(now time.Time) (record.Snapshot, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.machine.State()
-	if f.writing || !f.machine.CaughtUp() || state.Revision == 0 {
+	if f.snapshotPending || !f.machine.CaughtUp() || state.Revision == 0 {
 		return record.Snapshot{}, false
 	}
 	next, ok := f.machine.SnapshotNext()
 	if ok && next > f.snapshotNext && !f.lastSnapshot.IsZero() {
 		f.snapshotNext, f.lastSnapshot = next, now
 	}
-	old := now.Sub(f.lastSnapshot) >= f.opts.SnapshotEvery
-	far := state.Next >= f.snapshotNext+f.opts.SnapshotRecords
-	f.writing = old || far
-	return state, f.writing
+	tooOld := now.Sub(f.lastSnapshot) >= f.opts.SnapshotEvery
+	tooManyRecords := state.Next >= f.snapshotNext+f.opts.SnapshotRecords
+	f.snapshotPending = tooOld || tooManyRecords
+	return state, f.snapshotPending
 }
 
-func (f *Follower) snapshotWritten(err error) {
+// finishSnapshot records the result of writing a snapshot.
+func (f *Follower) finishSnapshot(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.writing = false
+	f.snapshotPending = false
 	if err != nil {
-		f.opts.Logger.Warn("snapshot was not written", zap.Error(err))
+		f.opts.Logger.Warn("writing a snapshot failed", zap.Error(err))
 		return
 	}
 	f.lastSnapshot = time.Now()
--- a/node/follower/subscription.go
+++ b/node/follower/subscription.go
@@ -2,22 +2,22 @@
 
 // Subscription delivers new revisions.
 type Subscription struct {
-	// C yields the latest revision; older ones that were not taken are dropped.
-	C        <-chan *Revision
-	c        chan *Revision
-	follower *Follower
+	// C delivers the latest revision. Older ones that were not received are dropped.
+	C         <-chan *Revision
+	revisions chan *Revision
+	follower  *Follower
 }
 
-// Subscribe returns a Subscription whose first value is the current revision, if
-// any.
+// Subscribe returns a Subscription whose first value is the current revision, if there is
+// one.
 func (f *Follower) Subscribe() *Subscription {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := make(chan *Revision, 1)
-	s := &Subscription{C: c, c: c, follower: f}
+	s := &Subscription{C: c, revisions: c, follower: f}
 	f.subscribers[s] = struct{}{}
 	if r := f.current.Load(); r != nil {
-		s.put(r)
+		s.replace(r)
 	}
 	return s
 }
@@ -29,11 +29,11 @@
 	delete(s.follower.subscribers, s)
 }
 
-// put replaces the value waiting in C. The follower's lock is held.
-func (s *Subscription) put(r *Revision) {
+// replace replaces the value that is buffered in C. The follower's lock is held.
+func (s *Subscription) replace(r *Revision) {
 	select {
-	case <-s.c:
+	case <-s.revisions:
 	default:
 	}
-	s.c <- r
+	s.revisions <- r
 }
