--- a/node/orders/bench_test.go
+++ b/node/orders/bench_test.go
@@ -17,12 +17,12 @@
 
 const (
 	logDelay = 250 * time.Microsecond
-	// logLimit spaces appends for 400 a second.
+	// logLimit spaces appends so that the log accepts 400 per second.
 	logLimit = 2500 * time.Microsecond
 )
 
-// BenchmarkDo makes orders with distinct keys through one instance before a log
-// that takes 0.25 ms and 400 appends a second.
+// BenchmarkDo makes calls with distinct keys through one instance. The log takes 0.25 ms
+// per append and accepts 400 appends per second.
 func BenchmarkDo(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		for _, c := range []struct {
@@ -72,8 +72,8 @@
 	b.ReportMetric(float64(latencies[b.N*99/100].Microseconds())/1000, "p99-ms")
 }
 
-// BenchmarkDoIdle gives the latency that a single order adds when no other is
-// under way.
+// BenchmarkDoIdle measures the latency that is added to a single call while no other is in
+// progress.
 func BenchmarkDoIdle(b *testing.B) {
 	const gap = 10 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
--- a/node/orders/do.go
+++ b/node/orders/do.go
@@ -9,30 +9,30 @@
 	"masticbank.example/core/record"
 )
 
-// attempt carries out the effects of one order.Attempt.
+// attempt executes the effects of one order.Attempt.
 type attempt struct {
 	coordinator *Coordinator
 	machine     *order.Attempt
 	call        order.Call
 	waiter      *waiter
-	// ctx is the caller's; claimCtx ends with the attempt.
-	ctx      context.Context
-	claimCtx context.Context
-	send     func(ctx context.Context) order.Answer
-	// refused is set if the claim was not queued.
-	refused bool
+	// clientCtx is the context of the client's request; claimCtx ends with the attempt.
+	clientCtx context.Context
+	claimCtx  context.Context
+	send      func(ctx context.Context) order.Answer
+	// claimRefused is set if the claim could not be queued.
+	claimRefused bool
 }
 
-// Do makes the call at most once by its key and returns what the caller is to be
-// told. send is called at most once; its context does not end when the caller
-// leaves, since the answer must be recorded. send must set the answer's Execution
-// to NotRun only if nothing was written to the service or it refused the call.
+// Do makes the call at most once per key and returns the result for the client. send is
+// called at most once. Its context does not end when the client disconnects, because the
+// response must be recorded. send must set the response's Execution to NotRun only if
+// nothing was written to the service or the service refused the call.
 func (c *Coordinator) Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Answer) order.Result {
 	claimCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	a := &attempt{coordinator: c, call: call, ctx: ctx, claimCtx: claimCtx, send: send}
+	a := &attempt{coordinator: c, call: call, clientCtx: ctx, claimCtx: claimCtx, send: send}
 	key := record.OrderKey{Workspace: call.Workspace, Service: call.Service, Key: call.Key}
-	effects := a.begin(key)
+	effects := a.start(key)
 	defer c.unsubscribe(key, a.waiter)
 	for {
 		var next []order.Effect
@@ -40,31 +40,32 @@
 			if reply, ok := e.(order.Reply); ok {
 				return reply.Result
 			}
-			next = a.carryOut(e)
+			next = a.execute(e)
 		}
 		effects = next
 	}
 }
 
-func (a *attempt) begin(key record.OrderKey) []order.Effect {
+// start creates the order.Attempt and returns its first effects.
+func (a *attempt) start(key record.OrderKey) []order.Effect {
 	c := a.coordinator
 	failing := c.opts.Appender.Failing()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.SetAway(c.unread || failing)
+	c.table.SetAway(c.readFailing || failing)
 	a.waiter = c.subscribe(key)
 	a.machine = order.NewAttempt(c.table, a.call, newID(), c.opts.Claimant)
 	return a.machine.Begin(time.Now())
 }
 
-// carryOut returns the effects of what e leads to, or nil.
-func (a *attempt) carryOut(e order.Effect) []order.Effect {
+// execute executes an effect and returns the effects that follow from it, if any.
+func (a *attempt) execute(e order.Effect) []order.Effect {
 	switch e := e.(type) {
 	case order.AppendClaim:
-		a.refused = !a.appendClaim(e)
+		a.claimRefused = !a.appendClaim(e)
 		return nil
 	case order.Append:
-		a.coordinator.appendLater(e.Record)
+		a.coordinator.appendInBackground(e.Record)
 		return nil
 	case order.Wait:
 		return a.step(a.wait(e.Until))
@@ -83,7 +84,7 @@
 	return a.machine.Step(time.Now(), ev)
 }
 
-// appendClaim queues the claim and tells whether there was room.
+// appendClaim queues the claim and reports whether it was queued.
 func (a *attempt) appendClaim(e order.AppendClaim) bool {
 	data, err := record.Encode(e.Record)
 	if err != nil {
@@ -95,27 +96,29 @@
 	return err == nil
 }
 
+// wait waits for a change of the key, a time or the client's disconnect.
 func (a *attempt) wait(until time.Time) order.Event {
-	if a.refused {
+	if a.claimRefused {
 		return order.QueueFull
 	}
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
-	case <-a.waiter.wake:
+	case <-a.waiter.notified:
 	case <-timer.C:
-	case <-a.ctx.Done():
-		if errors.Is(a.ctx.Err(), context.Canceled) {
+	case <-a.clientCtx.Done():
+		if errors.Is(a.clientCtx.Err(), context.Canceled) {
 			return order.CallerGone
 		}
-		// The deadline of the context ends the wait of a caller who is still there.
+		// The context's deadline has passed, but the client is still connected.
 		<-timer.C
 	}
 	return order.Wake
 }
 
+// sendCall sends the call and returns the effects of its response.
 func (a *attempt) sendCall() []order.Effect {
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(a.ctx), a.call.Deadline)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(a.clientCtx), a.call.Deadline)
 	defer cancel()
 	answer := a.send(ctx)
 	a.coordinator.mu.Lock()
--- a/node/orders/orders.go
+++ b/node/orders/orders.go
@@ -1,6 +1,6 @@
-// Package orders makes non-idempotent calls at most once by key, through claims
-// on a stream of the platform's log. Package core/order decides; this one reads,
-// appends, waits and sends.
+// Package orders makes non-idempotent calls at most once per key, by means of claims on a
+// stream of the platform's log. Package core/order decides; this package reads, appends,
+// waits and sends.
 package orders
 
 import (
@@ -20,60 +20,61 @@
 )
 
 const (
-	defaultPoll     = 5 * time.Second
-	defaultDispatch = 2 * time.Second
-	defaultSkew     = 30 * time.Second
-	defaultGrace    = time.Second
-	maxBatch        = 1024
-	minRetry        = 20 * time.Millisecond
-	maxRetry        = 200 * time.Millisecond
-	queueRetry      = 50 * time.Millisecond
+	defaultPoll           = 5 * time.Second
+	defaultDispatchWindow = 2 * time.Second
+	defaultSkew           = 30 * time.Second
+	defaultGrace          = time.Second
+	maxBatch              = 1024
+	minRetry              = 20 * time.Millisecond
+	maxRetry              = 200 * time.Millisecond
+	queueRetry            = 50 * time.Millisecond
 )
 
-// DefaultPolicy returns the usual times for a log that keeps records for
-// retention at least: keys are accepted for half of it.
+// DefaultPolicy returns the default durations for a log that keeps records for at least
+// retention. Keys are accepted for half of it.
 func DefaultPolicy(retention time.Duration) order.Policy {
 	return order.Policy{
 		Window:    retention / 2,
 		Retention: retention,
-		Dispatch:  defaultDispatch,
+		Dispatch:  defaultDispatchWindow,
 		Skew:      min(defaultSkew, retention/8),
 		Grace:     defaultGrace,
 	}
 }
 
-// Options sets up a Coordinator. Log, Appender, Stream, Policy and Claimant are
+// Options configures a Coordinator. Log, Appender, Stream, Policy and Claimant are
 // required.
 type Options struct {
 	Log      logstream.Log
 	Appender *logstream.Appender
 	Stream   string
 	Policy   order.Policy
-	// Claimant names this instance in its claims.
+	// Claimant is the name of this instance in its claims.
 	Claimant string
-	// Poll is how long one read waits for a record.
+	// Poll is how long a read waits for a record.
 	Poll   time.Duration
 	Logger *zap.Logger
 }
 
-// Coordinator makes non-idempotent calls for one shard of keys. It is safe for
-// concurrent use.
+// Coordinator makes non-idempotent calls for one shard of keys. It is safe for concurrent
+// use.
 type Coordinator struct {
 	opts Options
 
-	mu      sync.Mutex
-	table   *order.Table
-	unread  bool
-	waiters map[record.OrderKey]map[*waiter]struct{}
+	mu          sync.Mutex
+	table       *order.Table
+	readFailing bool
+	waiters     map[record.OrderKey]map[*waiter]struct{}
 
-	// background counts the outcomes and releases not yet appended.
-	background sync.WaitGroup
+	// pendingAppends counts the outcomes and releases that are not appended yet.
+	pendingAppends sync.WaitGroup
 }
 
-type waiter struct{ wake chan struct{} }
+// waiter is a call that waits for a change of its key.
+type waiter struct{ notified chan struct{} }
 
-// New returns a Coordinator; Run must be running for Do to make calls. It fails
-// if the policy lets keys outlive what the log keeps.
+// New returns a Coordinator. Do makes calls only while Run is running. It fails if the
+// policy accepts keys for longer than the log keeps their records.
 func New(opts Options) (*Coordinator, error) {
 	if err := opts.Policy.Validate(); err != nil {
 		return nil, trace.Wrap(err)
@@ -91,7 +92,7 @@
 	}, nil
 }
 
-// Run reads the stream until ctx ends and returns its error.
+// Run reads the stream until ctx ends and returns the error of ctx.
 func (c *Coordinator) Run(ctx context.Context) error {
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
@@ -110,12 +111,12 @@
 	return trace.Wrap(ctx.Err())
 }
 
-// Flush waits until all outcomes and releases are appended or ctx ends. Call it
-// after the last Do and before Run and the Appender are stopped.
+// Flush waits until all outcomes and releases are appended or ctx ends. Call it after the
+// last Do and before Run and the Appender stop.
 func (c *Coordinator) Flush(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		c.background.Wait()
+		c.pendingAppends.Wait()
 		close(done)
 	}()
 	select {
@@ -126,7 +127,7 @@
 	}
 }
 
-// Keys returns the number of keys remembered.
+// Keys returns the number of keys that are remembered.
 func (c *Coordinator) Keys() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,47 +140,52 @@
 	return c.table.Next()
 }
 
+// readFailed records that the log is unavailable and waits before the next read.
 func (c *Coordinator) readFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
-	first := !c.unread
-	c.unread = true
+	first := !c.readFailing
+	c.readFailing = true
 	c.mu.Unlock()
 	if first {
-		c.opts.Logger.Warn("orders stream can't be read", zap.Error(err))
+		c.opts.Logger.Warn("reading the orders stream failed", zap.Error(err))
 	}
-	pause(ctx, minRetry+rand.N(maxRetry-minRetry))
+	sleep(ctx, minRetry+rand.N(maxRetry-minRetry))
 }
 
+// apply applies a batch and notifies the waiters of changed keys, or all of them if records were
+// missed.
 func (c *Coordinator) apply(batch record.Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unread = false
+	c.readFailing = false
 	changed, gap := c.table.Apply(time.Now(), batch)
 	if gap {
-		c.opts.Logger.Warn("orders stream was truncated before it was read", zap.Uint64("first", batch.First))
+		c.opts.Logger.Warn("orders stream was truncated before all records were read", zap.Uint64("first", batch.First))
 		for key := range c.waiters {
-			c.wake(key)
+			c.notify(key)
 		}
 	}
 	for _, key := range changed {
-		c.wake(key)
+		c.notify(key)
 	}
 }
 
-func (c *Coordinator) wake(key record.OrderKey) {
+// notify wakes the waiters of a key. The lock is held.
+func (c *Coordinator) notify(key record.OrderKey) {
 	for w := range c.waiters[key] {
 		select {
-		case w.wake <- struct{}{}:
+		case w.notified <- struct{}{}:
 		default:
 		}
 	}
 }
 
+// subscribe adds a waiter for a key. The lock is held.
 func (c *Coordinator) subscribe(key record.OrderKey) *waiter {
-	w := &waiter{wake: make(chan struct{}, 1)}
+	w := &waiter{notified: make(chan struct{}, 1)}
 	if c.waiters[key] == nil {
 		c.waiters[key] = map[*waiter]struct{}{}
 	}
@@ -196,28 +202,30 @@
 	}
 }
 
-// appendLater appends an outcome or a release, for as long as it can matter.
-func (c *Coordinator) appendLater(r record.Record) {
+// appendInBackground appends an outcome or a release. It retries while the queue is full,
+// for as long as the key is accepted.
+func (c *Coordinator) appendInBackground(r record.Record) {
 	data, err := record.Encode(r)
 	if err != nil {
-		c.opts.Logger.Error("order record can't be encoded", zap.String("record", string(r.ID)), zap.Error(err))
+		c.opts.Logger.Error("encoding an order record failed", zap.String("record", string(r.ID)), zap.Error(err))
 		return
 	}
-	c.background.Go(func() {
+	c.pendingAppends.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.opts.Policy.Window)
 		defer cancel()
 		err := c.opts.Appender.Append(ctx, data)
 		for errors.Is(err, logstream.ErrQueueFull) && ctx.Err() == nil {
-			pause(ctx, queueRetry)
+			sleep(ctx, queueRetry)
 			err = c.opts.Appender.Append(ctx, data)
 		}
 		if err != nil {
-			c.opts.Logger.Error("order record was not appended", zap.String("record", string(r.ID)), zap.Error(err))
+			c.opts.Logger.Error("appending an order record failed", zap.String("record", string(r.ID)), zap.Error(err))
 		}
 	})
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/node/orders/orders_test.go
+++ b/node/orders/orders_test.go
@@ -39,7 +39,7 @@
 	return c, appender
 }
 
-func pair(t *testing.T, run func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator)) {
+func runPair(t *testing.T, run func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := &logtest.Log{Delay: time.Millisecond}
@@ -70,12 +70,12 @@
 	return order.Answer{Status: 200, Body: fmt.Appendf(nil, "run %d", s.runs), Execution: execution.Ran}
 }
 
-func unused(context.Context) order.Answer { panic("sent") }
+func mustNotSend(context.Context) order.Answer { panic("sent") }
 
-// Calls with one key through two instances at once run once, and all get the
-// same answer, although the answers of the log are lost.
-func TestOneRunForOneKey(t *testing.T) {
-	pair(t, func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator) {
+// Concurrent calls with one key through two instances run once and all get the same
+// response, although responses of the log are lost.
+func TestConcurrentCallsWithOneKeyRunOnce(t *testing.T) {
+	runPair(t, func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator) {
 		log.LoseNext(2)
 		s := &service{}
 		results := make([]order.Result, 6)
@@ -95,14 +95,14 @@
 		require.Equal(t, len(results)-1, replayed)
 		other := call("k")
 		other.Fingerprint = "g"
-		require.Equal(t, order.Result{Reason: order.ReasonKeyReused}, b.Do(ctx, other, unused))
+		require.Equal(t, order.Result{Reason: order.ReasonKeyReused}, b.Do(ctx, other, mustNotSend))
 	})
 }
 
-// With the log away a call is refused at once, and a first send is told not_run;
-// an order that is known to have run is still replayed.
-func TestLogAway(t *testing.T) {
-	pair(t, func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator) {
+// While the log is unavailable, a call is refused at once, and a first attempt gets the
+// result not_run. A call that is known to have run is still replayed.
+func TestCallsWhileLogIsUnavailable(t *testing.T) {
+	runPair(t, func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator) {
 		s := &service{}
 		a.Do(ctx, call("before"), s.run)
 		synctest.Wait()
@@ -112,9 +112,9 @@
 		started := time.Now()
 		repeat, first := call("k"), call("k")
 		first.First = true
-		require.Equal(t, order.Result{Execution: execution.Unknown, Reason: order.ReasonLogUnavailable}, b.Do(ctx, repeat, unused))
-		require.Equal(t, order.Result{Execution: execution.NotRun, Reason: order.ReasonLogUnavailable}, b.Do(ctx, first, unused))
-		r := b.Do(ctx, call("before"), unused)
+		require.Equal(t, order.Result{Execution: execution.Unknown, Reason: order.ReasonLogUnavailable}, b.Do(ctx, repeat, mustNotSend))
+		require.Equal(t, order.Result{Execution: execution.NotRun, Reason: order.ReasonLogUnavailable}, b.Do(ctx, first, mustNotSend))
+		r := b.Do(ctx, call("before"), mustNotSend)
 		require.True(t, r.Replayed)
 		require.Zero(t, time.Since(started))
 		log.SetDown(false)
@@ -123,10 +123,10 @@
 	})
 }
 
-// A caller that leaves does not stop its call, whose answer is replayed; a call
-// that the service refused is free again.
-func TestCallerLeavesAndServiceRefuses(t *testing.T) {
-	pair(t, func(ctx context.Context, _ *logtest.Log, a, b *orders.Coordinator) {
+// The disconnect of a client does not stop its call, and the response is replayed. The key
+// of a call that the service refused can be used again.
+func TestClientDisconnectsAndServiceRefuses(t *testing.T) {
+	runPair(t, func(ctx context.Context, _ *logtest.Log, a, b *orders.Coordinator) {
 		s := &service{}
 		left, leave := context.WithCancel(ctx)
 		a.Do(left, call("k"), func(ctx context.Context) order.Answer {
@@ -135,7 +135,7 @@
 			return s.run(ctx)
 		})
 		require.NoError(t, a.Flush(ctx))
-		r := b.Do(ctx, call("k"), unused)
+		r := b.Do(ctx, call("k"), mustNotSend)
 		require.True(t, r.Replayed)
 		require.Equal(t, "run 1", string(r.Answer.Body))
 
@@ -148,10 +148,10 @@
 	})
 }
 
-// A caller whose context carries the deadline of the call, and who waits until
-// then for another instance to finish, is not taken for one that left.
-func TestDeadlineIsNotDeparture(t *testing.T) {
-	pair(t, func(ctx context.Context, _ *logtest.Log, a, b *orders.Coordinator) {
+// A client whose context carries the call's deadline waits until then for another instance
+// to finish. It must not be treated as disconnected.
+func TestDeadlineIsNotADisconnect(t *testing.T) {
+	runPair(t, func(ctx context.Context, _ *logtest.Log, a, b *orders.Coordinator) {
 		started, release := make(chan struct{}), make(chan struct{})
 		long := call("k")
 		long.Deadline = time.Now().Add(5 * callTime)
@@ -168,7 +168,7 @@
 		// The context ends a moment before the timer of the wait.
 		waiting, cancel := context.WithDeadline(ctx, repeat.Deadline.Add(-time.Millisecond))
 		defer cancel()
-		res := b.Do(waiting, repeat, unused)
+		res := b.Do(waiting, repeat, mustNotSend)
 		require.NotEqual(t, order.ReasonCallerGone, res.Reason)
 		require.NotEqual(t, execution.NotRun, res.Execution)
 		close(release)
