--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -95,7 +95,7 @@
 	// reports of all replicas were last read here or received from another instance.
 	started  time.Time
 	observed atomic.Int64
-	// opened is closed once when the configuration and the replicas are known.
+	// ready is closed, by means of readyOnce, when the configuration and the replicas are known.
 	readyOnce sync.Once
 	ready     chan struct{}
 
