--- a/node/control/control_test.go
+++ b/node/control/control_test.go
@@ -25,7 +25,7 @@
 	unavailable bool
 	config      *routing.Config
 	entries     []roster.Entry
-	duty        bool
+	leader      bool
 	generation  int64
 	left        bool
 	members     []string
@@ -110,7 +110,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.joinGenerations = append(w.joinGenerations, generation)
-	return Membership{Generation: w.generation, Duty: w.duty}, w.check()
+	return Membership{Generation: w.generation, Duty: w.leader}, w.check()
 }
 
 func (w *fakePlatform) Members(context.Context) ([]string, error) {
@@ -147,7 +147,7 @@
 	return &fakePlatform{
 		config:     &routing.Config{Version: 3, Services: []routing.Service{{Name: "s", Model: m}}},
 		entries:    []roster.Entry{{ID: "r", Service: "s", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Born: 1, Sequence: 1}},
-		duty:       true,
+		leader:     true,
 		generation: 7,
 	}
 }
--- a/node/control/duty_test.go
+++ b/node/control/duty_test.go
@@ -38,7 +38,7 @@
 
 func TestOnlyTheLeaderAssignsLayers(t *testing.T) {
 	w := newFakePlatform()
-	w.duty = false
+	w.leader = false
 	run(t, w, func(*Control, *gateway.Gateway) {
 		time.Sleep(time.Minute)
 		require.Empty(t, w.tokens())
--- a/node/control/evidence.go
+++ b/node/control/evidence.go
@@ -81,8 +81,8 @@
 	started := time.Now()
 	cursor := int64(-1)
 	for ctx.Err() == nil {
-		grace := c.opts.FirstStart && time.Since(started) < evidenceGrace
-		if grace || (c.connected() && (cursor >= 0 || c.opts.FirstStart)) {
+		inGrace := c.opts.FirstStart && time.Since(started) < evidenceGrace
+		if inGrace || (c.connected() && (cursor >= 0 || c.opts.FirstStart)) {
 			sleep(ctx, evidenceInterval)
 			continue
 		}
--- a/node/control/follow_test.go
+++ b/node/control/follow_test.go
@@ -51,10 +51,10 @@
 // A poll that has just begun misses a version, which a peer has in force.
 func TestConfigurationFromPeer(t *testing.T) {
 	w := newFakePlatform()
-	var told []int64
+	var published []int64
 	o := Options{
 		Peers:    func() int { return minPeersForConfig },
-		OnConfig: func(version int64, _ []byte) { told = append(told, version) },
+		OnConfig: func(version int64, _ []byte) { published = append(published, version) },
 	}
 	runWith(t, w, o, func(c *Control, g *gateway.Gateway) {
 		time.Sleep(100 * time.Millisecond)
@@ -63,7 +63,7 @@
 		c.TakeConfig([]byte("4"))
 		c.TakeConfig([]byte("unreadable"))
 		require.Equal(t, int64(5), g.Table().Version(), "an older version changes nothing")
-		require.Equal(t, []int64{3, 5}, told)
+		require.Equal(t, []int64{3, 5}, published)
 	})
 }
 
@@ -101,16 +101,16 @@
 // The leader relays what it reads. Mere heartbeats only advance the offset.
 func TestLeaderPublishesUpdates(t *testing.T) {
 	w := newFakePlatform()
-	passed := make(chan roster.Updates, 100)
-	runWith(t, w, Options{OnUpdates: func(u roster.Updates) { passed <- u }}, func(*Control, *gateway.Gateway) {
+	published := make(chan roster.Updates, 100)
+	runWith(t, w, Options{OnUpdates: func(u roster.Updates) { published <- u }}, func(*Control, *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		drainUpdates(passed)
+		drainUpdates(published)
 		w.set(func() { w.history = append(w.history, entryAt(0, 2, roster.Ready), entryAt(1, 3, roster.Draining)) })
 		time.Sleep(leaderReadInterval + 100*time.Millisecond)
-		require.Equal(t, roster.Updates{From: 0, To: 2, List: w.history[1:]}, <-passed)
-		drainUpdates(passed)
+		require.Equal(t, roster.Updates{From: 0, To: 2, List: w.history[1:]}, <-published)
+		drainUpdates(published)
 		time.Sleep(2 * time.Second)
-		require.GreaterOrEqual(t, drainUpdates(passed), 4, "empty updates are published too")
+		require.GreaterOrEqual(t, drainUpdates(published), 4, "empty updates are published too")
 	})
 }
 
@@ -132,7 +132,7 @@
 // second. A replica that shuts down then gets no new requests after 2 s in any case.
 func TestFollowersReadOnlyWithoutUpdates(t *testing.T) {
 	w := newFakePlatform()
-	w.duty = false
+	w.leader = false
 	run(t, w, func(c *Control, g *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
 		w.set(func() { w.reads = 0 })
@@ -156,7 +156,7 @@
 // During an outage only joins, which are cheap, probe the store often; reads are rare.
 func TestFewReadsDuringOutage(t *testing.T) {
 	w := newFakePlatform()
-	w.duty = false
+	w.leader = false
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
 		w.set(func() { w.unavailable, w.reads = true, 0 })
@@ -175,7 +175,7 @@
 func TestFewReadsWithoutLeader(t *testing.T) {
 	const instances = 30
 	w := newFakePlatform()
-	w.duty = false
+	w.leader = false
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		all := make([]*Control, instances)
@@ -231,7 +231,7 @@
 // its removal.
 func TestRemovalReportedByPeerAfterOutage(t *testing.T) {
 	w := newFakePlatform()
-	w.duty = false
+	w.leader = false
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
 		w.set(func() { w.unavailable = true })
@@ -249,7 +249,7 @@
 // expires.
 func TestMissingEntriesExpireAfterOutage(t *testing.T) {
 	w := newFakePlatform()
-	w.duty = false
+	w.leader = false
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
 		w.set(func() { w.unavailable = true })
--- a/node/duty/duty_test.go
+++ b/node/duty/duty_test.go
@@ -16,10 +16,10 @@
 
 const stream = "leases"
 
-func startKeeper(ctx context.Context, log *logtest.Log, self string, duties int) *duty.Keeper {
+func startKeeper(ctx context.Context, log *logtest.Log, self string, tasks int) *duty.Keeper {
 	appender := logstream.NewAppender(log, stream, logstream.AppenderOptions{})
 	k := duty.New(duty.Options{Log: log, Appender: appender, Stream: stream, Self: self, Terms: duty.DefaultTerms()})
-	for i := range duties {
+	for i := range tasks {
 		k.Want(leaseName(i), true)
 	}
 	go func() { _ = appender.Run(ctx) }()
--- a/node/gateway/budget_test.go
+++ b/node/gateway/budget_test.go
@@ -13,8 +13,8 @@
 	"masticbank.example/node/exchange"
 )
 
-// spend uses up the retry budget and returns the number of retries.
-func spend(g *Gateway) int {
+// spendAll uses up the retry budget and returns the number of retries.
+func spendAll(g *Gateway) int {
 	n := 0
 	for g.retryAllowed("s") {
 		n++
@@ -37,15 +37,15 @@
 		for range instances {
 			g := start()
 			g.SetInstances(instances)
-			total += spend(g)
+			total += spendAll(g)
 			g = start() // restarts after the power failure
 			for range requests {
 				g.countFirst("s")
 				first++
-				total += spend(g)
+				total += spendAll(g)
 			}
 			g.SetInstances(instances)
-			total += spend(g)
+			total += spendAll(g)
 		}
 		require.LessOrEqual(t, float64(total), ratio*float64(first)+slack)
 		require.GreaterOrEqual(t, float64(total), slack/2)
@@ -62,7 +62,7 @@
 		})
 		g.SetInstances(95)
 		c := &call{service: &routing.Service{Name: "s"}}
-		spend(g)
+		spendAll(g)
 		began := time.Now()
 		require.False(t, g.awaitRetry(t.Context(), c, began.Add(1500*time.Millisecond)))
 		require.Equal(t, deniedBudget, c.denialReason)
@@ -78,7 +78,7 @@
 		require.LessOrEqual(t, time.Since(began), 300*time.Millisecond+budgetPollInterval)
 		require.Empty(t, c.denialReason)
 
-		spend(g)
+		spendAll(g)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		began = time.Now()
--- a/node/gateway/crashes.go
+++ b/node/gateway/crashes.go
@@ -77,15 +77,15 @@
 // have the same fingerprint; on routes without API keys, clients are distinguished by IP
 // address.
 func fingerprintOf(c *call) poison.Fingerprint {
-	caller := "workspace " + c.workspace
+	client := "workspace " + c.workspace
 	if c.workspace == "" {
 		host, _, err := net.SplitHostPort(c.http.RemoteAddr)
 		if err != nil {
 			host = c.http.RemoteAddr
 		}
-		caller = "address " + host
+		client = "address " + host
 	}
-	return poison.FingerprintOf(caller, string(c.body), c.http.Method, c.http.Host, c.http.RequestURI)
+	return poison.FingerprintOf(client, string(c.body), c.http.Method, c.http.Host, c.http.RequestURI)
 }
 
 // admit returns the refusal of a blocked request, or nil.
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -153,13 +153,13 @@
 		s.g.logEnd(s.call, statusClientClosed, "caller_left")
 		return
 	}
-	why, retryAfter := "no_room", modelRetryAfter
+	reason, retryAfter := "no_room", modelRetryAfter
 	if left := s.pool.paused(time.Now()); left > 0 {
-		why, retryAfter = outcomeReplicasPaused, left
+		reason, retryAfter = outcomeReplicasPaused, left
 	} else if !s.pool.covered() {
-		why = "layers_missing"
+		reason = "layers_missing"
 	}
-	s.g.sendRefusal(s.call, http.StatusServiceUnavailable, why, retryAfter)
+	s.g.sendRefusal(s.call, http.StatusServiceUnavailable, reason, retryAfter)
 }
 
 // endIncomplete finishes a request whose response is incomplete.
@@ -167,11 +167,11 @@
 	switch {
 	case s.headSent:
 		httpserver.Abort(s.writer)
-		why := "stream_broken"
+		reason := "stream_broken"
 		if errors.Is(ctx.Err(), context.Canceled) {
-			why = "caller_left"
+			reason = "caller_left"
 		}
-		s.g.logEnd(s.call, statusClientClosed, why, zap.Int64("last_event", s.lastEventID), zap.Int("events", s.relayed))
+		s.g.logEnd(s.call, statusClientClosed, reason, zap.Int64("last_event", s.lastEventID), zap.Int("events", s.relayed))
 	case next == forward.Refuse:
 		s.g.sendRefusal(s.call, http.StatusServiceUnavailable, "rejected_everywhere", modelRetryAfter)
 	default:
--- a/node/gateway/plain.go
+++ b/node/gateway/plain.go
@@ -51,7 +51,7 @@
 		tried[replica.ID] = true
 		c.sends++
 		c.replica = replica.ID
-		outcome, answer, err := g.sendPlain(ctx, c, pool, replica, &h)
+		outcome, response, err := g.sendPlain(ctx, c, pool, replica, &h)
 		next := h.Step(outcome, func() bool { return g.mayRetry(ctx, c) })
 		if outcome != forward.Answered {
 			g.log.Info("attempt failed", zap.String("request", c.ID), zap.String("replica", replica.ID),
@@ -63,7 +63,7 @@
 		case forward.Retry:
 			continue
 		case forward.Deliver:
-			g.deliver(c, answer)
+			g.deliver(c, response)
 		case forward.Refuse:
 			g.endWithoutReplica(ctx, c, pool, &h, len(tried))
 		case forward.GiveUp:
@@ -115,9 +115,9 @@
 	}
 	pool.recordSend(replica.ID)
 	sent := time.Now()
-	outcome, answer, err := g.exchangePlain(ctx, c, replica, !h.Repeatable, pool)
+	outcome, response, err := g.exchangePlain(ctx, c, replica, !h.Repeatable, pool)
 	switch {
-	case outcome == forward.Answered && answer.status < http.StatusMultipleChoices:
+	case outcome == forward.Answered && response.status < http.StatusMultipleChoices:
 		g.crashes.recordSuccess(c.fingerprint)
 	case outcome == forward.Lost && mayBeCrash(err) && !errors.Is(c.http.Context().Err(), context.Canceled) && pool.listed(replica):
 		r := g.crashes.process(poison.Incarnation{Replica: replica.ID, Born: replica.Born}, sent)
@@ -125,7 +125,7 @@
 		g.crashes.scheduleCheck(r, replica.Address)
 	}
 	pool.recordOutcome(time.Now(), replica.ID, outcome, time.Since(now))
-	return outcome, answer, err
+	return outcome, response, err
 }
 
 var (
@@ -169,11 +169,11 @@
 		resp.Discard()
 		return forward.Lost, nil, errUnsignedResponse
 	}
-	answer := &plainResponse{status: resp.Status, header: resp.Header, body: body}
+	response := &plainResponse{status: resp.Status, header: resp.Header, body: body}
 	if resp.Status >= http.StatusInternalServerError {
-		return forward.Failed, answer, nil
+		return forward.Failed, response, nil
 	}
-	return forward.Answered, answer, nil
+	return forward.Answered, response, nil
 }
 
 // drainBody reads the rest of a short response so that its connection can be reused. The
--- a/node/gateway/survey_test.go
+++ b/node/gateway/survey_test.go
@@ -69,8 +69,8 @@
 			all = append(all, g)
 		}
 		for i, g := range all {
-			deputy := func() bool { return i < 2 }
-			tell := func(states map[string]pipeline.Observed) {
+			designated := func() bool { return i < 2 }
+			publish := func(states map[string]pipeline.Observed) {
 				for id, o := range states {
 					if o.HasLayers {
 						t.Errorf("layers of %s published by an instance that is not the leader", id)
@@ -83,7 +83,7 @@
 					}
 				}
 			}
-			wg.Go(func() { g.Survey(ctx, func() bool { return false }, deputy, tell) })
+			wg.Go(func() { g.Survey(ctx, func() bool { return false }, designated, publish) })
 		}
 		time.Sleep(seconds * time.Second)
 		got := reports.reset()
--- a/node/gateway/watch.go
+++ b/node/gateway/watch.go
@@ -103,8 +103,8 @@
 // others.
 func (s *stream) markUnresponsive(id, why string) {
 	s.excluded[id] = true
-	known := s.pool.block(id, unresponsiveBlock, why)
-	if !known && s.g.opts.OnSilent != nil {
+	wasBlocked := s.pool.block(id, unresponsiveBlock, why)
+	if !wasBlocked && s.g.opts.OnSilent != nil {
 		s.g.opts.OnSilent(id)
 	}
 }
--- a/node/orders/bench_test.go
+++ b/node/orders/bench_test.go
@@ -45,14 +45,14 @@
 	var next atomic.Int64
 	latencies := make([]time.Duration, b.N)
 	var failed atomic.Int64
-	answer := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
+	respond := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
 	var wg sync.WaitGroup
 	b.ResetTimer()
 	for range callers {
 		wg.Go(func() {
 			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
 				started := time.Now()
-				if c.Do(ctx, call(strconv.FormatInt(n, 10)), answer).Execution != execution.Ran {
+				if c.Do(ctx, call(strconv.FormatInt(n, 10)), respond).Execution != execution.Ran {
 					failed.Add(1)
 				}
 				latencies[n-1] = time.Since(started)
@@ -79,12 +79,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c, _ := start(ctx, b, &logtest.Log{Delay: logDelay}, "a", logstream.AppenderOptions{MinInterval: logLimit})
-	answer := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
+	respond := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
 	latencies := make([]time.Duration, 0, b.N)
 	for n := range b.N {
 		time.Sleep(gap)
 		started := time.Now()
-		c.Do(ctx, call(strconv.Itoa(n)), answer)
+		c.Do(ctx, call(strconv.Itoa(n)), respond)
 		latencies = append(latencies, time.Since(started))
 	}
 	slices.Sort(latencies)
