--- a/node/orders/bench_test.go
+++ b/node/orders/bench_test.go
@@ -17,12 +17,12 @@
 
 const (
 	logDelay = 250 * time.Microsecond
-	// logLimit spaces appends for 400 a second.
+	// logLimit spaces appends so that the log accepts 400 per second.
 	logLimit = 2500 * time.Microsecond
 )
 
-// BenchmarkDo makes orders with distinct keys through one instance before a log
-// that takes 0.25 ms and 400 appends a second.
+// BenchmarkDo makes calls with distinct keys through one instance. The log takes 0.25 ms
+// per append and accepts 400 appends per second.
 func BenchmarkDo(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		for _, c := range []struct {
@@ -45,14 +45,14 @@
 	var next atomic.Int64
 	latencies := make([]time.Duration, b.N)
 	var failed atomic.Int64
-	answer := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
+	respond := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
 	var wg sync.WaitGroup
 	b.ResetTimer()
 	for range callers {
 		wg.Go(func() {
 			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
 				started := time.Now()
-				if c.Do(ctx, call(strconv.FormatInt(n, 10)), answer).Execution != execution.Ran {
+				if c.Do(ctx, call(strconv.FormatInt(n, 10)), respond).Execution != execution.Ran {
 					failed.Add(1)
 				}
 				latencies[n-1] = time.Since(started)
@@ -72,19 +72,19 @@
 	b.ReportMetric(float64(latencies[b.N*99/100].Microseconds())/1000, "p99-ms")
 }
 
-// BenchmarkDoIdle gives the latency that a single order adds when no other is
-// under way.
+// BenchmarkDoIdle measures the latency that is added to a single call while no other is in
+// progress.
 func BenchmarkDoIdle(b *testing.B) {
 	const gap = 10 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c, _ := start(ctx, b, &logtest.Log{Delay: logDelay}, "a", logstream.AppenderOptions{MinInterval: logLimit})
-	answer := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
+	respond := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
 	latencies := make([]time.Duration, 0, b.N)
 	for n := range b.N {
 		time.Sleep(gap)
 		started := time.Now()
-		c.Do(ctx, call(strconv.Itoa(n)), answer)
+		c.Do(ctx, call(strconv.Itoa(n)), respond)
 		latencies = append(latencies, time.Since(started))
 	}
 	slices.Sort(latencies)
