--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// benchTable fills a table of 40 layers with n replicas: thirds, quarters and
-// ranges that cross them, of three kinds of which the slowest takes four times as
-// long, with reports, observations and cached blocks.
+// benchTable returns a table of 40 layers with n replicas whose ranges are
+// thirds, quarters and ranges that overlap these. It has three accelerator
+// types, the slowest taking four times as long as the fastest, and load
+// reports, observations and cached blocks.
 func benchTable(b *testing.B, n int, p policy) (*Table, Request) {
 	ranges := []Range{
 		{0, 13},
@@ -27,7 +28,7 @@
 		{20, 39},
 	}
 	table := NewTable(40, PolicyCost)
-	table.rule = p
+	table.policy = p
 	req := Request{PromptTokens: 1500, OutputTokens: 200}
 	for i := range uint64(100) {
 		req.Blocks = append(req.Blocks, i+1)
@@ -72,24 +73,24 @@
 	}
 }
 
-// BenchmarkMemory reports the bytes held for each replica and each cache hint.
+// BenchmarkMemory reports the bytes held per replica and per cache hint.
 func BenchmarkMemory(b *testing.B) {
 	const n, hints = 256, maxCacheHints
 	for b.Loop() {
-		empty := heap()
+		empty := heapBytes()
 		table, _ := benchTable(b, n, newPolicy(PolicyCost))
 		table.cache = newCacheIndex(hints)
-		filled := heap()
+		filled := heapBytes()
 		for i := range uint64(hints) {
 			table.CacheEvent(start, fmt.Sprintf("replica-%d", i%n), i, false)
 		}
 		b.ReportMetric(float64(filled-empty)/n, "B/replica")
-		b.ReportMetric(float64(heap()-filled)/hints, "B/hint")
+		b.ReportMetric(float64(heapBytes()-filled)/hints, "B/hint")
 		runtime.KeepAlive(table)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -106,10 +107,10 @@
 	}
 }
 
-// BenchmarkSameView lets nine instances place requests between two reports, each
-// knowing its own dispatches only. It reports the expected time of the requests with
-// all dispatches known, and the most requests that one replica got, both as means
-// over the runs.
+// BenchmarkSameView lets nine instances choose between two load reports, each
+// knowing only its own dispatches. It reports the expected time of the requests
+// with all dispatches known, and the largest number of requests on one replica,
+// both as means over the runs.
 func BenchmarkSameView(b *testing.B) {
 	policies := map[string]policy{
 		"cost": newPolicy(PolicyCost), "cheapest": costPolicy{}, "random": newPolicy(PolicyRandom),
@@ -138,8 +139,8 @@
 	b.ReportMetric(most/runs, "most")
 }
 
-// placeBetweenReports returns the sorted expected times, in seconds, and the most
-// requests that one replica got.
+// placeBetweenReports returns the sorted expected times, in seconds, and the
+// largest number of requests on one replica.
 func placeBetweenReports(b *testing.B, p policy, each int, seed uint64) (times []float64, most int) {
 	const instances = 9
 	truth, req := benchTable(b, 40, p)
@@ -148,10 +149,10 @@
 		table, _ := benchTable(b, 40, p)
 		table.SetInstances(instances)
 		random := rand.New(rand.NewPCG(seed, uint64(instance)))
-		for i := range table.turns {
-			table.turns[i] = random.Uint64N(40)
+		for i := range table.roundRobinTurns {
+			table.roundRobinTurns[i] = random.Uint64N(40)
 		}
-		table.rate = choiceRate{count: float64(each), at: start.UnixNano()}
+		table.choiceRate = choiceRate{count: float64(each), at: start.UnixNano()}
 		for range each {
 			c := table.Choose(start, req, random.Uint64()).Chain
 			chains = append(chains, c)
@@ -161,12 +162,12 @@
 			}
 		}
 	}
-	truth.begin(start.UnixNano(), &req)
+	truth.beginChoice(start.UnixNano(), &req)
 	for _, c := range chains {
 		total := 0.0
 		for _, hop := range c.Hops {
 			r := truth.replicas[hop.ReplicaID]
-			total += truth.terms(start.UnixNano(), &req, r, truth.cachedPart(r)).Total()
+			total += truth.costTerms(start.UnixNano(), &req, r, truth.cachedFraction(r)).Total()
 			most = max(most, r.inFlight)
 		}
 		times = append(times, total)
@@ -175,8 +176,8 @@
 	return times, most
 }
 
-// BenchmarkLone reports the mean expected time, relative to the lowest, of a request
-// that is alone.
+// BenchmarkLone reports the mean expected time, relative to the lowest, of a
+// request without others in flight.
 func BenchmarkLone(b *testing.B) {
 	table, req := benchTable(b, 40, newPolicy(PolicyCost))
 	sum, runs := 0.0, uint64(0)
--- a/core/route/cache.go
+++ b/core/route/cache.go
@@ -6,31 +6,34 @@
 )
 
 const (
-	// maxCacheHints bounds the pairs of replica and block that a table holds.
+	// maxCacheHints is the maximum number of (replica, block) pairs in a table.
 	maxCacheHints = 1 << 16
-	// cacheHintAge is the age at which a hint is no longer used. Its worth falls
-	// linearly until then.
+	// cacheHintAge is the age at which a hint expires. The value of a hint
+	// falls linearly from 1 to 0 over this time.
 	cacheHintAge = 5 * time.Minute
-	// maxBlocksRead bounds the blocks looked up in one choice. Longer prompts are
-	// looked up in equal strides.
+	// maxBlocksRead limits the blocks looked up for one choice. For longer
+	// prompts only every n-th block is looked up.
 	maxBlocksRead = 64
 )
 
-// cacheIndex maps prompt blocks to the replicas that reported them. When it is
-// full, the oldest hints are dropped.
+// cacheIndex maps prompt blocks to the replicas that reported holding them. It
+// holds at most size hints and discards the oldest first.
 type cacheIndex struct {
 	size    int
 	holders map[uint64][]holder
-	// order holds the hints from head on in the order of their storage.
-	order []hint
+	// hints lists the hints in insertion order; the entries before head have
+	// been discarded.
+	hints []hint
 	head  int
 }
 
+// holder is a replica that reported a block at time at (Unix nanoseconds).
 type holder struct {
 	replica *replica
 	at      int64
 }
 
+// hint is a reported pair of block and replica.
 type hint struct {
 	block uint64
 	holder
@@ -40,8 +43,8 @@
 	return &cacheIndex{size: size, holders: make(map[uint64][]holder)}
 }
 
-// store records that the replica holds the block. A hint that is not newer than
-// the known one changes nothing.
+// store records that the replica holds the block. A report that is not newer
+// than the known one is ignored.
 func (c *cacheIndex) store(now int64, r *replica, block uint64) {
 	entry := holder{replica: r, at: now}
 	holders := c.holders[block]
@@ -54,12 +57,13 @@
 	default:
 		holders[at] = entry
 	}
-	c.order = append(c.order, hint{block: block, holder: entry})
-	if len(c.order)-c.head > c.size {
-		c.dropOldest()
+	c.hints = append(c.hints, hint{block: block, holder: entry})
+	if len(c.hints)-c.head > c.size {
+		c.discardOldest()
 	}
 }
 
+// evict records that the replica no longer holds the block.
 func (c *cacheIndex) evict(r *replica, block uint64) {
 	holders := c.holders[block]
 	at := indexOf(holders, r)
@@ -76,9 +80,9 @@
 	c.holders[block] = holders[:last]
 }
 
-func (c *cacheIndex) dropOldest() {
-	old := c.order[c.head]
-	c.order[c.head] = hint{}
+func (c *cacheIndex) discardOldest() {
+	old := c.hints[c.head]
+	c.hints[c.head] = hint{}
 	c.head++
 	holders := c.holders[old.block]
 	at := indexOf(holders, old.replica)
@@ -86,27 +90,27 @@
 		c.evict(old.replica, old.block)
 	}
 	if c.head > c.size {
-		c.order = slices.Delete(c.order, 0, c.head)
+		c.hints = slices.Delete(c.hints, 0, c.head)
 		c.head = 0
 	}
 }
 
-// mark sets, on each replica that is expected to hold a prefix of the prompt,
-// which part of the prompt that is. An engine evicts the end of a prefix first,
-// so a known block stands for all blocks before it, also when the events of those
-// were lost.
-func (c *cacheIndex) mark(now int64, blocks []uint64, stamp uint64) {
+// markCached sets, on each replica that is expected to hold a prefix of the
+// prompt, the fraction of the prompt that it holds. Engines evict a prefix from
+// its end, so a known block implies all blocks before it, even if the events of
+// those were lost.
+func (c *cacheIndex) markCached(now int64, blocks []uint64, stamp uint64) {
 	n := len(blocks)
 	stride := (n + maxBlocksRead - 1) / maxBlocksRead
 	for i := n - 1; i >= 0; i -= stride {
-		part := float64(i+1) / float64(n)
-		for _, h := range c.holders[blocks[i]] {
-			worth := 1 - float64(now-h.at)/float64(cacheHintAge)
-			if worth <= 0 || h.replica.cachedAt == stamp {
+		fraction := float64(i+1) / float64(n)
+		for _, holder := range c.holders[blocks[i]] {
+			value := 1 - float64(now-holder.at)/float64(cacheHintAge)
+			if value <= 0 || holder.replica.cachedStamp == stamp {
 				continue
 			}
-			h.replica.cachedAt = stamp
-			h.replica.cached = part * min(worth, 1)
+			holder.replica.cachedStamp = stamp
+			holder.replica.cachedFraction = fraction * min(value, 1)
 		}
 	}
 }
--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -5,72 +5,75 @@
 	"time"
 )
 
-// typicalHops is the capacity that a chain starts with.
-const typicalHops = 4
+// typicalStages is the initial capacity of a path's list of stages.
+const typicalStages = 4
 
-// candidate is a replica that can run the next layers of the chain under way, and
-// from whose end the chain can be completed.
+// candidate is a replica that can run the next layers of the path being built
+// and from whose end the path can be completed.
 type candidate struct {
 	replica *replica
 	next    int
-	// excess is by how much the cheapest chain through the replica costs more
-	// than the cheapest chain from the same layer, in seconds.
-	excess float64
+	// excessCost is the cost of the cheapest path through the replica minus that of
+	// the cheapest path from the same layer, in seconds.
+	excessCost float64
 }
 
-// Choose picks a chain for the request at time now. random is a uniformly random
-// number; equal arguments on equal tables give equal choices.
+// Choose picks a path for the request at time now. random is a uniformly
+// distributed random number; equal arguments on equal tables give equal
+// results.
 //
-// Under PolicyCost the chain's expected time is at most 1+MaxTolerance times the
-// lowest of all chains, and at most 1+MinTolerance times while this instance is the
-// only one or the others are idle.
+// Under PolicyCost the expected time of the path is at most 1+MaxTolerance
+// times the lowest of all paths, and at most 1+MinTolerance times if this is
+// the only instance or the others are idle.
 func (t *Table) Choose(now time.Time, req Request, random uint64) Decision {
 	at := now.UnixNano()
-	t.begin(at, &req)
-	t.withinParts = t.live != nil
+	t.beginChoice(at, &req)
+	t.withinShares = t.live != nil
 	t.search(at, &req)
-	if t.withinParts && math.IsInf(t.best[0], 1) {
-		t.withinParts = false
+	if t.withinShares && math.IsInf(t.best[0], 1) {
+		t.withinShares = false
 		t.search(at, &req)
 	}
 	if math.IsInf(t.best[0], 1) {
 		return t.explainFailure(at)
 	}
-	t.rate.count++
-	return Decision{Outcome: Chosen, Chain: t.walk(random)}
+	t.choiceRate.count++
+	return Decision{Outcome: Chosen, Chain: t.drawPath(random)}
 }
 
-// begin starts a choice: it marks excluded replicas and expected cache hits.
-func (t *Table) begin(now int64, req *Request) {
+// beginChoice starts a choice: it marks the excluded replicas and the expected
+// cache hits.
+func (t *Table) beginChoice(now int64, req *Request) {
 	t.stamp++
-	t.tolerance = t.toleranceFor(now)
+	t.tolerance = t.currentTolerance(now)
 	for _, id := range req.Exclude {
 		if r, ok := t.replicas[id]; ok {
-			r.excludedAt = t.stamp
+			r.excludedStamp = t.stamp
 		}
 	}
-	t.cache.mark(now, req.Blocks, t.stamp)
+	t.cache.markCached(now, req.Blocks, t.stamp)
 }
 
-// walk builds a chain from the first layer on, one draw of the policy a hop.
-func (t *Table) walk(random uint64) Chain {
-	hops := make([]Hop, 0, typicalHops)
+// drawPath builds a path from the first layer on. The policy picks the replica
+// of each stage.
+func (t *Table) drawPath(random uint64) Chain {
+	stages := make([]Hop, 0, typicalStages)
 	total := 0.0
 	t.source.Seed(random, 0)
 	for b := 0; b < t.layers; {
-		t.collect(b)
-		c := t.candidates[t.rule.pick(t, b, t.candidates, t.source.Uint64())]
-		hops = append(hops, Hop{ReplicaID: c.replica.ID, First: b, Last: c.next - 1})
+		t.collectCandidates(b)
+		c := t.candidates[t.policy.pick(t, b, t.candidates, t.source.Uint64())]
+		stages = append(stages, Hop{ReplicaID: c.replica.ID, First: b, Last: c.next - 1})
 		total += c.replica.cost
 		b = c.next
 	}
-	return Chain{Hops: hops, Expected: seconds(total)}
+	return Chain{Hops: stages, Expected: durationOf(total)}
 }
 
-// collect lists the candidates at layer b.
-func (t *Table) collect(b int) {
+// collectCandidates lists the candidates at layer boundary b.
+func (t *Table) collectCandidates(b int) {
 	t.candidates = t.candidates[:0]
-	for _, g := range t.from[b] {
+	for _, g := range t.groupsFrom[b] {
 		rest := t.best[g.next]
 		if math.IsInf(rest, 1) {
 			continue
@@ -80,21 +83,22 @@
 				continue
 			}
 			excess := r.cost + rest - t.best[b]
-			t.candidates = append(t.candidates, candidate{replica: r, next: g.next, excess: excess})
+			t.candidates = append(t.candidates, candidate{replica: r, next: g.next, excessCost: excess})
 		}
 	}
 }
 
-func seconds(s float64) time.Duration {
+// durationOf converts seconds to a duration.
+func durationOf(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
 
-// unit maps a random number to [0, 1).
-func unit(random uint64) float64 {
+// unitFloat maps a random number to [0, 1).
+func unitFloat(random uint64) float64 {
 	return float64(random>>11) / (1 << 53)
 }
 
-// below maps a random number to 0 to n-1.
-func below(random uint64, n int) int {
-	return int(unit(random) * float64(n))
+// intBelow maps a random number to [0, n).
+func intBelow(random uint64, n int) int {
+	return int(unitFloat(random) * float64(n))
 }
--- a/core/route/explain.go
+++ b/core/route/explain.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// Standing tells what a choice makes of one replica.
-type Standing int
+// Status is the status of one replica in a choice.
+type Status int
 
 const (
-	// Drawable means that PolicyCost draws the replica with a probability above
-	// zero.
-	Drawable Standing = iota
-	// TooSlow means that chains through the replica are not near the lowest cost.
+	// Eligible means that PolicyCost may pick the replica.
+	Eligible Status = iota
+	// TooSlow means that the cost of every path through the replica exceeds the
+	// lowest cost by more than the tolerance.
 	TooSlow
-	// NoChain means that no chain leads through the replica.
-	NoChain
-	// NoRoom means that the replica holds as many requests as it takes.
-	NoRoom
-	// IsExcluded means that the request excludes the replica.
-	IsExcluded
-	// OutOfUse means that the replica's weight is 0.
-	OutOfUse
+	// NoPath means that no path leads through the replica.
+	NoPath
+	// AtLimit means that the replica has reached its limit of requests in
+	// flight.
+	AtLimit
+	// Excluded means that the request excludes the replica.
+	Excluded
+	// ZeroWeight means that the replica's weight is 0.
+	ZeroWeight
 )
 
-// String returns the name of the standing.
-func (s Standing) String() string {
+// String returns the status's name.
+func (s Status) String() string {
 	names := [...]string{"drawable", "too_slow", "no_chain", "no_room", "excluded", "out_of_use"}
 	if s < 0 || int(s) >= len(names) {
 		return "unknown"
@@ -35,44 +36,46 @@
 	return names[s]
 }
 
-// ReplicaView is one replica in an Explanation.
+// ReplicaView describes one replica in an Explanation.
 type ReplicaView struct {
 	Replica
-	Standing Standing
-	Terms    Terms
-	// CachedPart is the part of the prompt, 0 to 1, expected in the prefix cache.
+	Standing Status
+	Terms    CostTerms
+	// CachedPart is the fraction of the prompt, 0 to 1, expected in the prefix
+	// cache.
 	CachedPart float64
 	Weight     float64
 	Limit      int
 	InFlight   int
-	// Occupancy is the estimate of the sequences held for all instances.
+	// Occupancy is the estimated number of sequences held, of all instances.
 	Occupancy int
-	// ReportAge is the age of the last load report; negative when there is none.
+	// ReportAge is the age of the last load report; negative if there is none.
 	ReportAge time.Duration
 }
 
-// Explanation gives the grounds of a choice.
+// Explanation holds a decision with the estimates that led to it.
 type Explanation struct {
 	Decision Decision
-	// Lowest is the lowest expected time of all chains, when there is one.
+	// Lowest is the lowest expected time of all paths; 0 if there is no path.
 	Lowest time.Duration
-	// Tolerance is how far above Lowest, relative to it, PolicyCost draws.
+	// Tolerance is how far above Lowest, relative to it, the expected time of a
+	// path may be for PolicyCost to pick it.
 	Tolerance float64
 	// Replicas are sorted by first layer, last layer and ID.
 	Replicas []ReplicaView
 }
 
-// Explain makes the choice that Choose would make and returns its grounds. Under
-// PolicyRoundRobin it counts as a turn.
+// Explain makes the same choice as Choose and returns it with its estimates.
+// Under PolicyRoundRobin it advances the turn.
 func (t *Table) Explain(now time.Time, req Request, random uint64) Explanation {
-	rate := t.rate
+	rate := t.choiceRate
 	e := Explanation{Decision: t.Choose(now, req, random), Tolerance: t.tolerance}
-	t.rate = rate
+	t.choiceRate = rate
 	if e.Decision.Outcome == Chosen {
-		e.Lowest = seconds(t.best[0])
+		e.Lowest = durationOf(t.best[0])
 	}
 	at := now.UnixNano()
-	t.reach(func(r *replica) bool { return t.usable(r) && !t.full(at, r) })
+	t.computeReachability(func(r *replica) bool { return t.usable(r) && !t.atLimit(at, r) })
 	for _, r := range t.replicas {
 		e.Replicas = append(e.Replicas, t.view(at, &req, r))
 	}
@@ -91,36 +94,37 @@
 func (t *Table) view(now int64, req *Request, r *replica) ReplicaView {
 	v := ReplicaView{
 		Replica:    r.Replica,
-		Standing:   t.standing(now, r),
-		CachedPart: t.cachedPart(r),
+		Standing:   t.status(now, r),
+		CachedPart: t.cachedFraction(r),
 		Weight:     r.weight,
 		Limit:      r.limit,
 		InFlight:   r.inFlight,
 		Occupancy:  r.occupancy(now),
 		ReportAge:  -1,
 	}
-	v.Terms = t.terms(now, req, r, v.CachedPart)
+	v.Terms = t.costTerms(now, req, r, v.CachedPart)
 	if r.reported {
 		v.ReportAge = time.Duration(now - r.reportedAt)
 	}
 	return v
 }
 
-// standing must follow a call of reach.
-func (t *Table) standing(now int64, r *replica) Standing {
+// status returns the replica's status in the current choice. It reads what
+// computeReachability has set.
+func (t *Table) status(now int64, r *replica) Status {
 	switch {
 	case r.weight == 0:
-		return OutOfUse
-	case r.excludedAt == t.stamp:
-		return IsExcluded
-	case t.full(now, r):
-		return NoRoom
+		return ZeroWeight
+	case r.excludedStamp == t.stamp:
+		return Excluded
+	case t.atLimit(now, r):
+		return AtLimit
 	case !t.forward[r.First] || !t.backward[r.Last+1]:
-		return NoChain
+		return NoPath
 	}
-	c := candidate{replica: r, excess: r.cost + t.best[r.Last+1] - t.best[r.First]}
+	c := candidate{replica: r, excessCost: r.cost + t.best[r.Last+1] - t.best[r.First]}
 	if math.IsInf(r.cost, 1) || c.drawWeight(t.tolerance) == 0 {
 		return TooSlow
 	}
-	return Drawable
+	return Eligible
 }
--- a/core/route/pace.go
+++ b/core/route/pace.go
@@ -1,15 +1,16 @@
 package route
 
 const (
-	// paceGain is the weight of a new sample in a mean.
-	paceGain = 0.1
-	// reportGain is the weight of a reported speed in a mean of observed ones. It
-	// lets the pace of an unused replica return to what the replica reports.
+	// sampleGain is the weight of a new sample in a moving average.
+	sampleGain = 0.1
+	// reportGain is the weight of a reported value in a moving average of
+	// observed ones. It lets the estimate of an unused replica converge to what
+	// the replica reports.
 	reportGain = 0.05
-	// minPaceSamples is the number of samples from which a mean is used.
-	minPaceSamples = 3
-	// defaultPrefill and defaultDecode, in seconds per token and layer, apply
-	// before anything was observed or reported.
+	// minSamples is the number of samples an average needs to be used.
+	minSamples = 3
+	// defaultPrefill and defaultDecode, in seconds per token and layer, are
+	// used until a value was observed or reported.
 	defaultPrefill = 2e-6
 	defaultDecode  = 250e-6
 )
@@ -26,27 +27,29 @@
 	} else {
 		m.value += gain * (sample - m.value)
 	}
-	if m.samples < minPaceSamples {
+	if m.samples < minSamples {
 		m.samples++
 	}
 }
 
-// addReported takes a reported value, which is used at once when nothing is known.
+// addReported adds a reported value. If too few samples are known, the value
+// replaces them and is used at once.
 func (m *mean) addReported(value float64) {
 	if !m.known() {
 		m.value = value
-		m.samples = minPaceSamples
+		m.samples = minSamples
 		return
 	}
 	m.add(value, reportGain)
 }
 
 func (m *mean) known() bool {
-	return m.samples >= minPaceSamples
+	return m.samples >= minSamples
 }
 
-// pace holds mean seconds per token without waiting, of prefill and of decode.
-type pace struct {
+// tokenTimes holds mean seconds per token, without queueing, of prefill and
+// decode.
+type tokenTimes struct {
 	prefill mean
 	decode  mean
 }
--- a/core/route/part_test.go
+++ b/core/route/part_test.go
@@ -9,8 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestPartsAddUpToTheLimit checks all instances' parts of each replica.
-func TestPartsAddUpToTheLimit(t *testing.T) {
+// TestLimitSharesAddUpToTheLimit checks that the shares of all instances add up
+// to the limit of a replica and that none exceeds an equal share by more than
+// 1.
+func TestLimitSharesAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 40).Draw(t, "limit")
 		var live []string
@@ -23,7 +25,7 @@
 			require.NoError(t, tab.Upsert(Replica{ID: "r"}))
 			tab.SetLimit("r", limit)
 			tab.SetMembers(self, live)
-			part := tab.part(tab.replicas["r"])
+			part := tab.limitShare(tab.replicas["r"])
 			sum += part
 			most = max(most, part)
 		}
@@ -32,8 +34,10 @@
 	})
 }
 
-// TestStaleReportsDoNotFillTheSameSlots lets three instances, which see the same
-// reports and nothing of each other, choose as often as there are slots.
+// TestStaleReportsDoNotFillTheSameSlots guards against instances that dispatch
+// into the same free slots because they choose by the same stale reports and do
+// not see each other. Three instances choose as often as their shares allow;
+// every replica must end up exactly at its limit.
 func TestStaleReportsDoNotFillTheSameSlots(t *testing.T) {
 	const replicas, limit = 6, 8
 	live := []string{"a", "b", "c"}
@@ -49,7 +53,7 @@
 		tab.SetMembers(self, live)
 		parts := 0
 		for _, r := range tab.replicas {
-			parts += tab.part(r)
+			parts += tab.limitShare(r)
 		}
 		for i := range parts {
 			d := tab.Choose(start.Add(time.Millisecond), Request{PromptTokens: 1, OutputTokens: 1}, uint64(i)*0x9e3779b97f4a7c15)
--- a/core/route/policy.go
+++ b/core/route/policy.go
@@ -2,22 +2,25 @@
 
 import "fmt"
 
-// Policy selects how a replica is picked among those that can complete a chain.
+// Policy selects how a replica is picked among those that can complete a path.
 type Policy int
 
 const (
-	// PolicyCost draws among the chains whose expected time is near the lowest.
+	// PolicyCost picks at random among the paths whose expected time is near
+	// the lowest.
 	PolicyCost Policy = iota
-	// PolicyRandom draws uniformly. It is a baseline for measurements.
+	// PolicyRandom picks uniformly at random. It is a baseline for
+	// measurements.
 	PolicyRandom
-	// PolicyRoundRobin takes turns. It is a baseline for measurements.
+	// PolicyRoundRobin picks the candidates in turn. It is a baseline for
+	// measurements.
 	PolicyRoundRobin
-	// PolicyLeastInFlight takes the replica with the fewest own requests in
-	// flight. It is a baseline for measurements.
+	// PolicyLeastInFlight picks the replica with the fewest requests in flight
+	// from this instance. It is a baseline for measurements.
 	PolicyLeastInFlight
 )
 
-// String returns the name of the policy as used in settings.
+// String returns the policy's name as used in settings.
 func (p Policy) String() string {
 	switch p {
 	case PolicyCost:
@@ -43,7 +46,8 @@
 	return PolicyCost, false
 }
 
-// policy picks one candidate at a layer. candidates is not empty.
+// policy picks one of the candidates for the stage that begins at a layer and
+// returns its index. candidates is not empty.
 type policy interface {
 	pick(t *Table, layer int, candidates []candidate, random uint64) int
 }
--- a/core/route/policy_cost.go
+++ b/core/route/policy_cost.go
@@ -6,32 +6,36 @@
 )
 
 const (
-	// MinTolerance is how far above the lowest expected time, relative to it, a
-	// chain may be that PolicyCost draws while the other instances are idle.
+	// MinTolerance is how far above the lowest expected time, relative to it,
+	// the expected time of a path picked by PolicyCost may be while the other
+	// instances are idle.
 	MinTolerance = 0.1
-	// MaxTolerance is the same while they choose often.
+	// MaxTolerance is the upper bound of the tolerance, reached when the other
+	// instances choose often.
 	MaxTolerance = 1.0
-	// toleranceStep is the rise of the tolerance for each choice that another
-	// instance is expected to have made since the last reports.
+	// toleranceStep is the increase of the tolerance for each choice that
+	// another instance is expected to have made since the last load reports.
 	toleranceStep = 0.1
-	// rateWindow is the period over which own choices are counted. Load reports
-	// are expected once in it.
+	// rateWindow is the time constant over which own choices are counted. Load
+	// reports are expected once per window.
 	rateWindow = time.Second
-	// farthestShare is the relative weight in the draw of a candidate at the edge
-	// of the tolerance.
-	farthestShare = 0.1
+	// edgeCloseness is the closeness of a candidate at the limit of the
+	// tolerance; the cheapest candidate has 1. The weight in the draw is
+	// proportional to its square.
+	edgeCloseness = 0.1
 )
 
-// costPolicy implements PolicyCost. A candidate takes part in the draw when its
-// cost exceeds by at most the tolerance what the cheapest chain spends between the
-// candidate's two ends. Those shares add up over the hops to the cost of the
-// cheapest chain, so the whole chain is within the tolerance too.
+// costPolicy implements PolicyCost. A candidate can be drawn if its excess cost
+// is at most the tolerance times the cost of the cheapest path between the
+// candidate's two ends. Those costs add up over the stages to that of the
+// cheapest path, so the whole path is within the tolerance too.
 //
-// The draw favours low cost and free slots: instances with the same stale reports
-// spread over the replicas that are nearly as good as the best one. The more
-// choices the others are making, the wider the spread.
+// The draw favors low cost and free slots: instances with the same stale
+// reports spread over the replicas that are nearly as good as the best one. The
+// tolerance, and with it the spread, grows with the rate of choices of the
+// other instances.
 type costPolicy struct {
-	// fixed is used in place of the table's tolerance unless it is negative.
+	// fixed replaces the table's tolerance unless it is negative.
 	fixed float64
 }
 
@@ -44,7 +48,7 @@
 	for i := range candidates {
 		total += candidates[i].drawWeight(tolerance)
 	}
-	mark := unit(random) * total
+	remaining := unitFloat(random) * total
 	last := 0
 	for i := range candidates {
 		w := candidates[i].drawWeight(tolerance)
@@ -52,44 +56,46 @@
 			continue
 		}
 		last = i
-		mark -= w
-		if mark < 0 {
+		remaining -= w
+		if remaining < 0 {
 			return i
 		}
 	}
 	return last
 }
 
+// drawWeight returns the candidate's relative weight in the draw; 0 means that
+// it is out of tolerance.
 func (c *candidate) drawWeight(tolerance float64) float64 {
-	allowed := tolerance * (c.replica.cost - c.excess)
-	if c.excess > allowed {
+	allowed := tolerance * (c.replica.cost - c.excessCost)
+	if c.excessCost > allowed {
 		return 0
 	}
-	near := 1.0
+	closeness := 1.0
 	if allowed > 0 {
-		near -= (1 - farthestShare) * c.excess / allowed
+		closeness -= (1 - edgeCloseness) * c.excessCost / allowed
 	}
-	return near * near * c.replica.weight * c.replica.free
+	return closeness * closeness * c.replica.weight * c.replica.freeSlots
 }
 
-// choiceRate estimates the number of own choices within the last rateWindow, with
-// exponentially falling weights.
+// choiceRate estimates the number of own choices within the last rateWindow,
+// with exponential decay.
 type choiceRate struct {
 	count float64
 	at    int64
 }
 
 func (c *choiceRate) decay(now int64) {
-	if passed := now - c.at; passed > 0 {
-		c.count *= math.Exp(-float64(passed) / float64(rateWindow))
+	if elapsed := now - c.at; elapsed > 0 {
+		c.count *= math.Exp(-float64(elapsed) / float64(rateWindow))
 		c.at = now
 	}
 }
 
-// toleranceFor returns the tolerance when the other instances choose at the same
-// rate as this one.
-func (t *Table) toleranceFor(now int64) float64 {
-	t.rate.decay(now)
-	others := t.rate.count * float64(t.instances-1)
+// currentTolerance returns the tolerance, assuming that each other instance
+// chooses at the same rate as this one.
+func (t *Table) currentTolerance(now int64) float64 {
+	t.choiceRate.decay(now)
+	others := t.choiceRate.count * float64(t.instances-1)
 	return min(MinTolerance+toleranceStep*others, MaxTolerance)
 }
--- a/core/route/policy_leastinflight.go
+++ b/core/route/policy_leastinflight.go
@@ -1,6 +1,7 @@
 package route
 
-// leastInFlightPolicy implements PolicyLeastInFlight. Ties are drawn uniformly.
+// leastInFlightPolicy implements PolicyLeastInFlight. Ties are broken uniformly
+// at random.
 type leastInFlightPolicy struct{}
 
 func (leastInFlightPolicy) pick(_ *Table, _ int, candidates []candidate, random uint64) int {
@@ -15,7 +16,7 @@
 			ties++
 		}
 	}
-	skip := below(random, ties)
+	skip := intBelow(random, ties)
 	for i, c := range candidates {
 		if c.replica.inFlight != least {
 			continue
--- a/core/route/policy_random.go
+++ b/core/route/policy_random.go
@@ -4,5 +4,5 @@
 type randomPolicy struct{}
 
 func (randomPolicy) pick(_ *Table, _ int, candidates []candidate, random uint64) int {
-	return below(random, len(candidates))
+	return intBelow(random, len(candidates))
 }
--- a/core/route/policy_roundrobin.go
+++ b/core/route/policy_roundrobin.go
@@ -4,7 +4,7 @@
 type roundRobinPolicy struct{}
 
 func (roundRobinPolicy) pick(t *Table, layer int, candidates []candidate, _ uint64) int {
-	turn := t.turns[layer]
-	t.turns[layer]++
+	turn := t.roundRobinTurns[layer]
+	t.roundRobinTurns[layer]++
 	return int(turn % uint64(len(candidates)))
 }
--- a/core/route/replica.go
+++ b/core/route/replica.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// reportMaxAge is the age at which a load report is no longer used.
+	// reportMaxAge is the age after which a load report expires.
 	reportMaxAge = 10 * time.Second
-	// defaultSlots applies while a replica's slots are unknown.
+	// defaultSlots is used while a replica's number of slots is unknown.
 	defaultSlots = 8
-	// batchSlope is the relative growth of the step time from an empty batch to
-	// a full one.
+	// batchSlope is the relative increase of the step time from an empty to a
+	// full batch.
 	batchSlope = 0.25
 )
 
-// replica is the state of one replica. Times are in seconds.
+// replica is the state of one replica. Latencies and costs are in seconds,
+// points in time in Unix nanoseconds.
 type replica struct {
 	Replica
 	removed bool
@@ -20,38 +21,42 @@
 	limit   int
 	latency float64
 
-	// inFlight counts this instance's own requests.
+	// inFlight is the number of this instance's own requests.
 	inFlight int
-	// position is that of this instance among the live ones.
+	// position is the index of this instance among the live ones for this
+	// replica; see updatePosition.
 	position int
-	// delta is the change of inFlight since the last report.
-	delta int
-	// newTokens counts the prompt tokens dispatched since the last report.
-	newTokens int
+	// inFlightDelta is the change of inFlight since the last load report.
+	inFlightDelta int
+	// unreportedTokens is the number of prompt tokens dispatched since the last load
+	// report.
+	unreportedTokens int
 
 	load       Load
 	reportedAt int64
 	reported   bool
 
-	own  pace
-	kind *pace
+	ownTimes         tokenTimes
+	acceleratorTimes *tokenTimes
 
-	// cost is the cost in the choice under way.
+	// cost is the request's cost on this replica in the current choice.
 	cost float64
-	// free estimates the free slots in the choice under way; it is at least 1.
-	free float64
-	// excludedAt and cachedAt are the numbers of the choices that excluded the
-	// replica and that set cached.
-	excludedAt uint64
-	cachedAt   uint64
-	// cached is the part of the prompt, 0 to 1, expected in the prefix cache.
-	cached float64
+	// freeSlots is the estimated number of unused slots in the current choice,
+	// at least 1.
+	freeSlots float64
+	// excludedStamp and cachedStamp are the sequence numbers of the last choice
+	// that excluded the replica and of the last one that set cachedFraction.
+	excludedStamp uint64
+	cachedStamp   uint64
+	// cachedFraction is the fraction of the prompt, 0 to 1, expected in the prefix
+	// cache.
+	cachedFraction float64
 }
 
 func (r *replica) begin(tokens int) {
 	r.inFlight++
-	r.delta++
-	r.newTokens += max(tokens, 0)
+	r.inFlightDelta++
+	r.unreportedTokens += max(tokens, 0)
 }
 
 func (r *replica) end(tokens int) {
@@ -59,8 +64,8 @@
 		return
 	}
 	r.inFlight--
-	r.delta--
-	r.newTokens = max(r.newTokens-max(tokens, 0), 0)
+	r.inFlightDelta--
+	r.unreportedTokens = max(r.unreportedTokens-max(tokens, 0), 0)
 }
 
 func (r *replica) report(now int64, load Load) {
@@ -70,21 +75,22 @@
 	r.load = load
 	r.reportedAt = now
 	r.reported = true
-	r.delta = 0
-	r.newTokens = 0
-	slow := slowdown(float64(load.Running), r.slots())
+	r.inFlightDelta = 0
+	r.unreportedTokens = 0
+	slowdownFactor := slowdown(float64(load.Running), r.slots())
 	if load.Step > 0 {
-		r.own.decode.addReported(load.Step.Seconds() / slow)
+		r.ownTimes.decode.addReported(load.Step.Seconds() / slowdownFactor)
 	}
 	if load.PrefillTokensPerSecond > 0 {
-		r.own.prefill.addReported(1 / (load.PrefillTokensPerSecond * slow))
+		r.ownTimes.prefill.addReported(1 / (load.PrefillTokensPerSecond * slowdownFactor))
 	}
 }
 
-// observe ignores a prefill while no slot is free: its duration then includes the
+// observe updates the token times with the measured duration of steps. It
+// ignores a prefill while no slot is free, as its duration then includes the
 // wait for one.
 func (r *replica) observe(prefillTokens, decodeTokens int, seconds float64) {
-	if prefillTokens > 0 && float64(r.held()) > r.slots() {
+	if prefillTokens > 0 && float64(r.reportedOccupancy()) > r.slots() {
 		return
 	}
 	steps := max(decodeTokens, 0)
@@ -95,53 +101,59 @@
 		return
 	}
 	seconds = max(seconds-2*r.latency*float64(steps), 0)
-	seconds /= slowdown(float64(r.held()), r.slots())
-	prefill := r.prefillPace() * float64(max(prefillTokens, 0))
-	decode := r.decodePace() * float64(max(decodeTokens, 0))
-	// The duration is divided between prefill and decode as the current
-	// estimates divide it.
+	seconds /= slowdown(float64(r.reportedOccupancy()), r.slots())
+	prefill := r.prefillTokenTime() * float64(max(prefillTokens, 0))
+	decode := r.decodeStepTime() * float64(max(decodeTokens, 0))
+	// Attribute the duration to prefill and decode in the proportion of the
+	// current estimates.
 	ratio := seconds / (prefill + decode)
 	layers := float64(r.layers())
 	if prefillTokens > 0 {
-		sample := ratio * r.prefillPace()
-		r.own.prefill.add(sample, paceGain)
-		r.kind.prefill.add(sample/layers, paceGain)
+		sample := ratio * r.prefillTokenTime()
+		r.ownTimes.prefill.add(sample, sampleGain)
+		r.acceleratorTimes.prefill.add(sample/layers, sampleGain)
 	}
 	if decodeTokens > 0 {
-		sample := ratio * r.decodePace()
-		r.own.decode.add(sample, paceGain)
-		r.kind.decode.add(sample/layers, paceGain)
+		sample := ratio * r.decodeStepTime()
+		r.ownTimes.decode.add(sample, sampleGain)
+		r.acceleratorTimes.decode.add(sample/layers, sampleGain)
 	}
 }
 
-// prefillPace returns seconds per prefilled token without waiting.
-func (r *replica) prefillPace() float64 {
-	return r.choosePace(&r.own.prefill, &r.kind.prefill, defaultPrefill)
+// prefillTokenTime returns the estimated seconds per prefilled token, without
+// queueing.
+func (r *replica) prefillTokenTime() float64 {
+	return r.estimate(&r.ownTimes.prefill, &r.acceleratorTimes.prefill, defaultPrefill)
 }
 
-// decodePace returns seconds per decode step without waiting.
-func (r *replica) decodePace() float64 {
-	return r.choosePace(&r.own.decode, &r.kind.decode, defaultDecode)
+// decodeStepTime returns the estimated seconds per decode step, without
+// queueing.
+func (r *replica) decodeStepTime() float64 {
+	return r.estimate(&r.ownTimes.decode, &r.acceleratorTimes.decode, defaultDecode)
 }
 
-func (r *replica) choosePace(own, kind *mean, perLayer float64) float64 {
+// estimate returns the best known time per token: the replica's own average,
+// that of its accelerator type, its own average with too few samples, or the
+// default.
+func (r *replica) estimate(own, accelerator *mean, perLayer float64) float64 {
 	layers := float64(r.layers())
-	var pace float64
+	var perToken float64
 	switch {
 	case own.known():
-		pace = own.value
-	case kind.known():
-		pace = kind.value * layers
+		perToken = own.value
+	case accelerator.known():
+		perToken = accelerator.value * layers
 	case own.samples > 0:
-		pace = own.value
+		perToken = own.value
 	default:
-		pace = perLayer * layers
+		perToken = perLayer * layers
 	}
-	return max(pace, minPace)
+	return max(perToken, minTokenTime)
 }
 
-// minPace keeps estimates above zero, in seconds per token.
-const minPace = 1e-9
+// minTokenTime is the lower bound of the estimates, in seconds per token. It
+// keeps them above zero.
+const minTokenTime = 1e-9
 
 func (r *replica) layers() int {
 	return r.Last - r.First + 1
@@ -154,51 +166,54 @@
 	return defaultSlots
 }
 
-// fresh tells whether the last load report is in use.
-func (r *replica) fresh(now int64) bool {
+// reportFresh reports whether there is a load report that has not expired.
+func (r *replica) reportFresh(now int64) bool {
 	return r.reported && now-r.reportedAt <= int64(reportMaxAge)
 }
 
-// occupancy estimates the sequences held: the last report corrected by the own
-// dispatches since, and never less than the own requests in flight.
+// occupancy estimates the number of sequences held: that of the last report,
+// corrected by this instance's dispatches since then, and at least its own
+// requests in flight.
 func (r *replica) occupancy(now int64) int {
-	if !r.fresh(now) {
+	if !r.reportFresh(now) {
 		return r.inFlight
 	}
-	return r.held()
+	return r.reportedOccupancy()
 }
 
-// held is occupancy whatever the age of the report.
-func (r *replica) held() int {
-	return max(r.load.Running+r.delta, r.inFlight)
+// reportedOccupancy is occupancy whatever the age of the last report.
+func (r *replica) reportedOccupancy() int {
+	return max(r.load.Running+r.inFlightDelta, r.inFlight)
 }
 
-// expected estimates the sequences held with the dispatches of the other instances
-// since the last report, which are taken to equal the own ones.
-func (r *replica) expected(now int64, instances int) int {
+// expectedOccupancy estimates the number of sequences held including the
+// dispatches of the other instances since the last report. Each is assumed to
+// have dispatched as many as this one.
+func (r *replica) expectedOccupancy(now int64, instances int) int {
 	n := r.occupancy(now)
-	if r.fresh(now) && r.delta > 0 {
-		n += r.delta * (instances - 1)
+	if r.reportFresh(now) && r.inFlightDelta > 0 {
+		n += r.inFlightDelta * (instances - 1)
 	}
 	return n
 }
 
-// full tells whether the replica holds as many requests as it takes.
-func (r *replica) full(now int64) bool {
+// atLimit reports whether the replica has reached its limit of requests in
+// flight.
+func (r *replica) atLimit(now int64) bool {
 	if r.limit == 0 {
 		return false
 	}
-	return r.occupancy(now) >= r.allowed()
+	return r.occupancy(now) >= r.weightedLimit()
 }
 
-// allowed returns how many requests of all instances the replica takes at its
-// weight.
-func (r *replica) allowed() int {
+// weightedLimit returns the number of requests, of all instances, that the
+// replica accepts at its weight.
+func (r *replica) weightedLimit() int {
 	return max(int(float64(r.limit)*r.weight), 1)
 }
 
-// slowdown returns by which factor a step takes longer than on an idle replica:
-// each sequence in the batch slows it by the same amount.
+// slowdown returns the ratio of the step time at this batch size to that of an
+// idle replica. Each sequence in the batch adds the same amount.
 func slowdown(sequences, slots float64) float64 {
 	return 1 + batchSlope*min(sequences/slots, 1)
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,10 +1,11 @@
 // Package route chooses the replicas that run one request of one model. A model
-// has layers 0 to L-1, a replica holds a contiguous range of them, and a chain
-// tiles all layers exactly: whole ranges, in order, without gap or overlap.
-// Ranges of different replicas may cross each other.
+// has layers 0 to L-1 and each replica holds a contiguous range of them. A path
+// is a list of stages, one per replica, whose ranges tile the layers exactly:
+// whole ranges, in order, without gap or overlap. The ranges of different
+// replicas may overlap partially.
 //
-// The package holds no clock, no random source and no locks: a Table is not safe
-// for concurrent use, and times and random numbers come from the caller.
+// The package has no clock, random source or locks of its own: callers pass
+// times and random numbers in, and must serialize access to a Table.
 package route
 
 import (
@@ -12,43 +13,43 @@
 	"time"
 )
 
-// Replica describes one engine that holds a range of layers.
+// Replica describes an engine that holds a range of a model's layers.
 type Replica struct {
 	ID string
-	// First and Last are the layers held, both inclusive.
+	// First and Last are the first and last layer held, both inclusive.
 	First int
 	Last  int
 	// Zone is the availability zone.
 	Zone string
-	// Accelerator is the kind of accelerator; replicas of one kind share an
-	// estimate of pace until their own is known.
+	// Accelerator is the accelerator type. Replicas of one type share estimates
+	// of prefill and decode time until a replica has enough samples of its own.
 	Accelerator string
 }
 
-// Load is a replica's report of its own load, which may lag.
+// Load is a replica's report of its own load. It may be out of date.
 type Load struct {
 	// Running is the number of sequences held.
 	Running int
 	// Waiting is the number of steps that wait for a slot.
 	Waiting int
-	// Slots is the number of sequences batched at once; 0 means unknown.
+	// Slots is the largest number of sequences in a batch; 0 means unknown.
 	Slots int
-	// Step is the recent mean time of one decode step; 0 means unknown.
+	// Step is the recent mean duration of a decode step; 0 means unknown.
 	Step time.Duration
-	// PrefillTokensPerSecond is the recent prefill speed; 0 means unknown.
+	// PrefillTokensPerSecond is the recent prefill throughput; 0 means unknown.
 	PrefillTokensPerSecond float64
 }
 
-// Request is what a chain is chosen for.
+// Request describes the request that a path is chosen for.
 type Request struct {
-	// PromptTokens is the number of tokens that the first step runs.
+	// PromptTokens is the number of tokens that the prefill step processes.
 	PromptTokens int
 	// OutputTokens is the expected number of generated tokens.
 	OutputTokens int
-	// Blocks are the hashes of the prompt's prefixes, shortest first, in equal
-	// steps up to the whole prompt.
+	// Blocks are the hashes of prefixes of the prompt, shortest first. The
+	// prefix lengths grow by a constant step up to the whole prompt.
 	Blocks []uint64
-	// Exclude names replicas that must not be used.
+	// Exclude lists the IDs of replicas that must not be used.
 	Exclude []string
 }
 
@@ -63,39 +64,40 @@
 	return fmt.Sprintf("%d-%d", r.First, r.Last)
 }
 
-// Hop is one stage of a chain.
+// Hop is one stage of a path: a replica and the layers that it runs.
 type Hop struct {
 	ReplicaID string
 	First     int
 	Last      int
 }
 
-// Chain is an exact tiling of the model's layers.
+// Chain is a path: stages whose layers tile the model exactly.
 type Chain struct {
 	Hops []Hop
 	// Expected is the estimated time from dispatch to the last token.
 	Expected time.Duration
 }
 
-// Outcome tells how a choice ended.
+// Outcome is the result class of a choice.
 type Outcome int
 
 const (
-	// Chosen means that Decision.Chain is set.
+	// Chosen means that a path was found and Decision.Chain is set.
 	Chosen Outcome = iota
-	// Full means that chains exist, and each needs a range whose replicas all
-	// hold as many requests as they take; Decision.Missing names the smallest
-	// such range. Trying later can succeed.
+	// Full means that paths exist, but each needs a range of layers whose
+	// replicas have all reached their limit of requests in flight.
+	// Decision.Missing is the smallest such range. A later attempt can succeed.
 	Full
-	// OnlyExcluded means that every chain needs a replica that the request
-	// excludes; Decision.Missing names the smallest range lacking without them.
+	// OnlyExcluded means that every path needs a replica that the request
+	// excludes. Decision.Missing is the smallest range that is missing without
+	// the excluded replicas.
 	OnlyExcluded
-	// NoTiling means that the replicas in use cannot tile the layers;
-	// Decision.Missing names the smallest range lacking.
+	// NoTiling means that the replicas with a weight above 0 cannot tile the
+	// layers. Decision.Missing is the smallest range that is missing.
 	NoTiling
 )
 
-// String returns the name of the outcome.
+// String returns the outcome's name.
 func (o Outcome) String() string {
 	switch o {
 	case Chosen:
@@ -111,23 +113,23 @@
 	}
 }
 
-// Decision is the result of a choice.
+// Decision is the result of Choose.
 type Decision struct {
 	Outcome Outcome
 	// Chain is set when Outcome is Chosen.
 	Chain Chain
-	// Missing is set when Outcome is not Chosen. A replica of this range would
-	// complete a chain.
+	// Missing is set when Outcome is not Chosen. One more replica with this
+	// range would complete a path.
 	Missing Range
 }
 
-// RangeError reports a replica whose layers do not fit the model.
+// RangeError reports a replica whose range of layers does not fit the model.
 type RangeError struct {
 	Replica Replica
 	Layers  int
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("replica %q holds layers %d-%d, the model has %d layers",
 		e.Replica.ID, e.Replica.First, e.Replica.Last, e.Layers)
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -19,7 +19,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// drawTable draws a small model whose replicas' ranges cross at will.
+// drawTable draws a small model with replicas of arbitrary, overlapping ranges.
 func drawTable(t *rapid.T, p Policy) (*Table, []string) {
 	layers := rapid.IntRange(1, 7).Draw(t, "layers")
 	table := NewTable(layers, p)
@@ -77,7 +77,8 @@
 	return req
 }
 
-// enumerate visits every exact tiling by replicas that allowed accepts.
+// enumerate calls visit for every exact tiling by replicas that allowed
+// accepts.
 func enumerate(table *Table, from int, chain []*replica, allowed func(*replica) bool, visit func([]*replica)) {
 	if from == table.layers {
 		visit(chain)
@@ -90,7 +91,8 @@
 	}
 }
 
-// bruteForce returns the lowest cost of all tilings; it is infinite without one.
+// bruteForce returns the lowest cost of all tilings, or infinity if there is
+// none.
 func bruteForce(table *Table, req *Request, allowed func(*replica) bool) float64 {
 	lowest := math.Inf(1)
 	enumerate(table, 0, nil, allowed, func(chain []*replica) {
@@ -110,7 +112,7 @@
 			cached = float64(i+1) / float64(len(req.Blocks))
 		}
 	}
-	return table.terms(start.UnixNano(), req, r, cached).Total()
+	return table.costTerms(start.UnixNano(), req, r, cached).Total()
 }
 
 func requireTiling(t require.TestingT, table *Table, req *Request, chain Chain) float64 {
@@ -123,7 +125,7 @@
 		require.Equal(t, Range{r.First, r.Last}, Range{hop.First, hop.Last})
 		require.False(t, slices.Contains(req.Exclude, r.ID))
 		require.Positive(t, r.weight)
-		require.False(t, r.full(start.UnixNano()))
+		require.False(t, r.atLimit(start.UnixNano()))
 		total += naiveCost(table, req, r)
 		next = hop.Last + 1
 	}
@@ -132,8 +134,8 @@
 }
 
 // TestChooseMatchesBruteForce compares each choice with an enumeration of all
-// tilings: the lowest cost is equal, the chain drawn is an exact tiling within the
-// tolerance, and a failure names the same reason.
+// tilings: the lowest cost is equal, the chosen path is an exact tiling within
+// the tolerance, and a failure has the same reason.
 func TestChooseMatchesBruteForce(t *testing.T) {
 	outcomes := make(map[Outcome]int)
 	rapid.Check(t, func(t *rapid.T) {
@@ -142,12 +144,12 @@
 		}).Draw(t, "policy")
 		table, ids := drawTable(t, policy)
 		table.SetInstances(rapid.IntRange(1, 3).Draw(t, "instances"))
-		table.rate = choiceRate{count: rapid.Float64Range(0, 5).Draw(t, "rate"), at: start.UnixNano()}
+		table.choiceRate = choiceRate{count: rapid.Float64Range(0, 5).Draw(t, "rate"), at: start.UnixNano()}
 		req := drawRequest(t, ids)
 		outcomes[checkChoice(t, table, policy, req)]++
 	})
 	for o := Chosen; o <= NoTiling; o++ {
-		require.Positive(t, outcomes[o], "no case ended %v: %v", o, outcomes)
+		require.Positive(t, outcomes[o], "no case with outcome %v: %v", o, outcomes)
 	}
 	t.Log(outcomes)
 }
@@ -156,7 +158,7 @@
 	now := start.UnixNano()
 	inUse := func(r *replica) bool { return r.weight > 0 }
 	usable := func(r *replica) bool { return inUse(r) && !slices.Contains(req.Exclude, r.ID) }
-	free := func(r *replica) bool { return usable(r) && !r.full(now) }
+	free := func(r *replica) bool { return usable(r) && !r.atLimit(now) }
 	lowest := bruteForce(table, &req, free)
 	d := table.Choose(start, req, rapid.Uint64().Draw(t, "random"))
 	if !math.IsInf(lowest, 1) {
@@ -178,13 +180,13 @@
 		allowed, want = usable, OnlyExcluded
 	}
 	require.Equal(t, want, d.Outcome)
-	requireSmallestGap(t, table, d.Missing, allowed)
+	requireSmallestMissingRange(t, table, d.Missing, allowed)
 	return want
 }
 
-// requireSmallestGap checks that a replica of the missing range completes a chain
-// and that no shorter range does.
-func requireSmallestGap(t *rapid.T, table *Table, missing Range, allowed func(*replica) bool) {
+// requireSmallestMissingRange checks that a replica of the missing range
+// completes a path and that no shorter range does.
+func requireSmallestMissingRange(t *rapid.T, table *Table, missing Range, allowed func(*replica) bool) {
 	completes := func(first, last int) bool {
 		found := false
 		before := &replica{Replica: Replica{ID: "probe", First: first, Last: last}}
@@ -203,9 +205,10 @@
 	}
 }
 
-// TestSpreadOfEqualViews lets instances with the same stale view choose: they must
-// not gather on one replica, and must leave a slow one alone.
-func TestSpreadOfEqualViews(t *testing.T) {
+// TestSpreadWithEqualReports lets instances choose by the same stale reports.
+// They must spread over the equal replicas and must not use one that is twice
+// as slow.
+func TestSpreadWithEqualReports(t *testing.T) {
 	const replicas, instances, rounds = 8, 9, 200
 	const share = instances * rounds / replicas
 	picked := make(map[string]int)
--- a/core/route/search.go
+++ b/core/route/search.go
@@ -3,15 +3,16 @@
 import "math"
 
 // search computes, for each layer boundary, the lowest cost from there to the
-// end, over replicas that have room. It is a dynamic program over the acyclic
-// graph whose nodes are boundaries and whose edges are replicas.
+// end over the replicas below their limit. It is a dynamic program over the
+// acyclic graph whose nodes are the boundaries and whose edges are the
+// replicas.
 func (t *Table) search(now int64, req *Request) {
 	for b := range t.best {
 		t.best[b] = math.Inf(1)
 	}
 	t.best[t.layers] = 0
 	for b := t.layers - 1; b >= 0; b-- {
-		for _, g := range t.from[b] {
+		for _, g := range t.groupsFrom[b] {
 			rest := t.best[g.next]
 			if math.IsInf(rest, 1) {
 				continue
@@ -26,49 +27,51 @@
 	lowest := math.Inf(1)
 	for _, r := range g.members {
 		r.cost = math.Inf(1)
-		if !t.usable(r) || t.full(now, r) {
+		if !t.usable(r) || t.atLimit(now, r) {
 			continue
 		}
-		r.cost = t.terms(now, req, r, t.cachedPart(r)).Total()
-		r.free = max(r.slots()-float64(r.expected(now, t.instances)), 1)
+		r.cost = t.costTerms(now, req, r, t.cachedFraction(r)).Total()
+		r.freeSlots = max(r.slots()-float64(r.expectedOccupancy(now, t.instances)), 1)
 		lowest = min(lowest, r.cost)
 	}
 	return lowest
 }
 
-// usable tells whether the choice under way may use the replica, leaving aside
-// whether it has room.
+// usable reports whether the current choice may use the replica, apart from its
+// limit.
 func (t *Table) usable(r *replica) bool {
-	return r.weight > 0 && r.excludedAt != t.stamp
+	return r.weight > 0 && r.excludedStamp != t.stamp
 }
 
-func (t *Table) cachedPart(r *replica) float64 {
-	if r.cachedAt != t.stamp {
+// cachedFraction returns the fraction of the prompt, 0 to 1, expected in the
+// replica's prefix cache.
+func (t *Table) cachedFraction(r *replica) float64 {
+	if r.cachedStamp != t.stamp {
 		return 0
 	}
-	return r.cached
+	return r.cachedFraction
 }
 
-// explainFailure returns why no chain was found.
+// explainFailure returns the reason why no path was found.
 func (t *Table) explainFailure(now int64) Decision {
-	missing, lacking := t.gap(t.usable)
+	missing, lacking := t.missingRange(t.usable)
 	if !lacking {
-		missing, _ = t.gap(func(r *replica) bool { return t.usable(r) && !t.full(now, r) })
+		missing, _ = t.missingRange(func(r *replica) bool { return t.usable(r) && !t.atLimit(now, r) })
 		return Decision{Outcome: Full, Missing: missing}
 	}
 	inUse := func(r *replica) bool { return r.weight > 0 }
-	if _, still := t.gap(inUse); !still {
+	if _, still := t.missingRange(inUse); !still {
 		return Decision{Outcome: OnlyExcluded, Missing: missing}
 	}
-	missing, _ = t.gap(inUse)
+	missing, _ = t.missingRange(inUse)
 	return Decision{Outcome: NoTiling, Missing: missing}
 }
 
-// gap returns the smallest range of layers that, were a replica of it allowed,
-// would complete a chain of allowed replicas. It returns false when they complete
+// missingRange returns the smallest range of layers for which one more replica
+// would complete a path of allowed replicas. It returns false if they complete
 // one already.
-func (t *Table) gap(allowed func(*replica) bool) (Range, bool) {
-	t.reach(allowed)
+func (t *Table) missingRange(allowed func(*replica) bool) (Range, bool) {
+	t.computeReachability(allowed)
 	if t.forward[t.layers] {
 		return Range{}, false
 	}
@@ -85,30 +88,31 @@
 	return found, true
 }
 
-// reach sets forward to the boundaries that allowed replicas reach from the first
-// layer, and backward to those from which they reach the end.
-func (t *Table) reach(allowed func(*replica) bool) {
+// computeReachability sets forward for the boundaries that allowed replicas can
+// reach from the first layer, and backward for those from which they can reach
+// the end.
+func (t *Table) computeReachability(allowed func(*replica) bool) {
 	clear(t.forward)
 	clear(t.backward)
 	t.forward[0] = true
 	t.backward[t.layers] = true
 	for b := range t.layers {
-		for _, g := range t.from[b] {
-			if t.forward[b] && g.any(allowed) {
+		for _, g := range t.groupsFrom[b] {
+			if t.forward[b] && g.anyMember(allowed) {
 				t.forward[g.next] = true
 			}
 		}
 	}
 	for b := t.layers - 1; b >= 0; b-- {
-		for _, g := range t.from[b] {
-			if t.backward[g.next] && g.any(allowed) {
+		for _, g := range t.groupsFrom[b] {
+			if t.backward[g.next] && g.anyMember(allowed) {
 				t.backward[b] = true
 			}
 		}
 	}
 }
 
-func (g *group) any(allowed func(*replica) bool) bool {
+func (g *group) anyMember(allowed func(*replica) bool) bool {
 	for _, r := range g.members {
 		if allowed(r) {
 			return true
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -6,33 +6,35 @@
 	"time"
 )
 
-// Table holds the replicas of one model and chooses chains among them. It is not
-// safe for concurrent use.
+// Table holds the replicas of one model and chooses paths through them. It is
+// not safe for concurrent use.
 type Table struct {
 	layers int
 	// instances is the number of instances that dispatch to the replicas.
 	instances int
-	// self and live name this instance and all live ones; live is nil until
-	// SetMembers.
+	// self and live are the IDs of this instance and of all live ones; live is
+	// nil until SetMembers is called.
 	self string
 	live []string
-	// withinParts limits the choice under way to the own parts of the replicas.
-	withinParts bool
-	replicas    map[string]*replica
-	// from lists the groups that begin at a layer.
-	from  [][]*group
-	kinds map[string]*pace
-	cache *cacheIndex
-	rule  policy
-	// turns counts choices per first layer for the round robin policy.
-	turns []uint64
-	// stamp numbers the choices, so that marks on replicas expire by themselves.
+	// withinShares limits the current choice to this instance's shares of the
+	// replicas' limits.
+	withinShares bool
+	replicas     map[string]*replica
+	// groupsFrom lists the groups that begin at a layer.
+	groupsFrom       [][]*group
+	acceleratorTimes map[string]*tokenTimes
+	cache            *cacheIndex
+	policy           policy
+	// roundRobinTurns counts the choices per first layer, for PolicyRoundRobin.
+	roundRobinTurns []uint64
+	// stamp is the sequence number of the current choice. Marks on replicas
+	// carry it, so that they expire without being cleared.
 	stamp uint64
 
-	rate choiceRate
-	// tolerance is that of the choice under way.
+	choiceRate choiceRate
+	// tolerance applies to the current choice.
 	tolerance float64
-	// best is the lowest cost from a layer boundary to the end.
+	// best is the lowest cost from each layer boundary to the end.
 	best       []float64
 	source     rand.PCG
 	candidates []candidate
@@ -40,7 +42,7 @@
 	backward   []bool
 }
 
-// group holds the replicas with equal ranges.
+// group holds the replicas with equal ranges of layers.
 type group struct {
 	first int
 	// next is the layer after the range.
@@ -48,21 +50,21 @@
 	members []*replica
 }
 
-// NewTable returns an empty table for a model with the given number of layers,
-// which chooses by the given policy.
+// NewTable returns an empty table for a model with the given number of layers
+// that chooses by the given policy.
 func NewTable(layers int, p Policy) *Table {
 	return &Table{
-		layers:    layers,
-		instances: 1,
-		replicas:  make(map[string]*replica),
-		from:      make([][]*group, layers),
-		kinds:     make(map[string]*pace),
-		cache:     newCacheIndex(maxCacheHints),
-		rule:      newPolicy(p),
-		turns:     make([]uint64, layers),
-		best:      make([]float64, layers+1),
-		forward:   make([]bool, layers+1),
-		backward:  make([]bool, layers+1),
+		layers:           layers,
+		instances:        1,
+		replicas:         make(map[string]*replica),
+		groupsFrom:       make([][]*group, layers),
+		acceleratorTimes: make(map[string]*tokenTimes),
+		cache:            newCacheIndex(maxCacheHints),
+		policy:           newPolicy(p),
+		roundRobinTurns:  make([]uint64, layers),
+		best:             make([]float64, layers+1),
+		forward:          make([]bool, layers+1),
+		backward:         make([]bool, layers+1),
 	}
 }
 
@@ -76,112 +78,113 @@
 	return len(t.replicas)
 }
 
-// maxInstances bounds by how much dispatches of other instances are taken into
-// account.
+// maxInstances bounds the factor by which dispatches of other instances are
+// extrapolated.
 const maxInstances = 16
 
-// SetInstances sets the number of instances, this one included, that dispatch to the
-// replicas. All see the same reports, so that what this instance dispatched since a
-// report is taken as a sample of what all did.
+// SetInstances sets the number of instances, including this one, that dispatch
+// to the replicas. All see the same load reports, so what this instance
+// dispatched since a report is taken as a sample of what each of them did.
 func (t *Table) SetInstances(n int) {
 	t.instances = min(max(n, 1), maxInstances)
 }
 
-// Upsert adds a replica with weight 1 or changes a known one. A changed range
-// discards what was learnt of the old one: load, pace and cached blocks. It
-// returns a *RangeError when the layers do not fit the model; the table is then
-// unchanged.
+// Upsert adds a replica with weight 1 or updates a known one. A changed range
+// of layers discards what was measured for the old one: load, token times and
+// cached blocks. It returns a *RangeError, and leaves the table unchanged, if
+// the layers do not fit the model.
 func (t *Table) Upsert(r Replica) error {
 	if r.First < 0 || r.Last < r.First || r.Last >= t.layers {
 		return &RangeError{Replica: r, Layers: t.layers}
 	}
 	old, ok := t.replicas[r.ID]
 	if !ok {
-		t.insert(&replica{Replica: r, weight: 1, kind: t.kind(r.Accelerator)})
+		t.insert(&replica{Replica: r, weight: 1, acceleratorTimes: t.timesOf(r.Accelerator)})
 		return nil
 	}
 	if old.First == r.First && old.Last == r.Last {
 		old.Replica = r
-		old.kind = t.kind(r.Accelerator)
+		old.acceleratorTimes = t.timesOf(r.Accelerator)
 		return nil
 	}
 	t.detach(old)
 	t.insert(&replica{
-		Replica:  r,
-		weight:   old.weight,
-		limit:    old.limit,
-		inFlight: old.inFlight,
-		latency:  old.latency,
-		kind:     t.kind(r.Accelerator),
+		Replica:          r,
+		weight:           old.weight,
+		limit:            old.limit,
+		inFlight:         old.inFlight,
+		latency:          old.latency,
+		acceleratorTimes: t.timesOf(r.Accelerator),
 	})
 	return nil
 }
 
-// Remove forgets a replica. An unknown ID is ignored.
+// Remove removes a replica. An unknown ID is ignored.
 func (t *Table) Remove(id string) {
 	if r, ok := t.replicas[id]; ok {
 		t.detach(r)
 	}
 }
 
-// SetWeight sets the share of work, 0 to 1, that a replica takes compared with
-// its full capacity. A replica with weight 0 is not used.
+// SetWeight sets the share of a replica's full capacity, 0 to 1, that may be
+// used. A replica with weight 0 is not used.
 func (t *Table) SetWeight(id string, weight float64) {
 	if r, ok := t.replicas[id]; ok {
 		r.weight = min(max(weight, 0), 1)
 	}
 }
 
-// SetLimit sets the number of requests in flight, from all instances, that a
-// replica takes; 0 means no limit.
+// SetLimit sets the maximum number of requests in flight on a replica, of all
+// instances; 0 means no limit.
 func (t *Table) SetLimit(id string, limit int) {
 	if r, ok := t.replicas[id]; ok {
 		r.limit = max(limit, 0)
 	}
 }
 
-// Latency sets the one-way latency of the link to a replica. Every step crosses
-// the link twice.
+// Latency sets the one-way network latency to a replica. Every step crosses the
+// link twice.
 func (t *Table) Latency(id string, d time.Duration) {
 	if r, ok := t.replicas[id]; ok {
 		r.latency = max(d, 0).Seconds()
 	}
 }
 
-// Begin counts a request of the given number of prompt tokens as dispatched to a
-// replica by this instance.
+// Begin records that this instance dispatched a request with the given number
+// of prompt tokens to a replica.
 func (t *Table) Begin(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
 		r.begin(tokens)
 	}
 }
 
-// End takes back what Begin counted.
+// End records that a request passed to Begin has ended.
 func (t *Table) End(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
 		r.end(tokens)
 	}
 }
 
-// Report takes a replica's load report that was received at now. Reports received
-// out of order are ignored.
+// Report applies a replica's load report received at time now. Reports older
+// than the last one are ignored.
 func (t *Table) Report(now time.Time, id string, load Load) {
 	if r, ok := t.replicas[id]; ok {
 		r.report(now.UnixNano(), load)
 	}
 }
 
-// Observe takes the measured duration, link included, of steps that ran the given
-// numbers of tokens on a replica. Prefill tokens served from the prefix cache are
-// not to be counted.
+// Observe records the measured duration, including the network, of steps that
+// ran the given numbers of tokens on a replica. Prefill tokens served from the
+// prefix cache must not be included.
 func (t *Table) Observe(id string, prefillTokens, decodeTokens int, d time.Duration) {
 	if r, ok := t.replicas[id]; ok {
 		r.observe(prefillTokens, decodeTokens, d.Seconds())
 	}
 }
 
-// CacheEvent takes a replica's word that it stored or evicted a prompt block. The
-// knowledge is a hint: it is bounded in size, and it fades with age.
+// CacheEvent records a replica's report that it stored or evicted a prompt
+// block. Reports are hints: their number is bounded and their value falls with
+// age.
 func (t *Table) CacheEvent(now time.Time, id string, block uint64, evicted bool) {
 	r, ok := t.replicas[id]
 	if !ok {
@@ -196,22 +199,22 @@
 
 func (t *Table) insert(r *replica) {
 	t.replicas[r.ID] = r
-	t.place(r)
+	t.updatePosition(r)
 	next := r.Last + 1
-	for _, g := range t.from[r.First] {
+	for _, g := range t.groupsFrom[r.First] {
 		if g.next == next {
 			g.members = append(g.members, r)
 			return
 		}
 	}
 	g := &group{first: r.First, next: next, members: []*replica{r}}
-	t.from[r.First] = append(t.from[r.First], g)
+	t.groupsFrom[r.First] = append(t.groupsFrom[r.First], g)
 }
 
 func (t *Table) detach(r *replica) {
 	delete(t.replicas, r.ID)
 	r.removed = true
-	groups := t.from[r.First]
+	groups := t.groupsFrom[r.First]
 	for i, g := range groups {
 		at := slices.Index(g.members, r)
 		if at < 0 {
@@ -219,17 +222,17 @@
 		}
 		g.members = slices.Delete(g.members, at, at+1)
 		if len(g.members) == 0 {
-			t.from[r.First] = slices.Delete(groups, i, i+1)
+			t.groupsFrom[r.First] = slices.Delete(groups, i, i+1)
 		}
 		return
 	}
 }
 
-func (t *Table) kind(accelerator string) *pace {
-	p, ok := t.kinds[accelerator]
+func (t *Table) timesOf(accelerator string) *tokenTimes {
+	p, ok := t.acceleratorTimes[accelerator]
 	if !ok {
-		p = &pace{}
-		t.kinds[accelerator] = p
+		p = &tokenTimes{}
+		t.acceleratorTimes[accelerator] = p
 	}
 	return p
 }
--- a/core/route/table_test.go
+++ b/core/route/table_test.go
@@ -18,7 +18,7 @@
 	return table
 }
 
-func TestUpsertRefusesRangesOutsideTheModel(t *testing.T) {
+func TestUpsertRejectsRangesOutsideTheModel(t *testing.T) {
 	table := newTestTable(t)
 	for _, bad := range []Replica{{First: -1}, {First: 2, Last: 1}, {Last: 4}} {
 		var wrong *RangeError
@@ -27,7 +27,8 @@
 	require.Zero(t, table.Len())
 }
 
-// A report lags: what was dispatched since counts, until a newer report holds it.
+// TestOccupancyIsCorrectedByOwnDispatches checks that dispatches since a load
+// report are added to it until a newer report includes them.
 func TestOccupancyIsCorrectedByOwnDispatches(t *testing.T) {
 	table := newTestTable(t, "r")
 	r := table.replicas["r"]
@@ -35,11 +36,11 @@
 	table.Begin("r", 10)
 	table.Begin("r", 10)
 	require.Equal(t, 7, r.occupancy(start.UnixNano()))
-	require.Equal(t, 5+9*2, r.expected(start.UnixNano(), 9))
+	require.Equal(t, 5+9*2, r.expectedOccupancy(start.UnixNano(), 9))
 	table.Report(start.Add(time.Second), "r", Load{Running: 1, Slots: 8})
-	require.Equal(t, 2, r.occupancy(start.UnixNano()), "the report cannot hold less than is in flight")
+	require.Equal(t, 2, r.occupancy(start.UnixNano()), "occupancy must not be below the own requests in flight")
 	table.Report(start, "r", Load{Running: 8, Slots: 8})
-	require.Equal(t, 2, r.occupancy(start.UnixNano()), "an older report must not win")
+	require.Equal(t, 2, r.occupancy(start.UnixNano()), "an older report must be ignored")
 	table.End("r", 10)
 	table.End("r", 10)
 	table.End("r", 10)
@@ -48,12 +49,13 @@
 	table.Report(start.Add(time.Second), "r", Load{Running: 8, Slots: 8})
 	fresh := start.Add(time.Second + reportMaxAge)
 	require.Equal(t, 8, r.occupancy(fresh.UnixNano()))
-	require.Equal(t, 1, r.occupancy(fresh.UnixNano()+1), "a report of this age must not count")
+	require.Equal(t, 1, r.occupancy(fresh.UnixNano()+1), "a report of this age must have expired")
 }
 
-// The tolerance rises with the choices that the others are likely to have made, and
-// falls when this instance is idle. Explaining is no choice.
-func TestToleranceFollowsTheOthers(t *testing.T) {
+// TestToleranceFollowsOtherInstances checks that the tolerance rises with the
+// choices that the other instances are likely to have made, falls while this
+// instance is idle, and does not change by Explain.
+func TestToleranceFollowsOtherInstances(t *testing.T) {
 	table := newTestTable(t, "r")
 	tolerance := func(now time.Time) float64 { return table.Explain(now, Request{}, 1).Tolerance }
 	table.Choose(start, Request{}, 1)
@@ -67,32 +69,34 @@
 	require.InDelta(t, MaxTolerance, tolerance(start), 1e-9)
 }
 
-// A replica of which nothing is known has its kind's pace per layer; its own
-// observations then replace it, without the link and whatever the load.
-func TestPaceFallsBackToTheKind(t *testing.T) {
+// TestTokenTimeFallsBackToAcceleratorType checks that a replica without samples
+// uses the time per layer of its accelerator type, and that its own
+// observations then replace it, with network time and the effect of load
+// removed.
+func TestTokenTimeFallsBackToAcceleratorType(t *testing.T) {
 	table := newTestTable(t, "known", "fresh")
 	require.NoError(t, table.Upsert(Replica{ID: "half", Last: 1, Accelerator: "a"}))
 	table.Latency("known", 5*time.Millisecond)
 	for range 100 {
 		table.Observe("known", 0, 1, 50*time.Millisecond)
 	}
-	require.InDelta(t, 0.040, table.replicas["known"].decodePace(), 1e-9)
-	require.InDelta(t, 0.040, table.replicas["fresh"].decodePace(), 1e-9)
-	require.InDelta(t, 0.020, table.replicas["half"].decodePace(), 1e-9)
+	require.InDelta(t, 0.040, table.replicas["known"].decodeStepTime(), 1e-9)
+	require.InDelta(t, 0.040, table.replicas["fresh"].decodeStepTime(), 1e-9)
+	require.InDelta(t, 0.020, table.replicas["half"].decodeStepTime(), 1e-9)
 	table.Report(start, "fresh", Load{Running: 8, Slots: 8})
 	for range 100 {
 		table.Observe("fresh", 0, 1, 100*time.Millisecond)
 	}
-	require.InDelta(t, 0.100/(1+batchSlope), table.replicas["fresh"].decodePace(), 1e-6)
+	require.InDelta(t, 0.100/(1+batchSlope), table.replicas["fresh"].decodeStepTime(), 1e-6)
 	table.Report(start, "fresh", Load{Running: 9, Slots: 8, PrefillTokensPerSecond: 1000})
-	before := table.replicas["fresh"].prefillPace()
+	before := table.replicas["fresh"].prefillTokenTime()
 	table.Observe("fresh", 10, 0, time.Minute)
-	require.InDelta(t, before, table.replicas["fresh"].prefillPace(), 1e-9, "it waited for a slot")
+	require.InDelta(t, before, table.replicas["fresh"].prefillTokenTime(), 1e-9, "the step waited for a slot")
 	table.Report(start, "half", Load{Step: 7 * time.Millisecond})
-	require.InDelta(t, 0.007, table.replicas["half"].decodePace(), 1e-9)
+	require.InDelta(t, 0.007, table.replicas["half"].decodeStepTime(), 1e-9)
 }
 
-func TestChangedRangeForgetsTheOldOne(t *testing.T) {
+func TestChangedRangeDiscardsMeasurements(t *testing.T) {
 	table := newTestTable(t, "r")
 	table.CacheEvent(start, "r", 1, false)
 	table.Report(start, "r", Load{Running: 3})
@@ -104,7 +108,7 @@
 	require.Equal(t, Chosen, d.Outcome)
 	require.Len(t, d.Chain.Hops, 2)
 	r := table.replicas["r"]
-	require.Zero(t, r.cached)
+	require.Zero(t, r.cachedFraction)
 	require.False(t, r.reported)
 	require.Equal(t, []int{1, 9}, []int{r.inFlight, r.limit})
 	table.Remove("s")
@@ -113,7 +117,7 @@
 }
 
 // TestCacheIndexMatchesList compares the index with a plain list of hints that
-// drops the oldest.
+// discards the oldest.
 func TestCacheIndexMatchesList(t *testing.T) {
 	type pair struct {
 		replica int
@@ -138,7 +142,7 @@
 				list = append(list, p)
 				list = list[max(0, len(list)-size):]
 			}
-			require.LessOrEqual(t, len(index.order), 2*size+1)
+			require.LessOrEqual(t, len(index.hints), 2*size+1)
 			for block := range uint64(6) {
 				for i, r := range replicas {
 					held := indexOf(index.holders[block], r) >= 0
@@ -149,8 +153,9 @@
 	})
 }
 
-// A hint loses its worth with age, and is void at cacheHintAge.
-func TestCacheHintsFade(t *testing.T) {
+// TestCacheHintsLoseValueWithAge checks that the value of a hint falls with age
+// and is 0 at cacheHintAge.
+func TestCacheHintsLoseValueWithAge(t *testing.T) {
 	table := newTestTable(t, "r")
 	table.CacheEvent(start, "r", 7, false)
 	cached := func(age time.Duration) float64 {
@@ -162,8 +167,8 @@
 	require.Zero(t, cached(cacheHintAge))
 }
 
-// Explain tells for each replica what the choice made of it.
-func TestExplainStandings(t *testing.T) {
+// TestExplainStatuses checks the status that Explain returns for each replica.
+func TestExplainStatuses(t *testing.T) {
 	table := newTestTable(t, "fast", "slow", "busy", "out", "barred")
 	require.NoError(t, table.Upsert(Replica{ID: "astray", First: 1, Last: 3}))
 	table.Report(start, "slow", Load{Step: time.Second})
@@ -171,20 +176,21 @@
 	table.Begin("busy", 1)
 	table.SetWeight("out", 0)
 	e := table.Explain(start, Request{PromptTokens: 10, OutputTokens: 10, Exclude: []string{"barred"}}, 1)
-	got := make(map[string]Standing)
+	got := make(map[string]Status)
 	for _, r := range e.Replicas {
 		got[r.ID] = r.Standing
 	}
-	require.Equal(t, map[string]Standing{
-		"fast": Drawable, "slow": TooSlow, "busy": NoRoom, "out": OutOfUse,
-		"barred": IsExcluded, "astray": NoChain,
+	require.Equal(t, map[string]Status{
+		"fast": Eligible, "slow": TooSlow, "busy": AtLimit, "out": ZeroWeight,
+		"barred": Excluded, "astray": NoPath,
 	}, got)
 	require.Equal(t, "fast", e.Decision.Chain.Hops[0].ReplicaID)
 	require.Equal(t, e.Lowest, e.Decision.Chain.Expected)
 }
 
-// Each sign of a slower replica, taken alone, raises the term that stands for it
-// and the total, compared with an equal replica.
+// TestEachSignRaisesItsTerm checks that each sign of a slower replica, taken
+// alone, raises its term and the total, compared with an otherwise equal
+// replica.
 func TestEachSignRaisesItsTerm(t *testing.T) {
 	usual := Load{Running: 2, Slots: 4, Step: 10 * time.Millisecond, PrefillTokensPerSecond: 1000}
 	change := func(f func(*Load)) func(*Table) {
@@ -194,13 +200,13 @@
 			table.Report(start, "worse", load)
 		}
 	}
-	wait := func(c Terms) float64 { return c.Wait }
-	prefill := func(c Terms) float64 { return c.Prefill }
-	decode := func(c Terms) float64 { return c.Decode }
-	link := func(c Terms) float64 { return c.Link }
+	wait := func(c CostTerms) float64 { return c.Wait }
+	prefill := func(c CostTerms) float64 { return c.Prefill }
+	decode := func(c CostTerms) float64 { return c.Decode }
+	link := func(c CostTerms) float64 { return c.Link }
 	for name, sign := range map[string]struct {
 		apply func(*Table)
-		term  func(Terms) float64
+		term  func(CostTerms) float64
 	}{
 		"waiting":      {change(func(l *Load) { l.Waiting = 2 }), wait},
 		"slots held":   {change(func(l *Load) { l.Running = 4 }), wait},
