--- a/core/routing/config.go
+++ b/core/routing/config.go
@@ -1,5 +1,5 @@
-// Package routing decides where a request may go: the operator's configuration,
-// its order of versions, and the look-up of routes and API keys.
+// Package routing holds the operator's configuration of routes, services and
+// workspaces, and the lookup of routes and API keys in it.
 package routing
 
 import (
@@ -8,7 +8,8 @@
 	"masticbank.example/core/pipeline"
 )
 
-// Kind tells what may be repeated on a route.
+// Kind is the kind of a route; it decides whether requests may run more than
+// once.
 type Kind int
 
 // Kinds of routes.
@@ -17,8 +18,8 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Streaming answers are series of events; such a request runs at most once
-	// unless the route is resumable.
+	// Streaming responses are series of events. A streaming request runs at
+	// most once unless the route is resumable.
 	Streaming
 )
 
@@ -35,48 +36,53 @@
 	return "unknown"
 }
 
-// Target is a service that a route sends a share of its requests to.
+// Target is a service to which a route sends a share of its requests.
 type Target struct {
 	Service string
-	// Weight is relative to the other targets of the route.
+	// Weight is relative to the weights of the route's other targets.
 	Weight float64
 }
 
-// Route tells what is done with the requests of a host below a path.
+// Route is the rule for requests to a host whose path has a given prefix.
 type Route struct {
 	Name string
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a caller is kept waiting; 0 means no limit.
+	// Timeout is the maximum time until the client gets a response; 0 means no
+	// limit.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to the first event of a stream,
-	// for full credit.
+	// Objective is the longest time to the response, or to the first event of a
+	// stream, that still gets full credit.
 	Objective time.Duration
-	// GapObjective is the longest pause between two events for full credit.
+	// GapObjective is the longest time between two events of a stream that
+	// still gets full credit.
 	GapObjective time.Duration
-	// Priority is the rank; 0 is the most urgent.
+	// Priority is the rank of the requests; 0 is the most urgent.
 	Priority int
 	Targets  []Target
-	// MaxAttempts is the number of replicas that one request may be sent to.
+	// MaxAttempts is the maximum number of replicas that one request may be
+	// sent to.
 	MaxAttempts int
-	// Public routes need no API key.
+	// Public routes require no API key.
 	Public bool
-	// Resumable streams may go on at another replica after the last event.
+	// Resumable streams may continue on another replica after the last event
+	// sent.
 	Resumable bool
 }
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Workspace is a customer with its API keys.
+// Workspace is a named set of API keys whose requests are accounted for
+// together.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority takes the place of the route's priority if it is set.
+	// Priority overrides the route's priority if it is set.
 	Priority *int
 }
 
@@ -89,11 +95,11 @@
 	MaxConnections int
 	// Slots is the number of requests that a model replica runs at once.
 	Slots int
-	// Model is set for services whose replicas hold layers of a model.
+	// Model is set if the replicas of the service hold layers of a model.
 	Model *pipeline.Model
 }
 
-// Limits bounds what callers may send.
+// Limits bounds what clients may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -101,8 +107,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one version of the operator's configuration. It is not changed
-// after it was decoded.
+// Config is one version of the operator's configuration. It is immutable after
+// decoding.
 type Config struct {
 	Version    int64
 	Routes     []Route
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Table answers look-ups in one version of the configuration. It is safe for
-// concurrent use, as it is not changed after NewTable.
+// Table indexes one version of the configuration. It is immutable after
+// NewTable and therefore safe for concurrent use.
 type Table struct {
 	config   *Config
 	hosts    map[string][]*Route // longest prefix first
@@ -14,7 +14,7 @@
 	services map[string]*Service
 }
 
-// NewTable indexes a configuration.
+// NewTable returns a table of the configuration.
 func NewTable(c *Config) *Table {
 	t := &Table{
 		config:   c,
@@ -46,25 +46,26 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Limits returns the bounds for callers.
+// Limits returns the bounds of what clients may send.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// NeedsKeys tells whether requests on routes that are not public carry a key.
+// NeedsKeys reports whether requests to routes that are not public require an
+// API key.
 func (t *Table) NeedsKeys() bool { return len(t.config.Workspaces) > 0 }
 
 // Services returns all services.
 func (t *Table) Services() []Service { return t.config.Services }
 
-// Service returns a service by its name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Workspace returns the workspace that holds the key, or nil.
+// Workspace returns the workspace that the API key belongs to, or nil.
 func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
 
-// Route returns the route of the host with the longest prefix of the path, or
-// nil. A port in host is ignored.
+// Route returns the route of the host whose path prefix is the longest match,
+// or nil. A port in host is ignored.
 func (t *Table) Route(host, path string) *Route {
-	for _, r := range t.hosts[hostOnly(host)] {
+	for _, r := range t.hosts[withoutPort(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
@@ -72,15 +73,16 @@
 	return nil
 }
 
-func hostOnly(host string) string {
+// withoutPort returns the host in lower case and without its port.
+func withoutPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// Pick returns the service for a draw from 0 to 1, by the weights of the
-// targets, or "" if the route has none.
+// Pick returns the service of a target chosen by weight. draw is a random
+// number from 0 to 1. It returns "" if no target has a weight above 0.
 func (r *Route) Pick(draw float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
@@ -89,10 +91,10 @@
 	if total <= 0 {
 		return ""
 	}
-	left := draw * total
+	remaining := draw * total
 	for _, t := range r.Targets {
-		left -= t.Weight
-		if left < 0 {
+		remaining -= t.Weight
+		if remaining < 0 {
 			return t.Service
 		}
 	}
