--- a/core/health/bench_test.go
+++ b/core/health/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkProgress is the cost of one answer on a connection.
+// BenchmarkProgress measures the cost of one response received on a connection.
 func BenchmarkProgress(b *testing.B) {
 	u := NewUpstream(DefaultConfig(), NewGroup(0.5), 1)
 	u.Step(start, Listed{})
--- a/core/health/ejection.go
+++ b/core/health/ejection.go
@@ -2,62 +2,67 @@
 
 import "time"
 
-// eject takes the upstream out of use until its next probe, or holds it at a low
-// weight when the group allows no more ejections. An ejected upstream is counted
-// anew, as members may have left meanwhile.
+// eject ejects the upstream until its next probe, or keeps it at a low weight
+// if the group allows no more ejections. An upstream that is ejected already is
+// first taken out of the group's count, as the group may have become smaller
+// meanwhile.
 func (u *Upstream) eject(now time.Time) {
-	if u.phase == inUse && now.Sub(u.fullSince) >= u.config.ForgetAfter {
-		u.failures = 0
+	if u.phase == active && now.Sub(u.activeSince) >= u.config.BackoffResetAfter {
+		u.consecutiveFailures = 0
 	}
 	if u.phase == ejected {
 		u.group.restore()
 	} else {
-		u.add(FailAttempts{})
+		u.emit(FailAttempts{})
 	}
-	u.failures++
-	u.faults = 0
-	u.suspects = u.suspects[:0]
-	u.nextAt = now.Add(u.backoff())
+	u.consecutiveFailures++
+	u.consecutiveFaults = 0
+	u.suspectedConnections = u.suspectedConnections[:0]
+	u.nextActionAt = now.Add(u.backoff())
 	if !u.group.eject() {
-		u.phase = held
-		u.setWeight(u.config.HeldWeight)
+		u.phase = degraded
+		u.setWeight(u.config.DegradedWeight)
 		return
 	}
 	u.phase = ejected
 	u.setWeight(0)
-	u.add(Eject{Until: u.nextAt})
+	u.emit(Eject{Until: u.nextActionAt})
 }
 
-// backoff returns the time to the next probe after failures in a row, drawn from
-// the upper half of its range.
+// backoff returns the time to the next probe, which grows with the number of
+// consecutive failures. It is drawn from the upper half of its range.
 func (u *Upstream) backoff() time.Duration {
-	longest := u.config.MinEjection
-	for range u.failures - 1 {
-		longest = min(2*longest, u.config.MaxEjection)
+	maxBackoff := u.config.MinEjection
+	for range u.consecutiveFailures - 1 {
+		maxBackoff = min(2*maxBackoff, u.config.MaxEjection)
 	}
-	half := longest / 2
+	half := maxBackoff / 2
 	return half + time.Duration(u.random.Float64()*float64(half))
 }
 
-func (u *Upstream) startSlowly(now time.Time) {
-	u.phase = returning
-	u.step = -1
-	u.speedUp(now)
+// beginSlowStart starts the sequence of rising weights after a successful
+// probe.
+func (u *Upstream) beginSlowStart(now time.Time) {
+	u.phase = recovering
+	u.slowStartIndex = -1
+	u.advanceSlowStart(now)
 }
 
-func (u *Upstream) speedUp(now time.Time) {
-	u.step++
-	if u.step >= len(u.config.SlowStart) {
-		u.useFully(now)
+// advanceSlowStart sets the next weight of the slow start.
+func (u *Upstream) advanceSlowStart(now time.Time) {
+	u.slowStartIndex++
+	if u.slowStartIndex >= len(u.config.SlowStart) {
+		u.activate(now)
 		return
 	}
-	u.nextAt = now.Add(u.config.SlowStartStep)
-	u.setWeight(u.config.SlowStart[u.step])
+	u.nextActionAt = now.Add(u.config.SlowStartStep)
+	u.setWeight(u.config.SlowStart[u.slowStartIndex])
 }
 
-func (u *Upstream) useFully(now time.Time) {
-	u.phase = inUse
-	u.fullSince = now
-	u.nextAt = time.Time{}
+// activate gives the upstream its full weight.
+func (u *Upstream) activate(now time.Time) {
+	u.phase = active
+	u.activeSince = now
+	u.nextActionAt = time.Time{}
 	u.setWeight(1)
 }
--- a/core/health/group.go
+++ b/core/health/group.go
@@ -1,6 +1,6 @@
 package health
 
-// Group counts the upstreams that stand in for one another, and bounds how many of
+// Group counts upstreams that can replace each other and limits how many of
 // them are ejected at once. It is not safe for concurrent use.
 type Group struct {
 	maxShare float64
@@ -8,19 +8,19 @@
 	ejected  int
 }
 
-// NewGroup returns an empty group of which at most the share maxShare, 0 to 1, is
-// ejected at once. The number is rounded down.
+// NewGroup returns an empty group of which at most the share maxShare, 0 to 1,
+// may be ejected at once. The resulting number is rounded down.
 func NewGroup(maxShare float64) *Group {
 	return &Group{maxShare: maxShare}
 }
 
-// Members returns the number of upstreams that have been in use and are neither
+// Members returns the number of upstreams that have been active and are neither
 // leaving nor removed.
 func (g *Group) Members() int {
 	return g.members
 }
 
-// Ejected returns the number of members that are ejected.
+// Ejected returns the number of ejected members.
 func (g *Group) Ejected() int {
 	return g.ejected
 }
@@ -34,13 +34,13 @@
 	g.members++
 }
 
-// leave takes out a member that is not ejected.
+// leave removes a member that is not ejected.
 func (g *Group) leave() {
 	g.members--
 }
 
-// eject counts one more ejected member; it returns false when the share allows
-// none.
+// eject counts one more ejected member. It returns false, and changes nothing,
+// if the limit is reached.
 func (g *Group) eject() bool {
 	if g.ejected >= g.Allowed() {
 		return false
@@ -49,6 +49,7 @@
 	return true
 }
 
+// restore counts one ejected member less.
 func (g *Group) restore() {
 	g.ejected--
 }
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,92 +1,96 @@
-// Package health decides, for one upstream at a time, how much new work it gets:
-// none while it leaves or does not answer, a rising share after it came back.
+// Package health decides how much new work one upstream gets: none while it is
+// leaving or unresponsive, and a rising share after it has recovered.
 //
-// A connection that makes no progress says nothing about the upstream behind it,
-// since something between the two ends may have lost track of it. The upstream is
-// therefore probed on a new connection: an answer convicts the old connection, no
-// answer the upstream.
+// A connection without progress does not show that the upstream has failed: a
+// device between the two ends may have lost the connection's state. The
+// upstream is therefore probed on a new connection. If it responds, only the
+// old connection is replaced; if not, the upstream is ejected.
 //
-// Upstream is a state machine: events and times in, effects out. The types are not
-// safe for concurrent use; all upstreams of one Group belong under one lock.
+// Upstream is a state machine: it takes events with their times and returns
+// effects. The types are not safe for concurrent use; one lock must guard all
+// upstreams of a Group.
 package health
 
 import "time"
 
-// Config holds the times and bounds of the state machine.
+// Config holds the timeouts and limits of the state machine.
 type Config struct {
-	// ProbeTimeout is the time after which a probe without an answer failed.
+	// ProbeTimeout is the time after which a probe without a response has
+	// failed.
 	ProbeTimeout time.Duration
-	// MinEjection and MaxEjection bound the time between ejection and the next
-	// probe. It doubles with each ejection in a row and is drawn from its upper
-	// half.
+	// MinEjection and MaxEjection bound the time from an ejection to the next
+	// probe. It doubles with each consecutive ejection and is drawn from the
+	// upper half of its range.
 	MinEjection time.Duration
 	MaxEjection time.Duration
-	// SlowStart lists the weights that an upstream passes through after it came
-	// back, before weight 1; it keeps each for SlowStartStep.
+	// SlowStart lists the weights that a recovered upstream has before it gets
+	// weight 1, each for SlowStartStep.
 	SlowStart     []float64
 	SlowStartStep time.Duration
-	// ForgetAfter is the time at weight 1 after which earlier ejections no longer
-	// lengthen the next one.
-	ForgetAfter time.Duration
-	// UnlistedUse is the time for which an upstream that is missing from the
-	// platform's list stays in use while it answers.
-	UnlistedUse time.Duration
-	// HeldWeight is the weight of an upstream that fails its probes while the
-	// group allows no more ejections.
-	HeldWeight float64
-	// MaxFaults is the number of times in a row that connections fail, without
-	// progress on any connection in between, after which the upstream is ejected
-	// although it answers probes. Connections that fail while one probe is open
-	// count once.
-	MaxFaults int
+	// BackoffResetAfter is the time at weight 1 after which earlier ejections
+	// no longer extend the backoff.
+	BackoffResetAfter time.Duration
+	// UnlistedGrace is how long an upstream that is missing from the platform's
+	// list stays in use while it responds.
+	UnlistedGrace time.Duration
+	// DegradedWeight is the weight of an upstream that fails its probes while
+	// the group allows no more ejections.
+	DegradedWeight float64
+	// MaxConsecutiveFaults is the number of consecutive connection faults,
+	// without progress on any connection in between, after which the upstream
+	// is ejected although it responds to probes. Connections that fail while
+	// the same probe is open count as one fault.
+	MaxConsecutiveFaults int
 }
 
-// DefaultConfig returns the default times and bounds.
+// DefaultConfig returns the default timeouts and limits.
 func DefaultConfig() Config {
 	return Config{
-		ProbeTimeout:  time.Second,
-		MinEjection:   time.Second,
-		MaxEjection:   time.Minute,
-		SlowStart:     []float64{0.1, 0.25, 0.5},
-		SlowStartStep: 2 * time.Second,
-		ForgetAfter:   time.Minute,
-		UnlistedUse:   30 * time.Second,
-		HeldWeight:    0.1,
-		MaxFaults:     4,
+		ProbeTimeout:         time.Second,
+		MinEjection:          time.Second,
+		MaxEjection:          time.Minute,
+		SlowStart:            []float64{0.1, 0.25, 0.5},
+		SlowStartStep:        2 * time.Second,
+		BackoffResetAfter:    time.Minute,
+		UnlistedGrace:        30 * time.Second,
+		DegradedWeight:       0.1,
+		MaxConsecutiveFaults: 4,
 	}
 }
 
-// Event is something that an upstream or its environment did.
+// Event is an input of the state machine.
 type Event interface{ isEvent() }
 
-// Listed tells that the platform's list shows the upstream. A list that no longer
-// shows it as leaving does not revoke an earlier sign, as the list lags.
+// Listed reports that the platform's list contains the upstream. The list lags,
+// so an entry that is not leaving does not revoke an earlier report that the
+// upstream is leaving.
 type Listed struct{ Leaving bool }
 
-// Unlisted tells that the platform's list no longer shows the upstream.
+// Unlisted reports that the platform's list no longer contains the upstream.
 type Unlisted struct{}
 
-// Leaving tells that the upstream said so itself or that a peer passed it on.
+// Leaving reports that the upstream is leaving, as stated by the given source.
 type Leaving struct{ Source Source }
 
-// Progress tells that an expected answer arrived on a connection.
+// Progress reports that an expected response arrived on a connection.
 type Progress struct{ Connection uint64 }
 
-// Silent tells that a connection made no progress within its ProgressTimeout.
+// Silent reports that a connection made no progress within its ProgressTimeout.
 type Silent struct{ Connection uint64 }
 
-// Lost tells that a connection was refused, reset or closed by the other end.
+// Lost reports that a connection was refused, reset or closed by the remote
+// end.
 type Lost struct{ Connection uint64 }
 
-// ProbeAnswered tells that the upstream answered the probe with this number. An
-// answer that refuses work counts as well.
+// ProbeAnswered reports that the upstream responded to the probe with this
+// number. A response that refuses work counts too.
 type ProbeAnswered struct{ Probe uint64 }
 
-// ProbeFailed tells that the probe with this number was not answered in time or
-// could not be sent.
+// ProbeFailed reports that the probe with this number could not be sent or got
+// no response in time.
 type ProbeFailed struct{ Probe uint64 }
 
-// Tick tells that the time of Upstream.Deadline was reached.
+// Tick reports that the time returned by Upstream.Deadline has been reached.
 type Tick struct{}
 
 func (Listed) isEvent()        {}
@@ -99,13 +103,13 @@
 func (ProbeFailed) isEvent()   {}
 func (Tick) isEvent()          {}
 
-// Source is where the first sign of leaving came from.
+// Source is the origin of the first report that an upstream is leaving.
 type Source int
 
 const (
 	// FromList is the platform's list.
 	FromList Source = iota
-	// FromUpstream is the upstream's own answer or load report.
+	// FromUpstream is a response or a load report of the upstream itself.
 	FromUpstream
 	// FromPeer is another instance.
 	FromPeer
@@ -125,36 +129,39 @@
 	}
 }
 
-// Effect is something that the caller is to do, in order.
+// Effect is an action that the caller must perform. Effects must be performed
+// in order.
 type Effect interface{ isEffect() }
 
-// Probe asks for a probe on a new connection, to be answered by ProbeAnswered or
-// ProbeFailed with its number within Timeout.
+// Probe requests a probe on a new connection. Its result is reported within
+// Timeout by ProbeAnswered or ProbeFailed with the same number.
 type Probe struct {
 	Number  uint64
 	Timeout time.Duration
 }
 
-// ReplaceConnection asks to close a connection and send its open steps again on a
-// new one.
+// ReplaceConnection requests that a connection be closed and its open steps be
+// sent again on a new one.
 type ReplaceConnection struct{ Connection uint64 }
 
-// SetWeight sets the share of new work, 0 to 1. Work in flight goes on.
+// SetWeight sets the share of new work, 0 to 1. Work in flight continues.
 type SetWeight struct{ Weight float64 }
 
-// FailAttempts asks to end the open attempts on the upstream, which does not
-// answer, so that they resume elsewhere.
+// FailAttempts requests that the open attempts on the unresponsive upstream be
+// ended, so that they resume on other upstreams.
 type FailAttempts struct{}
 
-// Eject tells that the upstream gets no work until the probe at Until.
+// Eject reports that the upstream gets no work until the probe at Until.
 type Eject struct{ Until time.Time }
 
-// AnnounceLeaving asks to tell the peers that the upstream leaves. It is not given
-// for signs that every instance reads for itself or that came from a peer.
+// AnnounceLeaving requests that the peers be informed that the upstream is
+// leaving. It is not emitted for reports that every instance reads itself or
+// that came from a peer.
 type AnnounceLeaving struct{}
 
-// Remove asks to forget the upstream once its work in flight has ended. It is the
-// last effect: from then on a faulty connection ends its attempts.
+// Remove requests that the upstream be deleted once its work in flight has
+// ended. It is the last effect: after it, a faulty connection ends its
+// attempts.
 type Remove struct{}
 
 func (Probe) isEffect()             {}
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// scriptStep is one event of a script, sent at an offset from the start, and the
+// scriptStep is one event of a script, at an offset from the start, with the
 // effects expected of it. Eject is compared without its time.
 type scriptStep struct {
 	at    time.Duration
@@ -41,8 +41,9 @@
 
 func probe(n uint64) Effect { return Probe{Number: n, Timeout: time.Second} }
 
-// join lists the upstream and answers its first probe at time 0.
-func join(t *testing.T, u *Upstream) {
+// joinUpstream lists the upstream and reports its first probe as successful at
+// time 0.
+func joinUpstream(t *testing.T, u *Upstream) {
 	t.Helper()
 	runScript(t, u, []scriptStep{
 		{0, Listed{}, []Effect{SetWeight{0}, probe(1)}},
@@ -50,15 +51,15 @@
 	})
 }
 
-// groupOf returns a joined upstream in a group with more members.
-func groupOf(t *testing.T, others int) *Upstream {
+// joinedUpstream returns a joined upstream in a group with others more.
+func joinedUpstream(t *testing.T, others int) *Upstream {
 	t.Helper()
 	g := NewGroup(0.5)
 	for range others {
-		join(t, NewUpstream(DefaultConfig(), g, 1))
+		joinUpstream(t, NewUpstream(DefaultConfig(), g, 1))
 	}
 	u := NewUpstream(DefaultConfig(), g, 2)
-	join(t, u)
+	joinUpstream(t, u)
 	return u
 }
 
@@ -69,24 +70,24 @@
 
 func TestScripts(t *testing.T) {
 	scripts := map[string][]scriptStep{
-		"an answered probe convicts the connection only": {
+		"a successful probe replaces the connection only": {
 			{second, Silent{7}, []Effect{probe(2)}},
 			{second, Silent{7}, nil},
 			{second, Lost{8}, nil},
-			{second, ProbeAnswered{1}, nil}, // a late answer to an older probe
+			{second, ProbeAnswered{1}, nil}, // a late response to an older probe
 			{second, ProbeAnswered{2}, []Effect{ReplaceConnection{7}, ReplaceConnection{8}}},
 		},
-		"a connection that moves on is kept": {
+		"a connection that makes progress is kept": {
 			{second, Silent{7}, []Effect{probe(2)}},
 			{second, Progress{7}, nil},
 			{second, ProbeAnswered{2}, nil},
 		},
-		"progress outweighs a failed probe": {
+		"progress after the probe was sent overrides its failure": {
 			{second, Silent{7}, []Effect{probe(2)}},
 			{second + 1, Progress{9}, nil},
 			{2 * second, ProbeFailed{2}, []Effect{ReplaceConnection{7}}},
 		},
-		"a failed probe ejects, and the way back is slow": {
+		"a failed probe ejects, and recovery goes through the slow start": {
 			{second, Silent{7}, []Effect{probe(2)}},
 			{2 * second, Tick{}, []Effect{FailAttempts{}, SetWeight{0}, Eject{}}},
 			{3 * second, Tick{}, []Effect{probe(3)}},
@@ -96,7 +97,7 @@
 			{7 * second, Tick{}, []Effect{SetWeight{0.5}}},
 			{9 * second, Tick{}, []Effect{SetWeight{1}}},
 		},
-		"faults in a row eject despite answered probes": {
+		"consecutive faults eject despite successful probes": {
 			{second, Silent{1}, []Effect{probe(2)}},
 			{second, ProbeAnswered{2}, []Effect{ReplaceConnection{1}}},
 			{second, Silent{2}, []Effect{probe(3)}},
@@ -110,12 +111,12 @@
 			{2 * second, Silent{5}, []Effect{probe(7)}},
 			{2 * second, ProbeAnswered{7}, []Effect{ReplaceConnection{5}}},
 		},
-		"an ejected upstream that is unlisted goes": {
+		"an ejected upstream that is unlisted is removed": {
 			{second, Silent{7}, []Effect{probe(2)}},
 			{2 * second, ProbeFailed{2}, []Effect{FailAttempts{}, SetWeight{0}, Eject{}}},
 			{2 * second, Unlisted{}, []Effect{Remove{}}},
 		},
-		"connections that fail together are one fault": {
+		"connections that fail together count as one fault": {
 			{second, Silent{1}, []Effect{probe(2)}},
 			{second, Silent{2}, nil},
 			{second, Lost{3}, nil},
@@ -124,7 +125,7 @@
 				ReplaceConnection{1}, ReplaceConnection{2}, ReplaceConnection{3}, ReplaceConnection{4},
 			}},
 		},
-		"progress ends the row of faults": {
+		"progress resets the consecutive faults": {
 			{second, Silent{1}, []Effect{probe(2)}},
 			{second, ProbeAnswered{2}, []Effect{ReplaceConnection{1}}},
 			{second, Silent{2}, []Effect{probe(3)}},
@@ -135,7 +136,7 @@
 			{second, Silent{4}, []Effect{probe(5)}},
 			{second, ProbeAnswered{5}, []Effect{ReplaceConnection{4}}},
 		},
-		"the upstream's own sign of leaving outlasts the list": {
+		"the list does not revoke the upstream's own report of leaving": {
 			{second, Leaving{FromUpstream}, []Effect{SetWeight{0}, AnnounceLeaving{}}},
 			{second, Listed{}, nil},
 			{second, Leaving{FromPeer}, nil},
@@ -149,40 +150,41 @@
 			{minute, Unlisted{}, []Effect{Remove{}}},
 			{minute, Listed{}, nil},
 		},
-		"a peer's word is enough": {
+		"a peer's report of leaving is accepted": {
 			{second, Leaving{FromPeer}, []Effect{SetWeight{0}}},
 			{second, ProbeAnswered{1}, nil},
 		},
-		"the list's word is enough": {
+		"the list's report of leaving is accepted": {
 			{second, Listed{Leaving: true}, []Effect{SetWeight{0}}},
 			{second, Listed{}, nil},
 		},
-		"an unlisted upstream that answers stays for a while": {
+		"an unlisted upstream that responds stays for the grace period": {
 			{second, Unlisted{}, []Effect{probe(2)}},
 			{second, ProbeAnswered{2}, nil},
 			{30 * second, Unlisted{}, nil},
 			{31 * second, Tick{}, []Effect{SetWeight{0}, Remove{}}},
 		},
-		"an upstream listed again stays": {
+		"an upstream that is listed again stays": {
 			{second, Unlisted{}, []Effect{probe(2)}},
 			{second, ProbeAnswered{2}, nil},
 			{2 * second, Listed{}, nil},
 			{31 * second, Tick{}, nil},
 		},
-		"an unlisted upstream that is silent goes": {
+		"an unlisted upstream that is unresponsive is removed": {
 			{second, Unlisted{}, []Effect{probe(2)}},
 			{2 * second, ProbeFailed{2}, []Effect{FailAttempts{}, SetWeight{0}, Remove{}}},
 		},
 	}
 	for name, steps := range scripts {
 		t.Run(name, func(t *testing.T) {
-			runScript(t, groupOf(t, 3), steps)
+			runScript(t, joinedUpstream(t, 3), steps)
 		})
 	}
 }
 
-// An upstream that never answered gets no work and is asked again later.
-func TestNoWorkBeforeTheFirstAnswer(t *testing.T) {
+// TestNoWorkBeforeFirstProbeResponse checks that an upstream that has never
+// responded gets no work and is probed again later.
+func TestNoWorkBeforeFirstProbeResponse(t *testing.T) {
 	u := NewUpstream(DefaultConfig(), NewGroup(1), 1)
 	runScript(t, u, []scriptStep{
 		{0, Listed{}, []Effect{SetWeight{0}, probe(1)}},
@@ -193,10 +195,11 @@
 	})
 }
 
-// With no ejection left in the group, an upstream that fails its probes keeps a
-// low weight, and is asked again.
-func TestHeldForTheGroup(t *testing.T) {
-	u := groupOf(t, 0)
+// TestDegradedWhenGroupAllowsNoEjection checks that an upstream that fails its
+// probes keeps a low weight, and is probed again, if its group allows no more
+// ejections.
+func TestDegradedWhenGroupAllowsNoEjection(t *testing.T) {
+	u := joinedUpstream(t, 0)
 	runScript(t, u, []scriptStep{
 		{second, Silent{7}, []Effect{probe(2)}},
 		{2 * second, ProbeFailed{2}, []Effect{FailAttempts{}, SetWeight{0.1}}},
@@ -206,10 +209,11 @@
 	})
 }
 
-// The time to the next probe doubles with each failure in a row up to its bound, is
-// drawn from its upper half, and is short again after a good while.
+// TestEjectionBackoff checks that the time to the next probe doubles with each
+// consecutive failure up to its limit, is drawn from the upper half of its
+// range, and is short again after BackoffResetAfter at full weight.
 func TestEjectionBackoff(t *testing.T) {
-	u := groupOf(t, 3)
+	u := joinedUpstream(t, 3)
 	longest, now := time.Second, start
 	waits := make(map[time.Duration]bool)
 	for range 12 {
@@ -222,10 +226,10 @@
 		waits[wait] = true
 		longest = min(2*longest, minute)
 	}
-	require.Len(t, waits, 12, "without jitter, equal times recur")
+	require.Len(t, waits, 12, "all times differ because of jitter")
 	u.group.restore()
-	u.useFully(now)
-	now = now.Add(DefaultConfig().ForgetAfter)
+	u.activate(now)
+	now = now.Add(DefaultConfig().BackoffResetAfter)
 	u.eject(now)
 	next, _ := u.Deadline()
 	require.LessOrEqual(t, next.Sub(now), second)
@@ -260,57 +264,58 @@
 	}).Draw(t, "event")
 }
 
-// check sends an event and compares the effects with what happened before it.
-func check(t *rapid.T, u *Upstream, now time.Time, e Event) {
+// checkStep sends an event and checks the effects against the state before it.
+func checkStep(t *rapid.T, u *Upstream, now time.Time, e Event) {
 	before := *u
-	alive := u.lastProgress.After(u.probe.sentAt)
+	responsive := u.lastProgress.After(u.probe.sentAt)
 	if _, ok := e.(ProbeAnswered); ok {
-		alive = true
+		responsive = true
 	}
 	for _, effect := range u.Step(now, e) {
 		switch effect := effect.(type) {
 		case SetWeight:
-			require.False(t, before.Leaving() && effect.Weight > 0, "weight after a sign of leaving")
+			require.False(t, before.Leaving() && effect.Weight > 0, "weight while leaving")
 		case Eject:
 			require.LessOrEqual(t, u.group.Ejected(), u.group.Allowed())
-			require.True(t, before.probe.open && !u.probe.open, "ejection without a probe")
-			require.True(t, !alive || before.faults+1 >= u.config.MaxFaults, "ejected though alive")
+			require.True(t, before.probe.open && !u.probe.open, "ejected without a probe")
+			require.True(t, !responsive || before.consecutiveFaults+1 >= u.config.MaxConsecutiveFaults, "ejected although responsive")
 		case Probe:
-			require.False(t, before.probe.open, "two probes at once")
+			require.False(t, before.probe.open, "second probe while one is open")
 		}
 	}
 	if before.Leaving() {
 		require.Zero(t, u.Weight())
 	}
-	if u.probe.open || u.phase == ejected || u.phase == returning || u.phase == held {
+	if u.probe.open || u.phase == ejected || u.phase == recovering || u.phase == degraded {
 		at, ok := u.Deadline()
 		require.True(t, ok && !at.IsZero(), "no timer in phase %d", u.phase)
 	}
 }
 
-// TestGroupKeepsItsShare sends random events to the upstreams of a group. It
-// checks that no ejection exceeds the group's share, that none happens without a
-// probe or against signs of life, and that no weight follows a sign of leaving.
-func TestGroupKeepsItsShare(t *testing.T) {
+// TestGroupLimitsEjections sends random events to the upstreams of a group. It
+// checks that ejections never exceed the group's share, that none happens
+// without a probe or while the upstream is known to respond, and that an
+// upstream that is leaving gets no weight.
+func TestGroupLimitsEjections(t *testing.T) {
 	ejections := 0
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewGroup(rapid.SampledFrom([]float64{0, 0.34, 0.5, 1}).Draw(t, "share"))
 		upstreams := make([]*Upstream, rapid.IntRange(1, 6).Draw(t, "upstreams"))
 		for i := range upstreams {
 			upstreams[i] = NewUpstream(DefaultConfig(), g, uint64(i))
-			check(t, upstreams[i], start, Listed{})
-			check(t, upstreams[i], start, ProbeAnswered{1})
+			checkStep(t, upstreams[i], start, Listed{})
+			checkStep(t, upstreams[i], start, ProbeAnswered{1})
 		}
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			u := rapid.SampledFrom(upstreams).Draw(t, "upstream")
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			before := g.Ejected()
-			check(t, u, now, drawEvent(t, u))
+			checkStep(t, u, now, drawEvent(t, u))
 			ejections += max(g.Ejected()-before, 0)
 			members, out := 0, 0
 			for _, u := range upstreams {
-				if u.phase >= inUse && u.phase <= ejected {
+				if u.phase >= active && u.phase <= ejected {
 					members++
 				}
 				if u.phase == ejected {
--- a/core/health/pace.go
+++ b/core/health/pace.go
@@ -3,50 +3,52 @@
 import "time"
 
 const (
-	// MinProgressTimeout is the lowest timeout of a decode step.
+	// MinProgressTimeout is the minimum timeout of a decode step.
 	MinProgressTimeout = 500 * time.Millisecond
-	// MinPrefillTimeout is the lowest timeout of a prefill, which may have to wait
-	// for a slot.
+	// MinPrefillTimeout is the minimum timeout of a prefill, which may have to
+	// wait for a slot.
 	MinPrefillTimeout = 2 * time.Second
-	// MaxProgressTimeout is the highest timeout.
+	// MaxProgressTimeout is the maximum timeout.
 	MaxProgressTimeout = 2 * time.Minute
 	// meanGain and deviationGain are the weights of a new sample (RFC 6298).
 	meanGain      = 1.0 / 8
 	deviationGain = 1.0 / 4
-	// deviations is the multiple of the mean deviation in a timeout (RFC 6298).
-	deviations = 4
-	// slack multiplies timeouts, as batches grow and links degrade faster than
-	// means follow.
-	slack = 3
-	// minSamples is the number of samples from which a pace is used.
+	// deviationFactor is the number of mean deviations in a timeout (RFC 6298).
+	deviationFactor = 4
+	// timeoutFactor multiplies timeouts, because batches grow and links degrade
+	// faster than the averages follow.
+	timeoutFactor = 3
+	// minSamples is the number of samples an estimate needs to be used.
 	minSamples = 4
-	// maxDoublings bounds the growth of the timeout by Expired.
+	// maxDoublings limits how often Expired can double the timeout.
 	maxDoublings = 3
 )
 
-// Pace follows how long the steps of one stage take, prefill and decode apart. The
-// zero value is ready for use. It is not safe for concurrent use.
+// Pace estimates the timeout of the steps of one stage from their durations,
+// separately for prefill and decode. The zero value is ready for use. It is not
+// safe for concurrent use.
 type Pace struct {
-	decode  duration
-	prefill duration
-	// doublings counts the timeouts since the last observed step.
+	decode  durationEstimate
+	prefill durationEstimate
+	// doublings is the number of timeouts since the last observed step, at most
+	// maxDoublings.
 	doublings int
 }
 
-// duration is a smoothed mean with its mean deviation, in seconds.
-type duration struct {
+// durationEstimate is a smoothed mean and its mean deviation, in seconds.
+type durationEstimate struct {
 	mean      float64
 	deviation float64
 	samples   int
 }
 
-func (d *duration) observe(sample float64) {
+func (d *durationEstimate) addSample(sample float64) {
 	if d.samples == 0 {
 		d.mean = sample
 		d.deviation = sample / 2
 	} else {
-		off := max(sample-d.mean, d.mean-sample)
-		d.deviation += deviationGain * (off - d.deviation)
+		distance := max(sample-d.mean, d.mean-sample)
+		d.deviation += deviationGain * (distance - d.deviation)
 		d.mean += meanGain * (sample - d.mean)
 	}
 	if d.samples < minSamples {
@@ -54,31 +56,31 @@
 	}
 }
 
-// ObserveDecode takes the duration of one decode step.
+// ObserveDecode adds the duration of one decode step.
 func (p *Pace) ObserveDecode(d time.Duration) {
-	p.decode.observe(d.Seconds())
+	p.decode.addSample(d.Seconds())
 	p.doublings = 0
 }
 
-// ObservePrefill takes the duration of a prefill of tokens, at least 1.
+// ObservePrefill adds the duration of a prefill of the given number of tokens.
 func (p *Pace) ObservePrefill(tokens int, d time.Duration) {
-	p.prefill.observe(d.Seconds() / float64(max(tokens, 1)))
+	p.prefill.addSample(d.Seconds() / float64(max(tokens, 1)))
 	p.doublings = 0
 }
 
-// Expired tells that a step outlasted its timeout. Timeouts double until a step is
-// observed again, so that a stage that became slower is not taken for silent over
-// and over.
+// Expired records that a step exceeded its timeout. Timeouts double until a
+// step is observed again, so that a stage that became slower is not repeatedly
+// taken for unresponsive.
 func (p *Pace) Expired() {
 	p.doublings = min(p.doublings+1, maxDoublings)
 }
 
-// ProgressTimeout returns how long a step may go without an answer before its
-// connection counts as silent. prefillTokens is 0 for a decode step. initial
-// applies until enough steps were observed.
+// ProgressTimeout returns how long a step may go without a response before its
+// connection counts as unresponsive. prefillTokens is 0 for a decode step.
+// initial applies until enough steps were observed.
 //
-// The form is that of TCP's retransmission timeout (RFC 6298): the mean plus four
-// mean deviations, here times a slack.
+// The formula is that of TCP's retransmission timeout (RFC 6298), the mean plus
+// four mean deviations, times timeoutFactor.
 func (p *Pace) ProgressTimeout(prefillTokens int, initial time.Duration) time.Duration {
 	if prefillTokens > 0 {
 		perToken := p.prefill
@@ -88,16 +90,16 @@
 	return p.decode.timeout(initial, MinProgressTimeout, p.doublings)
 }
 
-func (d *duration) scale(factor float64) {
+func (d *durationEstimate) scale(factor float64) {
 	d.mean *= factor
 	d.deviation *= factor
 }
 
-func (d *duration) timeout(initial, lowest time.Duration, doublings int) time.Duration {
+func (d *durationEstimate) timeout(initial, minTimeout time.Duration, doublings int) time.Duration {
 	timeout := initial
 	if d.samples == minSamples {
-		high := slack * (d.mean + deviations*d.deviation)
-		timeout = time.Duration(min(high, MaxProgressTimeout.Seconds()) * float64(time.Second))
+		seconds := timeoutFactor * (d.mean + deviationFactor*d.deviation)
+		timeout = time.Duration(min(seconds, MaxProgressTimeout.Seconds()) * float64(time.Second))
 	}
-	return min(max(timeout, lowest)<<doublings, MaxProgressTimeout)
+	return min(max(timeout, minTimeout)<<doublings, MaxProgressTimeout)
 }
--- a/core/health/pace_test.go
+++ b/core/health/pace_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// A steady stage of any pace never exceeds its timeout, and its silence is noticed
-// within a small multiple of a step.
-func TestProgressTimeoutFollowsThePace(t *testing.T) {
+// TestProgressTimeoutFollowsStepTimes checks that a stage with step times of
+// 0.5 to 1.5 times a constant never exceeds its timeout, and that the timeout
+// stays within a small multiple of a step.
+func TestProgressTimeoutFollowsStepTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const initial = 10 * time.Second
 		step := time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
@@ -33,7 +34,8 @@
 	})
 }
 
-// A stage that takes eight times as long at every fifth step is not silent.
+// TestProgressTimeoutCoversDeviation checks that a stage that takes eight times
+// as long at every fifth step does not exceed its timeout.
 func TestProgressTimeoutCoversDeviation(t *testing.T) {
 	const initial = 10 * time.Second
 	var p Pace
--- a/core/health/probe.go
+++ b/core/health/probe.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-func (u *Upstream) fault(now time.Time, connection uint64) {
+// connectionFault handles a connection that failed or made no progress: the
+// upstream is probed before anything else is concluded.
+func (u *Upstream) connectionFault(now time.Time, connection uint64) {
 	if u.phase == joining || u.phase == ejected {
-		u.add(ReplaceConnection{Connection: connection})
+		u.emit(ReplaceConnection{Connection: connection})
 		return
 	}
-	if slices.Contains(u.suspects, connection) {
+	if slices.Contains(u.suspectedConnections, connection) {
 		return
 	}
-	u.suspects = append(u.suspects, connection)
+	u.suspectedConnections = append(u.suspectedConnections, connection)
 	u.sendProbe(now)
 }
 
@@ -22,10 +24,11 @@
 		return
 	}
 	u.probe = openProbe{number: u.probe.number + 1, open: true, sentAt: now}
-	u.add(Probe{Number: u.probe.number, Timeout: u.config.ProbeTimeout})
+	u.emit(Probe{Number: u.probe.number, Timeout: u.config.ProbeTimeout})
 }
 
-// closeProbe returns false for an answer that is not the open probe's.
+// closeProbe closes the open probe. It returns false if number is not that of
+// the open probe.
 func (u *Upstream) closeProbe(number uint64) bool {
 	if !u.probe.open || number != u.probe.number {
 		return false
@@ -34,68 +37,69 @@
 	return true
 }
 
-func (u *Upstream) probeEnd() time.Time {
+func (u *Upstream) probeDeadline() time.Time {
 	return u.probe.sentAt.Add(u.config.ProbeTimeout)
 }
 
-// answered acts on a probe that the upstream answered.
-func (u *Upstream) answered(now time.Time) {
+// probeSucceeded handles a probe that the upstream responded to.
+func (u *Upstream) probeSucceeded(now time.Time) {
 	switch u.phase {
 	case joining:
 		u.group.join()
-		u.useFully(now)
+		u.activate(now)
 	case ejected:
 		u.group.restore()
-		u.startSlowly(now)
-	case held:
-		u.startSlowly(now)
-	case inUse, returning:
-		if u.isFaulty() {
+		u.beginSlowStart(now)
+	case degraded:
+		u.beginSlowStart(now)
+	case active, recovering:
+		if u.countFault() {
 			u.eject(now)
 			return
 		}
-	case departing, removed:
+	case leaving, removed:
 	}
-	u.replaceSuspects()
+	u.replaceSuspectedConnections()
 }
 
-// isFaulty counts a fault whose probe was answered. Connections that fail together
-// are one fault, as one cause may have taken them all.
-func (u *Upstream) isFaulty() bool {
-	if len(u.suspects) > 0 {
-		u.faults++
+// countFault counts a fault whose probe succeeded and reports whether the limit
+// is reached. Connections that fail together count as one fault, as they may
+// have one cause.
+func (u *Upstream) countFault() bool {
+	if len(u.suspectedConnections) > 0 {
+		u.consecutiveFaults++
 	}
-	return u.faults >= u.config.MaxFaults
+	return u.consecutiveFaults >= u.config.MaxConsecutiveFaults
 }
 
-// unanswered acts on a probe that failed. Progress after the probe was sent proves
-// that the upstream works all the same.
-func (u *Upstream) unanswered(now time.Time) {
+// probeFailed handles a failed probe. Progress after the probe was sent shows
+// that the upstream works nevertheless.
+func (u *Upstream) probeFailed(now time.Time) {
 	if u.lastProgress.After(u.probe.sentAt) {
-		u.answered(now)
+		u.probeSucceeded(now)
 		return
 	}
 	if !u.removeAt.IsZero() {
-		u.add(FailAttempts{})
+		u.emit(FailAttempts{})
 		u.remove()
 		return
 	}
 	switch u.phase {
 	case joining:
-		u.failures++
-		u.nextAt = now.Add(u.backoff())
-	case departing:
-		u.add(FailAttempts{})
-		u.suspects = u.suspects[:0]
-	case inUse, returning, held, ejected:
+		u.consecutiveFailures++
+		u.nextActionAt = now.Add(u.backoff())
+	case leaving:
+		u.emit(FailAttempts{})
+		u.suspectedConnections = u.suspectedConnections[:0]
+	case active, recovering, degraded, ejected:
 		u.eject(now)
 	case removed:
 	}
 }
 
-func (u *Upstream) replaceSuspects() {
-	for _, c := range u.suspects {
-		u.add(ReplaceConnection{Connection: c})
+func (u *Upstream) replaceSuspectedConnections() {
+	for _, c := range u.suspectedConnections {
+		u.emit(ReplaceConnection{Connection: c})
 	}
-	u.suspects = u.suspects[:0]
+	u.suspectedConnections = u.suspectedConnections[:0]
 }
--- a/core/health/upstream.go
+++ b/core/health/upstream.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// phase is what an upstream is used for.
+// phase is the state of an upstream.
 type phase int
 
 const (
-	// joining upstreams have not answered yet and get no work.
+	// joining upstreams have not responded to a probe yet and get no work.
 	joining phase = iota
-	// inUse upstreams get their full share.
-	inUse
-	// returning upstreams pass through Config.SlowStart.
-	returning
-	// held upstreams fail their probes and are not ejected for the group's sake.
-	held
-	// ejected upstreams get no work until a probe is answered.
+	// active upstreams have weight 1.
+	active
+	// recovering upstreams go through Config.SlowStart.
+	recovering
+	// degraded upstreams fail their probes but are not ejected because of the
+	// group's limit.
+	degraded
+	// ejected upstreams get no work until a probe succeeds.
 	ejected
-	// departing upstreams finish what they have and get no new work.
-	departing
-	// removed upstreams are forgotten.
+	// leaving upstreams finish their work in flight and get no new work.
+	leaving
+	// removed upstreams ignore all events.
 	removed
 )
 
-// unset is a weight that differs from every weight given.
-const unset = -1
+// unsetWeight differs from every weight that can be set.
+const unsetWeight = -1
 
 // Upstream is the state machine of one upstream. It is not safe for concurrent
 // use.
@@ -38,26 +39,30 @@
 
 	phase  phase
 	weight float64
-	// suspects are the connections that wait for the open probe.
-	suspects     []uint64
-	probe        openProbe
-	lastProgress time.Time
-	// faults counts answered probes of faulty connections since the last progress.
-	faults int
-	// failures counts ejections, and probes failed meanwhile, in a row.
-	failures  int
-	fullSince time.Time
-	// step is the position in Config.SlowStart.
-	step int
-	// nextAt is the time of the next probe or of the next step of the slow start.
-	nextAt time.Time
-	// removeAt is set while the upstream is missing from the list.
+	// suspectedConnections are the faulty connections that wait for the result
+	// of the open probe.
+	suspectedConnections []uint64
+	probe                openProbe
+	lastProgress         time.Time
+	// consecutiveFaults is the number of faults with a successful probe since
+	// the last progress.
+	consecutiveFaults int
+	// consecutiveFailures is the number of consecutive ejections, including
+	// probes that failed while joining or ejected.
+	consecutiveFailures int
+	activeSince         time.Time
+	// slowStartIndex is the index in Config.SlowStart.
+	slowStartIndex int
+	// nextActionAt is the time of the next probe or of the next step of the
+	// slow start.
+	nextActionAt time.Time
+	// removeAt is set while the upstream is missing from the platform's list.
 	removeAt time.Time
 
 	effects []Effect
 }
 
-// openProbe is the probe under way. number counts all probes of the upstream.
+// openProbe is the probe in progress. number counts all probes of the upstream.
 type openProbe struct {
 	number uint64
 	open   bool
@@ -65,13 +70,13 @@
 }
 
 // NewUpstream returns the state machine of an upstream that has not been listed
-// yet. The seed is for the jitter of its backoff.
+// yet. seed is for the jitter of its backoff.
 func NewUpstream(config Config, group *Group, seed uint64) *Upstream {
 	return &Upstream{
 		config: config,
 		group:  group,
 		random: rand.New(rand.NewPCG(seed, 0)),
-		weight: unset,
+		weight: unsetWeight,
 	}
 }
 
@@ -80,13 +85,13 @@
 	return max(u.weight, 0)
 }
 
-// Leaving tells whether a sign of leaving was seen.
+// Leaving reports whether the upstream is leaving.
 func (u *Upstream) Leaving() bool {
-	return u.phase == departing
+	return u.phase == leaving
 }
 
-// Step takes an event at time now and returns what is to be done. The returned
-// slice is valid until the next call.
+// Step handles an event at time now and returns the effects to perform. The
+// returned slice is valid until the next call.
 func (u *Upstream) Step(now time.Time, event Event) []Effect {
 	u.effects = u.effects[:0]
 	if u.phase == removed {
@@ -98,20 +103,20 @@
 	case Unlisted:
 		u.unlisted(now)
 	case Leaving:
-		u.depart(e.Source)
+		u.startLeaving(e.Source)
 	case Progress:
 		u.progress(now, e.Connection)
 	case Silent:
-		u.fault(now, e.Connection)
+		u.connectionFault(now, e.Connection)
 	case Lost:
-		u.fault(now, e.Connection)
+		u.connectionFault(now, e.Connection)
 	case ProbeAnswered:
 		if u.closeProbe(e.Probe) {
-			u.answered(now)
+			u.probeSucceeded(now)
 		}
 	case ProbeFailed:
 		if u.closeProbe(e.Probe) {
-			u.unanswered(now)
+			u.probeFailed(now)
 		}
 	case Tick:
 		u.tick(now)
@@ -119,89 +124,90 @@
 	return u.effects
 }
 
-// Deadline returns the time at which a Tick is due, and false when none is.
+// Deadline returns the time at which a Tick is due, or false if there is none.
 func (u *Upstream) Deadline() (time.Time, bool) {
-	var first time.Time
+	var earliest time.Time
 	consider := func(at time.Time) {
-		if !at.IsZero() && (first.IsZero() || at.Before(first)) {
-			first = at
+		if !at.IsZero() && (earliest.IsZero() || at.Before(earliest)) {
+			earliest = at
 		}
 	}
 	consider(u.removeAt)
 	if u.probe.open {
-		consider(u.probeEnd())
+		consider(u.probeDeadline())
 	} else {
-		consider(u.nextAt)
+		consider(u.nextActionAt)
 	}
-	return first, !first.IsZero()
+	return earliest, !earliest.IsZero()
 }
 
 func (u *Upstream) listed(now time.Time, leaving bool) {
 	u.removeAt = time.Time{}
 	if leaving {
-		u.depart(FromList)
+		u.startLeaving(FromList)
 		return
 	}
-	if u.phase == joining && !u.probe.open && u.nextAt.IsZero() {
+	if u.phase == joining && !u.probe.open && u.nextActionAt.IsZero() {
 		u.setWeight(0)
 		u.sendProbe(now)
 	}
 }
 
-// unlisted removes an upstream without use at once. One in use is probed and goes
-// on for a while, as the list may be wrong.
+// unlisted removes an upstream that gets no new work at once. One that gets
+// work is probed and stays for UnlistedGrace, as the list may be wrong.
 func (u *Upstream) unlisted(now time.Time) {
 	switch u.phase {
-	case joining, ejected, departing:
+	case joining, ejected, leaving:
 		u.remove()
 		return
-	case inUse, returning, held, removed:
+	case active, recovering, degraded, removed:
 	}
 	if !u.removeAt.IsZero() {
 		return
 	}
-	u.removeAt = now.Add(u.config.UnlistedUse)
+	u.removeAt = now.Add(u.config.UnlistedGrace)
 	u.sendProbe(now)
 }
 
-func (u *Upstream) depart(source Source) {
-	if u.phase == departing {
+// startLeaving ends new work on the upstream.
+func (u *Upstream) startLeaving(source Source) {
+	if u.phase == leaving {
 		return
 	}
-	u.quitGroup()
-	u.phase = departing
-	u.nextAt = time.Time{}
+	u.leaveGroup()
+	u.phase = leaving
+	u.nextActionAt = time.Time{}
 	u.setWeight(0)
 	if source == FromUpstream {
-		u.add(AnnounceLeaving{})
+		u.emit(AnnounceLeaving{})
 	}
 }
 
 func (u *Upstream) remove() {
-	u.quitGroup()
+	u.leaveGroup()
 	u.phase = removed
-	u.nextAt = time.Time{}
+	u.nextActionAt = time.Time{}
 	u.removeAt = time.Time{}
 	u.probe.open = false
 	u.setWeight(0)
-	u.add(Remove{})
+	u.emit(Remove{})
 }
 
-func (u *Upstream) quitGroup() {
+func (u *Upstream) leaveGroup() {
 	switch u.phase {
 	case ejected:
 		u.group.restore()
 		u.group.leave()
-	case inUse, returning, held:
+	case active, recovering, degraded:
 		u.group.leave()
-	case joining, departing, removed:
+	case joining, leaving, removed:
 	}
 }
 
 func (u *Upstream) progress(now time.Time, connection uint64) {
 	u.lastProgress = now
-	u.faults = 0
-	u.suspects = slices.DeleteFunc(u.suspects, func(c uint64) bool { return c == connection })
+	u.consecutiveFaults = 0
+	u.suspectedConnections = slices.DeleteFunc(u.suspectedConnections, func(c uint64) bool { return c == connection })
 }
 
 func (u *Upstream) tick(now time.Time) {
@@ -209,20 +215,20 @@
 		u.remove()
 		return
 	}
-	if u.probe.open && !now.Before(u.probeEnd()) {
+	if u.probe.open && !now.Before(u.probeDeadline()) {
 		u.probe.open = false
-		u.unanswered(now)
+		u.probeFailed(now)
 		return
 	}
-	if u.nextAt.IsZero() || now.Before(u.nextAt) {
+	if u.nextActionAt.IsZero() || now.Before(u.nextActionAt) {
 		return
 	}
 	switch u.phase {
-	case joining, held, ejected:
+	case joining, degraded, ejected:
 		u.sendProbe(now)
-	case returning:
-		u.speedUp(now)
-	case inUse, departing, removed:
+	case recovering:
+		u.advanceSlowStart(now)
+	case active, leaving, removed:
 	}
 }
 
@@ -231,9 +237,9 @@
 		return
 	}
 	u.weight = weight
-	u.add(SetWeight{Weight: weight})
+	u.emit(SetWeight{Weight: weight})
 }
 
-func (u *Upstream) add(e Effect) {
+func (u *Upstream) emit(e Effect) {
 	u.effects = append(u.effects, e)
 }
