--- a/node/peer/bench_test.go
+++ b/node/peer/bench_test.go
@@ -13,22 +13,22 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// digestPeriod is the period of the figures in docs/design/peers.md.
+// digestPeriod is the period that the figures in docs/design/peers.md refer to.
 const digestPeriod = 200 * time.Millisecond
 
-// benchHandler counts the digests that arrive.
+// benchHandler counts received digests.
 type benchHandler struct {
 	NopHandler
-	got chan struct{}
-	up  chan Info
+	received chan struct{}
+	up       chan Info
 }
 
 func (h benchHandler) PeerUp(info Info)              { h.up <- info }
-func (h benchHandler) Digest(string, *peerpb.Digest) { h.got <- struct{}{} }
+func (h benchHandler) Digest(string, *peerpb.Digest) { h.received <- struct{}{} }
 
-// BenchmarkDigests sends one digest to all peers an iteration, and gives the
-// bytes and the processor time of one peer's digests at one digest period. The
-// processor time is that of both ends together.
+// BenchmarkDigests sends one digest to all peers per iteration. It reports the
+// bytes and the processor time, of both ends together, of the digests of one
+// peer at one digest per period.
 func BenchmarkDigests(b *testing.B) {
 	for _, peers := range []int{2, 4, 8, 16} {
 		for _, workspaces := range []int{10, 100, 1000} {
@@ -40,8 +40,8 @@
 	}
 }
 
-// BenchmarkEncodeDigest gives the bytes of one digest on its stream, yamux
-// framing included, by number of pools and of workspaces listed in each.
+// BenchmarkEncodeDigest reports the size of one digest on its stream, including
+// yamux framing, by the number of pools and of workspaces listed in each.
 func BenchmarkEncodeDigest(b *testing.B) {
 	const muxHeaderBytes = 12
 	for _, pools := range []int{1, 4, 16} {
@@ -64,7 +64,7 @@
 }
 
 func benchmarkDigests(b *testing.B, count, workspaces, limit int) {
-	handler := benchHandler{got: make(chan struct{}, count), up: make(chan Info, 2*count)}
+	handler := benchHandler{received: make(chan struct{}, count), up: make(chan Info, 2*count)}
 	options := func(id string) Options {
 		return Options{
 			ID: id, Zone: "quito", Listen: "127.0.0.1:0", Key: testKey, Handler: handler,
@@ -93,7 +93,7 @@
 		_, err := sender.Broadcast(EncodeDigest(digest, "m1", 0))
 		require.NoError(b, err)
 		for range count {
-			<-handler.got
+			<-handler.received
 		}
 		rounds++
 	}
@@ -111,7 +111,7 @@
 	return sum
 }
 
-// cpuTime returns the processor time of this process.
+// cpuTime returns the processor time used by this process.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
--- a/node/peer/conn.go
+++ b/node/peer/conn.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// countedConn counts the bytes of one connection, framing included and TCP
-// headers not.
+// countedConn counts the bytes of one connection, including yamux framing but
+// not TCP headers.
 type countedConn struct {
 	net.Conn
 
--- a/node/peer/dial.go
+++ b/node/peer/dial.go
@@ -11,114 +11,119 @@
 	"go.uber.org/zap"
 )
 
-// Bounds of the wait before dialing again.
+// Delays of dialing and accepting.
 const (
-	minRedial = 50 * time.Millisecond
-	maxRedial = 5 * time.Second
-	// acceptPause is the wait after a failed accept, such as for want of file
-	// descriptors.
-	acceptPause = 50 * time.Millisecond
+	// minRedialDelay and maxRedialDelay bound the delay before dialing again.
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = 5 * time.Second
+	// acceptRetryDelay is the delay after a failed accept, for example when no
+	// file descriptors are available.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// errRefused says that a session lost against another one with the same peer,
-// or that there are too many.
-var errRefused = errors.New("session refused")
+// errSessionRejected means that another session with the same peer is preferred
+// or that there are too many sessions.
+var errSessionRejected = errors.New("session rejected")
 
-// acceptAll accepts connections until the listener is closed.
-func (n *Node) acceptAll(listener net.Listener) {
+// acceptLoop accepts connections until the listener is closed. It closes new
+// connections at once while MaxSessions handshakes are running.
+func (n *Node) acceptLoop(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			n.logger.Warn("accept peer connection", zap.Error(err))
-			if !wait(n.opening, acceptPause) {
+			n.logger.Warn("accepting a peer connection failed", zap.Error(err))
+			if !sleep(n.openCtx, acceptRetryDelay) {
 				return
 			}
 			continue
 		}
 		select {
 		case n.handshakes <- struct{}{}:
-			n.tasks.Go(func() { n.acceptOne(conn) })
+			n.tasks.Go(func() { n.acceptSession(conn) })
 		default:
 			_ = conn.Close()
 		}
 	}
 }
 
-func (n *Node) acceptOne(raw net.Conn) {
+// acceptSession authenticates an accepted connection and serves its session
+// until it ends.
+func (n *Node) acceptSession(raw net.Conn) {
 	counted := &countedConn{Conn: raw}
-	conn := n.secure(counted, false, "")
-	agreed, err := n.shake(n.opening, counted, conn, func(ctx context.Context) (agreement, error) {
+	conn := n.withTLS(counted, false, "")
+	result, err := n.runHandshake(n.openCtx, counted, conn, func(ctx context.Context) (handshakeResult, error) {
 		return newHandshake(&n.options, 0).accept(ctx, conn)
 	})
 	<-n.handshakes
 	if err != nil {
-		n.logger.Warn("peer connection refused", zap.Stringer("from", raw.RemoteAddr()), zap.Error(err))
+		n.logger.Warn("handshake with a peer failed", zap.Stringer("from", raw.RemoteAddr()), zap.Error(err))
 		return
 	}
-	_, _ = n.serve(conn, counted, agreed, false) // serve logs why it ended
+	_, _ = n.serve(conn, counted, result, false) // serve logs the reason for the end
 }
 
-// shake runs one handshake within the handshake timeout and closes the
+// runHandshake runs one handshake within the handshake timeout and closes the
 // connection if it fails.
-func (n *Node) shake(parent context.Context, raw, conn net.Conn, run func(context.Context) (agreement, error)) (agreement, error) {
+func (n *Node) runHandshake(parent context.Context, raw, conn net.Conn, run func(context.Context) (handshakeResult, error)) (handshakeResult, error) {
 	ctx, cancel := context.WithTimeout(parent, n.options.HandshakeTimeout)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
-	agreed, err := run(ctx)
+	result, err := run(ctx)
 	if !stop() && err == nil {
 		err = trace.Wrap(ctx.Err())
 	}
 	if err != nil {
 		_ = raw.Close()
 		_ = conn.Close()
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
-	return agreed, nil
+	return result, nil
 }
 
-// dialLoop keeps a session with r until ctx ends.
+// dialLoop keeps a session with r until ctx ends, with exponential backoff
+// between attempts.
 func (n *Node) dialLoop(ctx context.Context, r *remote) {
-	pause := minRedial
-	for n.waitUnconnected(ctx, r) {
-		if !wait(ctx, jitter(pause)) {
+	delay := minRedialDelay
+	for n.waitUntilDisconnected(ctx, r) {
+		if !sleep(ctx, jitter(delay)) {
 			return
 		}
-		if n.current(r.id) != nil {
+		if n.currentSession(r.id) != nil {
 			continue
 		}
-		established, err := n.dialOnce(ctx, r)
+		established, err := n.dialSession(ctx, r)
 		if established {
-			pause = minRedial
+			delay = minRedialDelay
 			continue
 		}
 		if ctx.Err() == nil {
-			n.logger.Debug("dial peer", zap.String("peer", r.id), zap.Error(err))
+			n.logger.Debug("dialing a peer failed", zap.String("peer", r.id), zap.Error(err))
 		}
-		pause = min(2*pause, maxRedial)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-// waitUnconnected returns true when there is no session with r, and false when
-// ctx has ended.
-func (n *Node) waitUnconnected(ctx context.Context, r *remote) bool {
-	for n.current(r.id) != nil {
+// waitUntilDisconnected returns true when there is no session with r, and false
+// if ctx ends first.
+func (n *Node) waitUntilDisconnected(ctx context.Context, r *remote) bool {
+	for n.currentSession(r.id) != nil {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-r.wake:
+		case <-r.disconnected:
 		}
 	}
 	return ctx.Err() == nil
 }
 
-// dialOnce opens one connection and serves its session until the end.
-func (n *Node) dialOnce(ctx context.Context, r *remote) (established bool, err error) {
+// dialSession opens one connection and serves its session until it ends.
+func (n *Node) dialSession(ctx context.Context, r *remote) (established bool, err error) {
 	n.mu.Lock()
 	address, previous := r.address, r.lastSession
-	r.ended.dials++
+	r.endedTotals.dials++
 	n.mu.Unlock()
 	dialer := net.Dialer{Timeout: n.options.HandshakeTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
@@ -126,27 +131,27 @@
 		return false, trace.ConnectionProblem(err, "dial")
 	}
 	counted := &countedConn{Conn: raw}
-	conn := n.secure(counted, true, address)
-	agreed, err := n.shake(ctx, counted, conn, func(ctx context.Context) (agreement, error) {
+	conn := n.withTLS(counted, true, address)
+	result, err := n.runHandshake(ctx, counted, conn, func(ctx context.Context) (handshakeResult, error) {
 		return newHandshake(&n.options, previous).dial(ctx, conn)
 	})
 	if err != nil {
 		return false, trace.Wrap(err)
 	}
-	if agreed.remoteID != r.id {
+	if result.remoteID != r.id {
 		_ = raw.Close()
-		return false, trace.NotFound("instance at %s is %q, not %q", address, agreed.remoteID, r.id)
+		return false, trace.NotFound("instance at %s has ID %q, want %q", address, result.remoteID, r.id)
 	}
-	return n.serve(conn, counted, agreed, true)
+	return n.serve(conn, counted, result, true)
 }
 
-// jitter returns a duration between half of d and d.
+// jitter returns a random duration from d/2 to d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2)
 }
 
-// wait pauses for d; it returns false as soon as ctx ends.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false as soon as ctx ends.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/node/peer/digest.go
+++ b/node/peer/digest.go
@@ -9,16 +9,16 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// Bounds of what is taken from one digest of a peer.
+// Limits of the lists decoded from one digest of a peer.
 const (
 	maxDigestPools      = 256
 	maxDigestRanks      = 16
 	maxDigestWorkspaces = 64
 )
 
-// EncodeDigest returns the message for a digest whose figures are age old. The
-// instance and its incarnation are left out when they are the sender's own: the
-// receiver knows them from the session.
+// EncodeDigest returns the message for a digest whose figures have the given
+// age. The instance and its process number are omitted if they are the sender's
+// own, as the receiver knows them from the session.
 func EncodeDigest(digest demand.Digest, sender string, age time.Duration) *peerpb.Digest {
 	message := &peerpb.Digest{
 		Sequence: digest.Sequence,
@@ -56,8 +56,8 @@
 	return message
 }
 
-// DecodeDigest returns the digest in a message that a Handler got, and the age
-// of its figures when it was sent. Lists that are too long are cut.
+// DecodeDigest returns the digest in a message passed to a Handler, and the age
+// that its figures had when it was sent. Lists that are too long are truncated.
 func DecodeDigest(message *peerpb.Digest) (digest demand.Digest, age time.Duration) {
 	digest = demand.Digest{
 		Instance:    message.GetInstance(),
@@ -65,7 +65,7 @@
 		Sequence:    message.GetSequence(),
 		Members:     int(message.GetMembers()),
 	}
-	for _, pool := range cut(message.GetPools(), maxDigestPools) {
+	for _, pool := range truncate(message.GetPools(), maxDigestPools) {
 		digest.Pools = append(digest.Pools, decodePool(pool))
 	}
 	return digest, time.Duration(message.GetAgeMs()) * time.Millisecond
@@ -73,7 +73,7 @@
 
 func decodePool(message *peerpb.PoolDemand) demand.PoolDemand {
 	pool := demand.PoolDemand{Pool: demand.Key(message.GetPool())}
-	for _, rank := range cut(message.GetRanks(), maxDigestRanks) {
+	for _, rank := range truncate(message.GetRanks(), maxDigestRanks) {
 		pool.Ranks = append(pool.Ranks, demand.RankDemand{
 			Queued:     int(rank.GetQueued()),
 			InFlight:   int(rank.GetInFlight()),
@@ -81,7 +81,7 @@
 			RestWeight: clampInt64(rank.GetRestWeight()),
 		})
 	}
-	for _, w := range cut(message.GetWorkspaces(), maxDigestWorkspaces) {
+	for _, w := range truncate(message.GetWorkspaces(), maxDigestWorkspaces) {
 		pool.Workspaces = append(pool.Workspaces, demand.WorkspaceDemand{
 			Workspace: demand.Key(w.GetWorkspace()),
 			Rank:      int(w.GetRank()),
@@ -92,8 +92,8 @@
 	return pool
 }
 
-// Member returns the state of a peer as membership knows it. It is false for a
-// state that this version does not know.
+// Member returns the peer's state as an event of core/membership. It returns
+// false for a state that this version does not know.
 func (i Info) Member() (membership.Heard, bool) {
 	states := map[peerpb.InstanceState]membership.State{
 		peerpb.InstanceState_INSTANCE_STATE_JOINING: membership.Joining,
@@ -104,7 +104,7 @@
 	return membership.Heard{ID: i.ID, Incarnation: i.Incarnation, Zone: i.Zone, State: state}, ok
 }
 
-func cut[T any](list []T, limit int) []T { return list[:min(limit, len(list))] }
+func truncate[T any](list []T, limit int) []T { return list[:min(limit, len(list))] }
 
 func clampUint32(n int64) uint32 { return uint32(min(max(n, 0), math.MaxUint32)) }
 
--- a/node/peer/digest_test.go
+++ b/node/peer/digest_test.go
@@ -30,7 +30,7 @@
 	}}
 }
 
-func TestDigestSurvivesItsMessage(t *testing.T) {
+func TestDigestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		digest := digestOf(rapid.IntRange(1, 100).Draw(t, "workspaces"), rapid.IntRange(1, 32).Draw(t, "limit"))
 		digest.Sequence = rapid.Uint64().Draw(t, "sequence")
@@ -41,8 +41,8 @@
 		require.NoError(t, err)
 		received := &peerpb.Digest{}
 		require.NoError(t, proto.Unmarshal(data, received))
-		receiving := &session{agreement: agreement{remoteID: sender, incarnation: digest.Incarnation}}
-		got, age := DecodeDigest(receiving.fillIn(received))
+		receiving := &session{handshakeResult: handshakeResult{remoteID: sender, process: digest.Incarnation}}
+		got, age := DecodeDigest(receiving.setDigestOrigin(received))
 		require.Equal(t, digest, got)
 		require.Equal(t, 150*time.Millisecond, age)
 	})
@@ -50,12 +50,12 @@
 		Workspaces: make([]*peerpb.WorkspaceDemand, 10*maxDigestWorkspaces),
 		Ranks:      make([]*peerpb.RankDemand, 10*maxDigestRanks),
 	}}}
-	cutDown, _ := DecodeDigest(long)
-	require.Len(t, cutDown.Pools[0].Workspaces, maxDigestWorkspaces)
-	require.Len(t, cutDown.Pools[0].Ranks, maxDigestRanks)
+	truncated, _ := DecodeDigest(long)
+	require.Len(t, truncated.Pools[0].Workspaces, maxDigestWorkspaces)
+	require.Len(t, truncated.Pools[0].Ranks, maxDigestRanks)
 }
 
-func TestInfoGivesMember(t *testing.T) {
+func TestInfoMember(t *testing.T) {
 	info := Info{ID: "m2", Incarnation: 4, Zone: "quito", State: peerpb.InstanceState_INSTANCE_STATE_LEAVING}
 	heard, ok := info.Member()
 	require.True(t, ok)
@@ -64,8 +64,9 @@
 	require.False(t, ok)
 }
 
-// Nine instances know of each other from the list at once; every pair ends up
-// with one session, and a message of any reaches all.
+// TestNineNodesFormFullMesh starts nine instances that learn of each other at
+// the same time. Every pair must end up with one session, and a broadcast must
+// reach all peers.
 func TestNineNodesFormFullMesh(t *testing.T) {
 	const count = 9
 	nodes := make([]*Node, count)
@@ -80,7 +81,7 @@
 	}
 	require.Eventually(t, func() bool {
 		for _, node := range nodes {
-			if !meshed(node, count-1) {
+			if !fullyConnected(node, count-1) {
 				return false
 			}
 		}
@@ -96,7 +97,7 @@
 	}
 }
 
-func meshed(node *Node, peers int) bool {
+func fullyConnected(node *Node, peers int) bool {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	connected := 0
--- a/node/peer/endless_test.go
+++ b/node/peer/endless_test.go
@@ -13,8 +13,9 @@
 	"masticbank.example/node/bounded/boundedtest"
 )
 
-// TestHandshakesWithoutEndAreGivenUp has no deadline: only a bound ends the handshake.
-func TestHandshakesWithoutEndAreGivenUp(t *testing.T) {
+// TestEndlessHandshakeIsAborted checks that a handshake ends after a bounded
+// number of bytes if the remote end sends without end. It sets no deadline.
+func TestEndlessHandshakeIsAborted(t *testing.T) {
 	for name, filler := range map[string]string{"zeros": "\x00", "ones": "\xff", "text": "a"} {
 		t.Run(name, func(t *testing.T) {
 			s := boundedtest.Start(t, [2]string{"", filler})
@@ -28,8 +29,9 @@
 	}
 }
 
-// TestMessagesWithoutEndAreGivenUp sends lengths and messages that do not end.
-func TestMessagesWithoutEndAreGivenUp(t *testing.T) {
+// TestEndlessMessageIsAborted checks that receiving fails on a length prefix or
+// a message that does not end.
+func TestEndlessMessageIsAborted(t *testing.T) {
 	for name, text := range map[string][]byte{
 		"length":  bytes.Repeat([]byte{0xff}, 64),
 		"message": append([]byte{0xff, 0xff, 0xff, 0xff, 0x7f}, make([]byte, 1<<20)...),
--- a/node/peer/evidence.go
+++ b/node/peer/evidence.go
@@ -7,7 +7,8 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// EncodeEvidence makes the message of evidence on requests that crash upstreams.
+// EncodeEvidence returns the message for evidence on requests that crash
+// upstreams.
 func EncodeEvidence(s poison.State, now time.Time) *peerpb.CrashEvidence {
 	out := &peerpb.CrashEvidence{}
 	for _, c := range s.Crashes {
@@ -18,18 +19,20 @@
 			Upstream:    c.Replica.Replica,
 			Born:        c.Replica.Born,
 			Progressed:  c.Progressed,
-			AgeMs:       age(now, c.At),
+			AgeMs:       ageMillis(now, c.At),
 		})
 	}
 	for _, c := range s.Clears {
-		out.Cleared = append(out.Cleared, &peerpb.ClearedRequest{Fingerprint: c.Fingerprint[:], AgeMs: age(now, c.At)})
+		out.Cleared = append(out.Cleared, &peerpb.ClearedRequest{Fingerprint: c.Fingerprint[:], AgeMs: ageMillis(now, c.At)})
 	}
 	return out
 }
 
-func age(now, at time.Time) uint32 { return uint32(max(0, now.Sub(at).Milliseconds())) }
+// ageMillis returns the time from at to now in milliseconds, at least 0.
+func ageMillis(now, at time.Time) uint32 { return uint32(max(0, now.Sub(at).Milliseconds())) }
 
-// DecodeEvidence leaves out what has no whole fingerprint.
+// DecodeEvidence returns the evidence in a message. Entries with an incomplete
+// fingerprint are skipped.
 func DecodeEvidence(m *peerpb.CrashEvidence, now time.Time) poison.State {
 	var s poison.State
 	for _, c := range m.GetCrashes() {
--- a/node/peer/evidence_test.go
+++ b/node/peer/evidence_test.go
@@ -11,11 +11,14 @@
 	"masticbank.example/core/poison"
 )
 
-// maxEvidenceBytes is what one instance may send to another at a time: with 90 instances
-// and one message a second to each, 2.9 MB.
+// maxEvidenceBytes limits the evidence that one instance sends to another at a
+// time: 2.9 MB/s with 90 instances and one message per second to each.
 const maxEvidenceBytes = 32 << 10
 
-func TestEvidenceIsBoundedAndComesBackWhole(t *testing.T) {
+// TestEvidenceIsBoundedAndRoundTrips checks that evidence of four times as many
+// requests as are kept stays below maxEvidenceBytes and is decoded without
+// loss.
+func TestEvidenceIsBoundedAndRoundTrips(t *testing.T) {
 	now := time.Now()
 	l := poison.NewLedger(time.Hour)
 	for i := range 4 * poison.MaxState {
--- a/node/peer/handler.go
+++ b/node/peer/handler.go
@@ -2,61 +2,66 @@
 
 import "masticbank.example/node/peer/peerpb"
 
-// Info describes the instance at the other end of a session.
+// Info describes the remote instance of a session.
 type Info struct {
 	ID          string
 	Incarnation uint64
 	Zone        string
-	// Version is the negotiated version of the protocol.
+	// Version is the negotiated protocol version.
 	Version uint32
 	State   peerpb.InstanceState
-	// Revision is the configuration revision that the peer has in force, 0
-	// when it has none.
+	// Revision is the configuration revision in force at the peer, or 0 if it
+	// has none.
 	Revision uint64
 }
 
-// Handler receives events and messages. Calls for one session come one at a
-// time and in order; calls for different peers run concurrently, so a Handler
-// is safe for concurrent use. A call must return soon: it holds up the reading
-// from that peer. Messages are not to be changed.
+// Handler receives events and messages. Calls for one session are sequential
+// and in order. Calls for different peers are concurrent, so a Handler must be
+// safe for concurrent use. A call must return quickly, as it blocks reading
+// from that peer. Messages must not be modified.
 type Handler interface {
-	// PeerUp is called when a session is established, also when it replaces
+	// PeerUp is called when a session is established, even if it replaces
 	// another session with the same peer.
 	PeerUp(info Info)
 	// PeerDown is called when the last session with a peer has ended.
 	PeerDown(info Info)
-	// Heard is called for every message, the first one included: the peer is
-	// alive in this state.
+	// Heard is called for every message received, including the first one. It
+	// shows that the peer is alive and reports its state.
 	Heard(info Info)
-	// Digest is called for a digest of demand.
+	// Digest is called for a demand digest.
 	Digest(from string, digest *peerpb.Digest)
-	// ConfigState is called for a configuration of the peer, which may be
-	// older or newer than the one in force here.
+	// ConfigState is called for a configuration received from the peer. It may
+	// be older or newer than the one in force here.
 	ConfigState(from string, state *peerpb.ConfigState)
-	// Poison is called for the fingerprint of a harmful request.
+	// Poison is called for the fingerprint of a request that crashes upstreams.
 	Poison(from string, poison *peerpb.Poison)
-	// Suspicion is called when the peer got no answer from an upstream.
+	// Suspicion is called when the peer got no response from an upstream.
 	Suspicion(from string, suspicion *peerpb.Suspicion)
 	// Rejection is called when an upstream rejected a request of the peer.
 	Rejection(from string, rejection *peerpb.Rejection)
-	// Leaving is called when an upstream is to get no new work.
+	// Leaving is called when an upstream must get no new work.
 	Leaving(from string, leaving *peerpb.Leaving)
-	// Departures is called for processes of upstreams that leave by their own word.
+	// Departures is called for upstream processes that reported themselves that
+	// they are leaving.
 	Departures(from string, departures *peerpb.Departures)
-	// UpstreamLoads is called for the peer's work on all upstreams.
+	// UpstreamLoads is called for the peer's load on all upstreams.
 	UpstreamLoads(from string, loads *peerpb.UpstreamLoads)
-	// ZoneLoads is called for the sum of the loads of a zone, or of all others.
+	// ZoneLoads is called for the sum of the loads of one zone, or of all other
+	// zones.
 	ZoneLoads(from string, loads *peerpb.ZoneLoads)
-	// UpstreamStates is called for what the peer has read from upstreams.
+	// UpstreamStates is called for the states that the peer has read from
+	// upstreams.
 	UpstreamStates(from string, states *peerpb.UpstreamStates)
-	// UpstreamChanges is called for what the peer read in the platform's list.
+	// UpstreamChanges is called for changes that the peer has read from the
+	// platform's list of upstreams.
 	UpstreamChanges(from string, changes *peerpb.UpstreamChanges)
-	// CrashEvidence is called when the peer tells of requests under which upstreams
-	// ended.
+	// CrashEvidence is called for the peer's records of requests during which
+	// upstreams ended.
 	CrashEvidence(from string, evidence *peerpb.CrashEvidence)
 }
 
-// NopHandler ignores everything. Embed it to implement some methods only.
+// NopHandler ignores all events and messages. Embed it to implement only some
+// methods.
 type NopHandler struct{}
 
 var _ Handler = NopHandler{}
--- a/node/peer/handshake.go
+++ b/node/peer/handshake.go
@@ -19,15 +19,17 @@
 
 const (
 	nonceBytes = 32
-	// maxPreambleBytes bounds what a stranger can make an instance read.
+	// maxPreambleBytes limits how much an unauthenticated peer can make an
+	// instance read.
 	maxPreambleBytes = 512
-	// exporterLabel binds the proofs to the TLS connection that carries them.
+	// exporterLabel is the label of the TLS keying material that binds the
+	// proofs to their TLS connection.
 	exporterLabel = "EXPORTER-masticbank-peer"
 	exporterBytes = 32
 )
 
-// role is the side of a connection. It enters the proofs, so that the proof of
-// one side can't be sent back as the proof of the other.
+// role is the side of a connection. The proofs include it, so that the proof of
+// one side cannot be sent back as that of the other.
 type role string
 
 const (
@@ -37,26 +39,27 @@
 
 // handshake authenticates one connection by challenge and response in both
 // directions: each side sends a preamble with a new nonce, then an HMAC-SHA256
-// with the shared key over its role and both preambles. The dialer proves
-// itself first, so that a stranger gets no proof.
+// with the shared key over its role, both preambles and the TLS channel
+// binding, if any. The dialer sends its proof first, so that an unauthenticated
+// dialer gets no proof.
 type handshake struct {
 	key    []byte
 	local  *peerpb.Preamble
 	remote *peerpb.Preamble
 
-	dialerBytes   []byte
-	acceptorBytes []byte
-	binding       []byte
+	dialerBytes    []byte
+	acceptorBytes  []byte
+	channelBinding []byte
 }
 
-// agreement is the result of a handshake.
-type agreement struct {
-	remoteID    string
-	incarnation uint64
-	version     uint32
-	// id names the session alike on both sides; it is never 0.
+// handshakeResult is the outcome of a successful handshake.
+type handshakeResult struct {
+	remoteID string
+	process  uint64
+	version  uint32
+	// id identifies the session; it is equal on both sides and never 0.
 	id uint64
-	// previous is the session that the remote side has given up, or 0.
+	// previous is the last session that the remote side has closed, or 0.
 	previous uint64
 }
 
@@ -73,48 +76,50 @@
 	}}
 }
 
-// dial runs the handshake of the side that opened conn.
-func (h *handshake) dial(ctx context.Context, conn net.Conn) (agreement, error) {
+// dial runs the handshake on the side that opened conn.
+func (h *handshake) dial(ctx context.Context, conn net.Conn) (handshakeResult, error) {
 	if err := h.prepare(ctx, conn); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
 	var err error
 	if h.dialerBytes, err = h.writePreamble(conn); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
 	if h.acceptorBytes, err = h.readPreamble(conn); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
 	if _, err := conn.Write(h.proof(roleDialer)); err != nil {
-		return agreement{}, trace.ConnectionProblem(err, "write proof")
+		return handshakeResult{}, trace.ConnectionProblem(err, "write proof")
 	}
 	if err := h.verify(conn, roleAcceptor); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
-	return h.finish(conn)
+	return h.complete(conn)
 }
 
-// accept runs the handshake of the side that accepted conn.
-func (h *handshake) accept(ctx context.Context, conn net.Conn) (agreement, error) {
+// accept runs the handshake on the side that accepted conn.
+func (h *handshake) accept(ctx context.Context, conn net.Conn) (handshakeResult, error) {
 	if err := h.prepare(ctx, conn); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
 	var err error
 	if h.dialerBytes, err = h.readPreamble(conn); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
 	if h.acceptorBytes, err = h.writePreamble(conn); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
 	if err := h.verify(conn, roleDialer); err != nil {
-		return agreement{}, trace.Wrap(err)
+		return handshakeResult{}, trace.Wrap(err)
 	}
 	if _, err := conn.Write(h.proof(roleAcceptor)); err != nil {
-		return agreement{}, trace.ConnectionProblem(err, "write proof")
+		return handshakeResult{}, trace.ConnectionProblem(err, "write proof")
 	}
-	return h.finish(conn)
+	return h.complete(conn)
 }
 
+// prepare applies the deadline of ctx to conn and, for TLS, runs the TLS
+// handshake and derives the channel binding.
 func (h *handshake) prepare(ctx context.Context, conn net.Conn) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
@@ -130,7 +135,7 @@
 	}
 	state := tlsConn.ConnectionState()
 	var err error
-	h.binding, err = state.ExportKeyingMaterial(exporterLabel, nil, exporterBytes)
+	h.channelBinding, err = state.ExportKeyingMaterial(exporterLabel, nil, exporterBytes)
 	return trace.Wrap(err)
 }
 
@@ -153,7 +158,7 @@
 	}
 	size := int(binary.BigEndian.Uint16(header[:]))
 	if size > maxPreambleBytes {
-		return nil, trace.LimitExceeded("preamble of %d bytes", size)
+		return nil, trace.LimitExceeded("preamble of %d bytes is too long", size)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -161,17 +166,18 @@
 	}
 	h.remote = &peerpb.Preamble{}
 	if err := proto.Unmarshal(body, h.remote); err != nil {
-		return nil, trace.BadParameter("preamble: %v", err)
+		return nil, trace.BadParameter("invalid preamble: %v", err)
 	}
 	if len(h.remote.GetNonce()) != nonceBytes {
-		return nil, trace.BadParameter("preamble: nonce of %d bytes", len(h.remote.GetNonce()))
+		return nil, trace.BadParameter("invalid preamble: nonce of %d bytes", len(h.remote.GetNonce()))
 	}
 	return body, trace.Wrap(checkID(h.remote.GetInstance()))
 }
 
+// proof returns the HMAC that the given side must send.
 func (h *handshake) proof(sender role) []byte {
 	mac := hmac.New(sha256.New, h.key)
-	for _, part := range [][]byte{[]byte(sender), h.dialerBytes, h.acceptorBytes, h.binding} {
+	for _, part := range [][]byte{[]byte(sender), h.dialerBytes, h.acceptorBytes, h.channelBinding} {
 		_ = binary.Write(mac, binary.BigEndian, uint32(len(part)))
 		_, _ = mac.Write(part)
 	}
@@ -184,29 +190,31 @@
 		return trace.ConnectionProblem(err, "read proof")
 	}
 	if !hmac.Equal(got, h.proof(sender)) {
-		return trace.AccessDenied("peer %q at the other end has another key", h.remote.GetInstance())
+		return trace.AccessDenied("peer %q has a different shared key", h.remote.GetInstance())
 	}
 	return nil
 }
 
-func (h *handshake) finish(conn net.Conn) (agreement, error) {
+// complete negotiates the protocol version and returns the result of the
+// handshake.
+func (h *handshake) complete(conn net.Conn) (handshakeResult, error) {
 	version := min(maxVersion, h.remote.GetMaxVersion())
 	if version < max(minVersion, h.remote.GetMinVersion()) {
-		return agreement{}, trace.NotImplemented("peer %q speaks versions %d to %d, this instance %d to %d",
+		return handshakeResult{}, trace.NotImplemented("peer %q supports protocol versions %d to %d, this instance %d to %d",
 			h.remote.GetInstance(), h.remote.GetMinVersion(), h.remote.GetMaxVersion(), minVersion, maxVersion)
 	}
 	if h.remote.GetInstance() == h.local.GetInstance() {
-		return agreement{}, trace.BadParameter("the other end has this instance's ID %q", h.local.GetInstance())
+		return handshakeResult{}, trace.BadParameter("peer has the same ID %q as this instance", h.local.GetInstance())
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
-		return agreement{}, trace.ConnectionProblem(err, "clear deadline")
-	}
-	return agreement{
-		remoteID:    h.remote.GetInstance(),
-		incarnation: h.remote.GetIncarnation(),
-		version:     version,
-		id:          h.sessionID(),
-		previous:    h.remote.GetPreviousSession(),
+		return handshakeResult{}, trace.ConnectionProblem(err, "clear deadline")
+	}
+	return handshakeResult{
+		remoteID: h.remote.GetInstance(),
+		process:  h.remote.GetIncarnation(),
+		version:  version,
+		id:       h.sessionID(),
+		previous: h.remote.GetPreviousSession(),
 	}, nil
 }
 
--- a/node/peer/handshake_test.go
+++ b/node/peer/handshake_test.go
@@ -20,8 +20,8 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-type shakeResult struct {
-	agreed agreement
+type handshakeOutcome struct {
+	result handshakeResult
 	err    error
 }
 
@@ -29,22 +29,22 @@
 	return &Options{ID: id, Key: key, Incarnation: 1}
 }
 
-// shakeHands runs both sides over a pipe.
-func shakeHands(t *testing.T, dialer, acceptor *handshake) (atDialer, atAcceptor shakeResult) {
+// handshakeBothSides runs both sides of a handshake over a pipe.
+func handshakeBothSides(t *testing.T, dialer, acceptor *handshake) (atDialer, atAcceptor handshakeOutcome) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
-	accepted := make(chan shakeResult, 1)
+	accepted := make(chan handshakeOutcome, 1)
 	go func() {
 		agreed, err := acceptor.accept(ctx, far)
 		if err != nil {
 			_ = far.Close()
 		}
-		accepted <- shakeResult{agreed, err}
+		accepted <- handshakeOutcome{agreed, err}
 	}()
-	atDialer.agreed, atDialer.err = dialer.dial(ctx, near)
+	atDialer.result, atDialer.err = dialer.dial(ctx, near)
 	if atDialer.err != nil {
 		_ = near.Close()
 	}
@@ -55,17 +55,17 @@
 	dialer := newHandshake(optionsWith("a", testKey), 5)
 	dialer.local.MaxVersion = 9
 	acceptor := newHandshake(optionsWith("b", testKey), 0)
-	atDialer, atAcceptor := shakeHands(t, dialer, acceptor)
+	atDialer, atAcceptor := handshakeBothSides(t, dialer, acceptor)
 	require.NoError(t, atDialer.err)
 	require.NoError(t, atAcceptor.err)
-	require.Equal(t, "b", atDialer.agreed.remoteID)
-	require.Equal(t, "a", atAcceptor.agreed.remoteID)
-	require.Equal(t, uint32(maxVersion), atAcceptor.agreed.version)
-	require.Equal(t, atDialer.agreed.id, atAcceptor.agreed.id)
-	require.Equal(t, uint64(5), atAcceptor.agreed.previous)
+	require.Equal(t, "b", atDialer.result.remoteID)
+	require.Equal(t, "a", atAcceptor.result.remoteID)
+	require.Equal(t, uint32(maxVersion), atAcceptor.result.version)
+	require.Equal(t, atDialer.result.id, atAcceptor.result.id)
+	require.Equal(t, uint64(5), atAcceptor.result.previous)
 }
 
-func TestHandshakeRefusesStrangers(t *testing.T) {
+func TestHandshakeRejectsInvalidPeers(t *testing.T) {
 	wrongKey := []byte("0123456789abcdeg")
 	cases := map[string]struct {
 		dialer *Options
@@ -83,15 +83,16 @@
 			if test.change != nil {
 				test.change(dialer.local)
 			}
-			_, atAcceptor := shakeHands(t, dialer, newHandshake(optionsWith("b", testKey), 0))
+			_, atAcceptor := handshakeBothSides(t, dialer, newHandshake(optionsWith("b", testKey), 0))
 			require.Error(t, atAcceptor.err)
 		})
 	}
 }
 
-// A stranger without the key can send back what it gets, but its proof is that
+// TestHandshakeRejectsReflection checks that a peer without the key is not
+// authenticated by sending back what it receives: the proof it returns is that
 // of the other role.
-func TestHandshakeRefusesReflection(t *testing.T) {
+func TestHandshakeRejectsReflection(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	near, far := net.Pipe()
@@ -108,7 +109,7 @@
 	<-echoed
 }
 
-// reflect writes back in the background, as the pipe has no buffer.
+// reflect writes back in the background because the pipe has no buffer.
 type reflect struct{ conn net.Conn }
 
 func (r reflect) Write(p []byte) (int, error) {
@@ -117,10 +118,11 @@
 	return len(p), nil
 }
 
-// A recorded dialer can't be played again: the acceptor's nonce differs.
-func TestHandshakeRefusesReplay(t *testing.T) {
+// TestHandshakeRejectsReplay checks that the recorded bytes of a dialer are not
+// valid for another connection, as the acceptor's nonce differs.
+func TestHandshakeRejectsReplay(t *testing.T) {
 	first := newHandshake(optionsWith("a", testKey), 0)
-	_, atAcceptor := shakeHands(t, first, newHandshake(optionsWith("b", testKey), 0))
+	_, atAcceptor := handshakeBothSides(t, first, newHandshake(optionsWith("b", testKey), 0))
 	require.NoError(t, atAcceptor.err)
 	recorded := first.proof(roleDialer)
 	acceptor := newHandshake(optionsWith("b", testKey), 0)
@@ -132,7 +134,7 @@
 	require.NotEqual(t, recorded, acceptor.proof(roleDialer))
 }
 
-func TestWrongKeyNeverBecomesSession(t *testing.T) {
+func TestWrongKeyOpensNoSession(t *testing.T) {
 	a, atA := startNode(t, "a", nil)
 	b, _ := startNode(t, "b", func(o *Options) { o.Key = []byte("another key of 16 bytes") })
 	b.SetPeers([]Peer{peerOf(a)})
--- a/node/peer/node.go
+++ b/node/peer/node.go
@@ -14,7 +14,7 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// Peer is an instance to keep a session with.
+// Peer is an instance to maintain a session with.
 type Peer struct {
 	ID string
 	// Address is host:port.
@@ -22,19 +22,22 @@
 	Zone    string
 }
 
-// Node keeps the sessions of one instance. It is safe for concurrent use.
+// Node maintains the sessions of one instance with its peers. It is safe for
+// concurrent use.
 type Node struct {
 	options Options
 	logger  *zap.Logger
-	// handshakes bounds the connections that are not authenticated yet.
+	// handshakes is a semaphore that bounds the connections not authenticated
+	// yet.
 	handshakes chan struct{}
 
-	// opening ends when no more sessions are opened, ctx when all are cut.
-	opening     context.Context
-	stopOpening context.CancelFunc
-	ctx         context.Context
-	cancel      context.CancelFunc
-	tasks       sync.WaitGroup
+	// openCtx ends when no more sessions may be opened, ctx when all are closed
+	// at once.
+	openCtx    context.Context
+	cancelOpen context.CancelFunc
+	ctx        context.Context
+	cancel     context.CancelFunc
+	tasks      sync.WaitGroup
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -45,7 +48,7 @@
 	closed   bool
 }
 
-// New checks options and returns a node that does nothing until Start.
+// New validates options and returns a node that is inactive until Start.
 func New(options Options) (*Node, error) {
 	options.setDefaults()
 	if err := options.check(); err != nil {
@@ -54,19 +57,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	opening, stopOpening := context.WithCancel(ctx)
 	return &Node{
-		options:     options,
-		logger:      options.Logger,
-		handshakes:  make(chan struct{}, options.MaxSessions),
-		opening:     opening,
-		stopOpening: stopOpening,
-		ctx:         ctx,
-		cancel:      cancel,
-		remotes:     map[string]*remote{},
-		state:       peerpb.InstanceState_INSTANCE_STATE_JOINING,
+		options:    options,
+		logger:     options.Logger,
+		handshakes: make(chan struct{}, options.MaxSessions),
+		openCtx:    opening,
+		cancelOpen: stopOpening,
+		ctx:        ctx,
+		cancel:     cancel,
+		remotes:    map[string]*remote{},
+		state:      peerpb.InstanceState_INSTANCE_STATE_JOINING,
 	}, nil
 }
 
-// Start listens for peers. Dialing starts with SetPeers.
+// Start starts listening for peers. Dialing starts with SetPeers.
 func (n *Node) Start() error {
 	listener, err := net.Listen("tcp", n.options.Listen)
 	if err != nil {
@@ -76,14 +79,14 @@
 	defer n.mu.Unlock()
 	if n.closed || n.listener != nil {
 		_ = listener.Close()
-		return trace.BadParameter("peer: node was started before")
+		return trace.BadParameter("peer: node was already started or closed")
 	}
 	n.listener = listener
-	n.tasks.Go(func() { n.acceptAll(listener) })
+	n.tasks.Go(func() { n.acceptLoop(listener) })
 	return nil
 }
 
-// Addr returns the address that the node listens on, nil before Start.
+// Addr returns the listen address, or nil before Start.
 func (n *Node) Addr() net.Addr {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,8 +96,9 @@
 	return n.listener.Addr()
 }
 
-// SetPeers replaces the set of instances to keep sessions with. Sessions that
-// were dialed to others are closed; those that others dialed remain.
+// SetPeers replaces the set of instances to maintain sessions with. Sessions
+// that this node dialed to other instances are closed; those that others dialed
+// remain.
 func (n *Node) SetPeers(peers []Peer) {
 	n.mu.Lock()
 	wanted := make(map[string]Peer, len(peers))
@@ -108,31 +112,31 @@
 		if _, ok := wanted[id]; ok {
 			continue
 		}
-		if s := n.unwant(r); s != nil {
+		if s := n.removePeer(r); s != nil {
 			ended = append(ended, s)
 		}
 	}
 	if !n.closed {
 		for _, p := range wanted {
-			n.want(p)
+			n.addPeer(p)
 		}
 	}
 	n.mu.Unlock()
 	closeAll(ended)
 }
 
-// SetState sets the state that peers are told, and tells them.
+// SetState sets the state of this instance and sends it to all peers.
 func (n *Node) SetState(state peerpb.InstanceState) {
 	n.mu.Lock()
 	n.state = state
 	n.mu.Unlock()
-	n.broadcast(n.heartbeat())
+	n.broadcast(n.newHeartbeat())
 }
 
-// SetConfigState sets the configuration that is in force here and announces its
-// revision to all peers, which ask for the content if they need it. The present
-// revision with a higher offset replaces the state without an announcement; a
-// lower revision or offset changes nothing.
+// SetConfigState sets the configuration in force here and announces its
+// revision to all peers, which request the content if they need it. The same
+// revision with a higher offset replaces the state without an announcement. A
+// lower revision, or a lower offset of the same revision, changes nothing.
 func (n *Node) SetConfigState(state *peerpb.ConfigState) {
 	n.mu.Lock()
 	higher := state.GetRevision() > n.config.GetRevision()
@@ -143,7 +147,7 @@
 	}
 	n.mu.Unlock()
 	if higher {
-		n.broadcast(n.heartbeat())
+		n.broadcast(n.newHeartbeat())
 	}
 }
 
@@ -155,23 +159,23 @@
 }
 
 // Broadcast queues message, such as *peerpb.Digest or *peerpb.Poison, for every
-// peer with a session and returns their number. It never blocks.
+// peer with a session and returns the number of peers. It never blocks.
 func (n *Node) Broadcast(message proto.Message) (int, error) {
-	envelope, err := n.wrap(message)
+	envelope, err := n.newEnvelope(message)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
 	return n.broadcast(envelope), nil
 }
 
-// Send queues message for the peer id. It never blocks; the error is NotFound
-// when there is no session.
+// Send queues message for the peer with the given ID. It never blocks. The
+// error is NotFound if there is no session.
 func (n *Node) Send(id string, message proto.Message) error {
-	envelope, err := n.wrap(message)
+	envelope, err := n.newEnvelope(message)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s := n.current(id)
+	s := n.currentSession(id)
 	if s == nil {
 		return trace.NotFound("no session with peer %q", id)
 	}
@@ -179,8 +183,9 @@
 	return nil
 }
 
-// Close refuses new sessions, sends what is queued and ends every session. When
-// ctx ends first, sessions are cut and the error is that of ctx.
+// Close stops opening sessions, sends the queued messages and ends every
+// session. If ctx ends first, sessions are closed at once and the error is that
+// of ctx.
 func (n *Node) Close(ctx context.Context) error {
 	n.mu.Lock()
 	n.closed = true
@@ -189,7 +194,7 @@
 	}
 	sessions := n.sessions()
 	n.mu.Unlock()
-	n.stopOpening()
+	n.cancelOpen()
 	for _, s := range sessions {
 		s.queue.close()
 	}
@@ -220,7 +225,8 @@
 	return len(sessions)
 }
 
-// sessions returns the sessions of all peers. The caller holds n.mu.
+// sessions returns the current sessions of all peers. The caller must hold
+// n.mu.
 func (n *Node) sessions() []*session {
 	var all []*session
 	for _, r := range n.remotes {
@@ -231,7 +237,8 @@
 	return all
 }
 
-func (n *Node) current(id string) *session {
+// currentSession returns the session with the given peer, or nil.
+func (n *Node) currentSession(id string) *session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r := n.remotes[id]; r != nil {
@@ -240,14 +247,16 @@
 	return nil
 }
 
-func (n *Node) heartbeat() *peerpb.Envelope {
+func (n *Node) newHeartbeat() *peerpb.Envelope {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	beat := &peerpb.Heartbeat{State: n.state, Revision: n.config.GetRevision()}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: beat}}
 }
 
-func (n *Node) wrap(message proto.Message) (*peerpb.Envelope, error) {
+// newEnvelope returns the envelope for a message. It fails for a message that
+// exceeds MaxMessageBytes or cannot be sent to peers.
+func (n *Node) newEnvelope(message proto.Message) (*peerpb.Envelope, error) {
 	envelope := &peerpb.Envelope{}
 	switch m := message.(type) {
 	case *peerpb.Digest:
@@ -277,10 +286,10 @@
 	case *peerpb.UpstreamChanges:
 		envelope.Body = &peerpb.Envelope_UpstreamChanges{UpstreamChanges: m}
 	default:
-		return nil, trace.BadParameter("peer: %T is not a message for peers", message)
+		return nil, trace.BadParameter("peer: a %T cannot be sent to peers", message)
 	}
 	if size := proto.Size(envelope); size > n.options.MaxMessageBytes {
-		return nil, trace.LimitExceeded("message of %d bytes exceeds %d", size, n.options.MaxMessageBytes)
+		return nil, trace.LimitExceeded("message of %d bytes exceeds the limit of %d bytes", size, n.options.MaxMessageBytes)
 	}
 	return envelope, nil
 }
@@ -291,7 +300,9 @@
 	}
 }
 
-func (n *Node) secure(conn net.Conn, dialed bool, address string) net.Conn {
+// withTLS returns a TLS connection over conn, or conn itself if TLS is not
+// configured.
+func (n *Node) withTLS(conn net.Conn, dialed bool, address string) net.Conn {
 	if n.options.TLS == nil {
 		return conn
 	}
--- a/node/peer/node_test.go
+++ b/node/peer/node_test.go
@@ -13,14 +13,14 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// testTimeout bounds every wait of the tests; it is reached only by failures.
+// testTimeout limits every wait in the tests; it is reached only on failure.
 const testTimeout = 20 * time.Second
 
 var testKey = []byte("0123456789abcdef")
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recorder passes events to channels; what nobody reads is dropped.
+// recorder forwards events to buffered channels.
 type recorder struct {
 	NopHandler
 	up, down chan Info
@@ -50,7 +50,7 @@
 	case value := <-from:
 		return value
 	case <-time.After(testTimeout):
-		require.FailNow(t, "nothing came")
+		require.FailNow(t, "timed out waiting for a value")
 		panic("not reached")
 	}
 }
@@ -131,10 +131,10 @@
 	require.Equal(t, uint64(4), a.config.GetRevision())
 	a.SetConfigState(&peerpb.ConfigState{Revision: 4, AsOfOffset: 99})
 	a.SetConfigState(&peerpb.ConfigState{Revision: 4, AsOfOffset: 98})
-	require.Equal(t, uint64(99), a.config.GetAsOfOffset(), "the log moved on within the revision")
+	require.Equal(t, uint64(99), a.config.GetAsOfOffset(), "a higher offset of the same revision must be applied")
 }
 
-func TestRestartedPeerTakesPlaceOfFormerIncarnation(t *testing.T) {
+func TestRestartedPeerReplacesPreviousProcess(t *testing.T) {
 	a, atA := startNode(t, "a", nil)
 	b1, _ := startNode(t, "b", func(o *Options) { o.Incarnation = 1 })
 	b1.SetPeers([]Peer{peerOf(a)})
@@ -152,15 +152,15 @@
 	b.SetPeers([]Peer{peerOf(a)})
 	receive(t, atB.up)
 	large := &peerpb.Poison{Fingerprint: make([]byte, limit)}
-	require.Error(t, b.Send("a", large), "the sender's own limit")
+	require.Error(t, b.Send("a", large), "the sender enforces its own limit")
 	require.Eventually(t, func() bool { return a.Send("b", large) == nil }, testTimeout, time.Millisecond)
 	require.Equal(t, "a", receive(t, atB.down).ID)
 	require.Equal(t, "a", receive(t, atB.up).ID)
 	require.Empty(t, atB.messages)
 }
 
-// proxy forwards TCP connections to a target. freeze makes it hold back all
-// bytes of the connections that are open at that moment, without closing them.
+// proxy forwards TCP connections to a target. freeze makes it discard all
+// further bytes of the connections open at that moment without closing them.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -234,7 +234,7 @@
 	p.frozen <- make(chan struct{})
 }
 
-func TestSilentSessionIsReplaced(t *testing.T) {
+func TestUnresponsiveSessionIsReplaced(t *testing.T) {
 	quick := func(o *Options) { o.SilenceTimeout = 200 * time.Millisecond }
 	a, atA := startNode(t, "a", quick)
 	b, atB := startNode(t, "b", quick)
@@ -275,22 +275,22 @@
 	return atA.session.id == atB.session.id
 }
 
-// Both ends keep the same session, whichever of two connections each of them
-// registers first.
-func TestTieBreakIsTheSameAtBothEnds(t *testing.T) {
+// TestBothEndsKeepTheSameSession checks that both ends keep the same session,
+// whichever of two concurrent connections each of them registers first.
+func TestBothEndsKeepTheSameSession(t *testing.T) {
 	newPair := func() (a, b *Node) {
 		var err error
 		a, err = New(Options{ID: "a", Listen: "127.0.0.1:0", Key: testKey})
 		require.NoError(t, err)
 		b, err = New(Options{ID: "b", Listen: "127.0.0.1:0", Key: testKey})
 		require.NoError(t, err)
-		a.remoteFor("b").wanted = true
-		b.remoteFor("a").wanted = true
+		a.findOrAddRemote("b").wanted = true
+		b.findOrAddRemote("a").wanted = true
 		return a, b
 	}
 	end := func(remote string, dialed bool, id, previous uint64) *session {
-		agreed := agreement{remoteID: remote, incarnation: 1, id: id, previous: previous}
-		return &session{agreement: agreed, dialed: dialed, queue: newQueue()}
+		agreed := handshakeResult{remoteID: remote, process: 1, id: id, previous: previous}
+		return &session{handshakeResult: agreed, dialed: dialed, queue: newQueue()}
 	}
 	const byA, byB = 11, 22
 	for _, firstAtA := range []uint64{byA, byB} {
@@ -302,15 +302,15 @@
 			for _, id := range []uint64{firstAtB, byA + byB - firstAtB} {
 				_, _, _ = b.register(end("a", id == byB, id, 0))
 			}
-			require.Equal(t, uint64(byA), a.current("b").id)
-			require.Equal(t, uint64(byA), b.current("a").id)
+			require.Equal(t, uint64(byA), a.currentSession("b").id)
+			require.Equal(t, uint64(byA), b.currentSession("a").id)
 		}
 	}
 
 	a, _ := newPair()
 	_, _, _ = a.register(end("b", true, byA, 0))
 	_, _, ok := a.register(end("b", false, byB, byA))
-	require.True(t, ok, "the peer has given up the present session")
+	require.True(t, ok, "the peer has closed the current session")
 	_, _, ok = a.register(end("c", true, 33, 0))
-	require.False(t, ok, "dialed to an instance that is no longer wanted")
+	require.False(t, ok, "dialed to an instance that is not in the set of peers")
 }
--- a/node/peer/options.go
+++ b/node/peer/options.go
@@ -1,7 +1,7 @@
-// Package peer carries small messages between the instances of the router: TCP
-// connections authenticated by a shared key, one yamux session for each pair of
-// instances, and length-bounded protobuf messages. Any message may be lost;
-// nothing that must hold depends on one.
+// Package peer carries small messages between the instances of the router. It
+// uses TCP connections authenticated by a shared key, one yamux session per
+// pair of instances, and protobuf messages of limited size. Any message may be
+// lost, so correctness must not depend on delivery.
 package peer
 
 import (
@@ -12,57 +12,61 @@
 	"go.uber.org/zap"
 )
 
-// Versions of the protocol that this package speaks.
+// Protocol versions supported by this package.
 const (
 	minVersion = 1
 	maxVersion = 1
 )
 
-// Defaults and bounds of Options.
+// Defaults and limits of Options.
 const (
 	DefaultHeartbeatInterval = 500 * time.Millisecond
 	DefaultSilenceTimeout    = 2 * time.Second
 	DefaultHandshakeTimeout  = 2 * time.Second
 	DefaultMaxMessageBytes   = 4 << 20
 	DefaultMaxSessions       = 128
-	// MinKeyBytes is the shortest shared key that New accepts.
+	// MinKeyBytes is the minimum length of the shared key.
 	MinKeyBytes = 16
 	maxIDBytes  = 128
 )
 
 // Options are the settings of a Node.
 type Options struct {
-	// ID names this instance; peers know it by this name.
+	// ID identifies this instance to its peers.
 	ID string
-	// Incarnation must be higher after each start of the instance; 0 means the
-	// wall clock in nanoseconds at New.
+	// Incarnation identifies the process of this instance and must be higher
+	// after each start; 0 means the Unix time in nanoseconds at New.
 	Incarnation uint64
 	Zone        string
-	// Listen is the TCP address, host:port, for peers.
+	// Listen is the TCP address, host:port, for connections from peers.
 	Listen string
-	// Key is the secret that all instances share, MinKeyBytes or longer.
+	// Key is the secret shared by all instances, at least MinKeyBytes long.
 	Key []byte
-	// TLS, if set, encrypts every connection. It is used for both directions
-	// and so needs certificates, RootCAs and, for mutual TLS, ClientCAs. An
+	// TLS, if set, encrypts every connection. It is used in both directions and
+	// therefore needs certificates, RootCAs and, for mutual TLS, ClientCAs. An
 	// empty ServerName is replaced by the host of the dialed address.
 	TLS    *tls.Config
 	Logger *zap.Logger
-	// Handler receives what peers send; nil ignores everything.
+	// Handler receives the messages of peers; nil ignores them.
 	Handler Handler
 
-	// HeartbeatInterval is the longest time without a message to a peer.
+	// HeartbeatInterval is the maximum time between two messages to a peer.
 	HeartbeatInterval time.Duration
-	// SilenceTimeout is the longest time without a message from a peer, and
-	// the longest time for one write. The session is replaced after it.
+	// SilenceTimeout is the maximum time without a message from a peer and the
+	// timeout of one write. After either, the session is replaced.
 	SilenceTimeout time.Duration
-	// HandshakeTimeout bounds dialing and authentication together.
+	// HandshakeTimeout is the timeout of each step of opening a session:
+	// dialing, authentication, and accepting the peer's stream.
 	HandshakeTimeout time.Duration
-	// MaxMessageBytes bounds one message in both directions.
+	// MaxMessageBytes limits the size of a message in both directions.
 	MaxMessageBytes int
-	// MaxSessions bounds the sessions, including those under handshake.
+	// MaxSessions limits the concurrent handshakes of accepted connections. A
+	// session with a peer that is not in the set of SetPeers is rejected while
+	// this many peers are known.
 	MaxSessions int
-	// PullDelay is how long a configuration that a peer has in force may take to
-	// arrive in another way before the peer is asked for it.
+	// PullDelay is how long this instance waits for a newer configuration to
+	// arrive in another way before it requests it from a peer that has it in
+	// force.
 	PullDelay time.Duration
 }
 
@@ -98,13 +102,13 @@
 		return trace.Wrap(err)
 	}
 	if o.Listen == "" {
-		return trace.BadParameter("peer: no listen address")
+		return trace.BadParameter("peer: the listen address is not set")
 	}
 	if len(o.Key) < MinKeyBytes {
-		return trace.BadParameter("peer: the shared key has %d bytes, needs %d", len(o.Key), MinKeyBytes)
+		return trace.BadParameter("peer: the shared key has %d bytes, at least %d are required", len(o.Key), MinKeyBytes)
 	}
 	if o.SilenceTimeout <= o.HeartbeatInterval {
-		return trace.BadParameter("peer: silence timeout %v must exceed heartbeat interval %v",
+		return trace.BadParameter("peer: message timeout %v must exceed heartbeat interval %v",
 			o.SilenceTimeout, o.HeartbeatInterval)
 	}
 	return nil
@@ -112,7 +116,7 @@
 
 func checkID(id string) error {
 	if id == "" || len(id) > maxIDBytes {
-		return trace.BadParameter("peer: an instance ID has 1 to %d bytes", maxIDBytes)
+		return trace.BadParameter("peer: an instance ID must have 1 to %d bytes", maxIDBytes)
 	}
 	return nil
 }
--- a/node/peer/queue.go
+++ b/node/peer/queue.go
@@ -6,18 +6,18 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// Lengths of the parts of a queue, in messages.
+// Maximum lengths of the lists of a queue, in messages.
 const (
 	maxQueuedNotices = 256
 	maxQueuedDigests = 16
 )
 
-// queue holds the messages that wait for one session. Pushing never blocks:
-// a full part loses its oldest message. Heartbeats and configuration states
-// supersede each other, and so do loads, so only the latest is kept. It is safe for concurrent
-// use.
+// queue holds the messages to be sent on one session. Adding a message never
+// blocks: a full list discards its oldest message. Of heartbeats, configuration
+// states, loads and upstream states only the latest is kept, as it supersedes
+// the earlier ones. queue is safe for concurrent use.
 type queue struct {
-	// ready has a token while the queue may hold a message or is closed.
+	// ready holds a token while the queue may hold a message or is closed.
 	ready chan struct{}
 
 	mu        sync.Mutex
@@ -28,7 +28,7 @@
 	loads     *peerpb.Envelope
 	zoneLoads *peerpb.Envelope
 	states    *peerpb.Envelope
-	dropped   uint64
+	discarded uint64
 	closed    bool
 }
 
@@ -36,17 +36,17 @@
 	return &queue{ready: make(chan struct{}, 1)}
 }
 
-// push adds message and drops an older one if its part is full.
+// push adds message and discards an older one if its list is full.
 func (q *queue) push(message *peerpb.Envelope) {
 	q.mu.Lock()
 	if !q.closed {
-		q.add(message)
+		q.enqueue(message)
 	}
 	q.mu.Unlock()
 	q.signal()
 }
 
-func (q *queue) add(message *peerpb.Envelope) {
+func (q *queue) enqueue(message *peerpb.Envelope) {
 	switch message.GetBody().(type) {
 	case *peerpb.Envelope_Heartbeat:
 		q.heartbeat = message
@@ -61,33 +61,34 @@
 	case *peerpb.Envelope_UpstreamStates:
 		q.states = message
 	default:
-		q.notices = q.bounded(q.notices, message, maxQueuedNotices)
+		q.notices = q.appendBounded(q.notices, message, maxQueuedNotices)
 	}
 }
 
-// addDigest replaces a waiting digest of the same instance.
+// addDigest replaces a queued digest of the same instance.
 func (q *queue) addDigest(message *peerpb.Envelope) {
 	origin := message.GetDigest().GetInstance()
 	for i, waiting := range q.digests {
 		if waiting.GetDigest().GetInstance() == origin {
 			q.digests[i] = message
-			q.dropped++
+			q.discarded++
 			return
 		}
 	}
-	q.digests = q.bounded(q.digests, message, maxQueuedDigests)
+	q.digests = q.appendBounded(q.digests, message, maxQueuedDigests)
 }
 
-func (q *queue) bounded(part []*peerpb.Envelope, message *peerpb.Envelope, limit int) []*peerpb.Envelope {
-	if len(part) >= limit {
-		part = part[1:]
-		q.dropped++
+func (q *queue) appendBounded(list []*peerpb.Envelope, message *peerpb.Envelope, limit int) []*peerpb.Envelope {
+	if len(list) >= limit {
+		list = list[1:]
+		q.discarded++
 	}
-	return append(part, message)
+	return append(list, message)
 }
 
-// pop returns the next message: heartbeat, notices, configuration, digests. It
-// returns nil when there is none, and closed when none will follow.
+// pop returns the next message in the order of heartbeat, notices,
+// configuration, loads, zone loads, upstream states, digests. It returns nil if
+// the queue is empty. closed is true if no message will follow.
 func (q *queue) pop() (message *peerpb.Envelope, closed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -110,7 +111,8 @@
 	return message, q.closed && message == nil
 }
 
-// close refuses further messages; those that wait are still handed out.
+// close makes push ignore further messages; those already queued can still be
+// popped.
 func (q *queue) close() {
 	q.mu.Lock()
 	q.closed = true
@@ -125,8 +127,8 @@
 	}
 }
 
-func (q *queue) droppedCount() uint64 {
+func (q *queue) discardedCount() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.dropped
+	return q.discarded
 }
--- a/node/peer/remote.go
+++ b/node/peer/remote.go
@@ -6,33 +6,34 @@
 	"sync"
 )
 
-// remote is all that is kept about one peer. Its fields are guarded by Node.mu,
-// but for notify and up.
+// remote is the record of one peer. Its fields are guarded by Node.mu, except
+// notifyMu and up.
 type remote struct {
 	id      string
 	address string
 	zone    string
-	// wanted is true while SetPeers names the peer.
+	// wanted is true while the peer is in the set passed to SetPeers.
 	wanted bool
-	// stop ends the dialing loop, nil when none runs.
+	// stop ends the dialing loop; nil if none is running.
 	stop context.CancelFunc
-	// wake has a token when the session has ended.
-	wake chan struct{}
+	// disconnected holds a token after the session has ended.
+	disconnected chan struct{}
 
 	session *session
-	// open holds the sessions that have not ended yet; all but session are
-	// about to end.
+	// open holds the sessions that have not ended yet. All except session are
+	// being closed.
 	open []*session
-	// lastSession is the last session that has ended here.
+	// lastSession is the ID of the last session that ended here.
 	lastSession uint64
-	// incarnation is the highest that the peer has shown.
-	incarnation uint64
-	// ended sums up the sessions that have ended.
-	ended counters
-
-	// notify orders the calls of PeerUp and PeerDown.
-	notify sync.Mutex
-	// up is true after PeerUp and before PeerDown.
+	// latestProcess is the process number of the last registered session. It
+	// never decreases.
+	latestProcess uint64
+	// endedTotals is the sum over the sessions that have ended.
+	endedTotals counters
+
+	// notifyMu serializes the calls of PeerUp and PeerDown.
+	notifyMu sync.Mutex
+	// up is true between PeerUp and PeerDown.
 	up bool
 }
 
@@ -43,93 +44,96 @@
 	}
 }
 
-// total sums up all sessions with the peer.
-func (r *remote) total() counters {
-	sum := r.ended
+// totals returns the sum over all sessions with the peer, ended and open.
+func (r *remote) totals() counters {
+	sum := r.endedTotals
 	for _, s := range r.open {
 		sum.add(s.counters())
 	}
 	return sum
 }
 
-// want starts or updates the dialing of p. The caller holds n.mu.
-func (n *Node) want(p Peer) {
-	r := n.remoteFor(p.ID)
+// addPeer starts dialing p or updates its address. The caller must hold n.mu.
+func (n *Node) addPeer(p Peer) {
+	r := n.findOrAddRemote(p.ID)
 	r.address, r.zone = p.Address, p.Zone
 	r.wanted = true
 	if r.stop != nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(n.opening)
+	ctx, cancel := context.WithCancel(n.openCtx)
 	r.stop = cancel
 	n.tasks.Go(func() { n.dialLoop(ctx, r) })
 }
 
-// unwant stops the dialing of r and returns the session to close, or nil. The
-// caller holds n.mu.
-func (n *Node) unwant(r *remote) *session {
+// removePeer stops dialing r and returns the session to close, or nil. The
+// caller must hold n.mu.
+func (n *Node) removePeer(r *remote) *session {
 	r.stopDialing()
 	r.wanted = false
-	n.dropUnused(r)
+	n.deleteIfUnused(r)
 	if r.session != nil && r.session.dialed {
 		return r.session
 	}
 	return nil
 }
 
-// dropUnused deletes a record that nothing needs. The caller holds n.mu.
-func (n *Node) dropUnused(r *remote) {
+// deleteIfUnused deletes the record of a peer that is not wanted and has no
+// open session. The caller must hold n.mu.
+func (n *Node) deleteIfUnused(r *remote) {
 	if !r.wanted && len(r.open) == 0 {
 		delete(n.remotes, r.id)
 	}
 }
 
-// remoteFor returns the record of the peer id. The caller holds n.mu.
-func (n *Node) remoteFor(id string) *remote {
+// findOrAddRemote returns the record of the peer with the given ID and creates
+// it if needed. The caller must hold n.mu.
+func (n *Node) findOrAddRemote(id string) *remote {
 	r := n.remotes[id]
 	if r == nil {
-		r = &remote{id: id, wake: make(chan struct{}, 1)}
+		r = &remote{id: id, disconnected: make(chan struct{}, 1)}
 		n.remotes[id] = r
 	}
 	return r
 }
 
-// register makes s the session with its peer, unless the present one is to be
-// kept. It returns the record and the session that s replaces.
+// register makes s the current session with its peer, unless the existing one
+// is preferred. It returns the peer's record and the session replaced by s.
 func (n *Node) register(s *session) (r *remote, replaced *session, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	known := n.remotes[s.remoteID]
-	if n.closed || !n.admits(s, known) {
+	if n.closed || !n.mayRegister(s, known) {
 		return nil, nil, false
 	}
-	r = n.remoteFor(s.remoteID)
+	r = n.findOrAddRemote(s.remoteID)
 	replaced = r.session
 	r.session = s
 	r.open = append(r.open, s)
-	r.incarnation = s.incarnation
+	r.latestProcess = s.process
 	return r, replaced, true
 }
 
-func (n *Node) admits(s *session, known *remote) bool {
+// mayRegister reports whether s may become the current session with its peer.
+func (n *Node) mayRegister(s *session, known *remote) bool {
 	if known == nil {
 		return !s.dialed && len(n.remotes) < n.options.MaxSessions
 	}
 	if s.dialed && !known.wanted {
 		return false
 	}
-	return s.incarnation >= known.incarnation && n.prefer(s, known.session)
+	return s.process >= known.latestProcess && n.prefer(s, known.session)
 }
 
-// prefer tells whether the session s takes the place of old. Both ends come to
-// the same answer, so that one session is left when both dial at once: the one
-// that the lower ID dialed. A session that its dialer has given up never stands
-// in the way of a new one.
+// prefer reports whether session s replaces old. Both ends decide alike, so
+// that one session remains when both dial at the same time: the one dialed by
+// the lower ID. A session that its dialer has already closed never prevents a
+// new one.
 func (n *Node) prefer(s, old *session) bool {
 	switch {
 	case old == nil:
 		return true
-	case s.incarnation > old.incarnation:
+	case s.process > old.process:
 		return true
 	case s.previous == old.id:
 		return true
@@ -140,28 +144,28 @@
 	}
 }
 
-// unregister forgets s after its end.
+// unregister removes s from the record of its peer after it has ended.
 func (n *Node) unregister(r *remote, s *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r.lastSession = s.id
-	r.ended.add(s.counters())
+	r.endedTotals.add(s.counters())
 	r.open = slices.DeleteFunc(r.open, func(other *session) bool { return other == s })
 	if r.session != s {
 		return
 	}
 	r.session = nil
 	select {
-	case r.wake <- struct{}{}:
+	case r.disconnected <- struct{}{}:
 	default:
 	}
 }
 
-// notifyUp calls PeerUp if s is still the session with its peer.
+// notifyUp calls PeerUp if s is still the current session with its peer.
 func (n *Node) notifyUp(r *remote, s *session) {
-	r.notify.Lock()
-	defer r.notify.Unlock()
-	if n.current(r.id) != s {
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
+	if n.currentSession(r.id) != s {
 		return
 	}
 	r.up = true
@@ -169,16 +173,16 @@
 	n.options.Handler.PeerUp(info)
 }
 
-// notifyDown calls PeerDown if no session has taken the place of s.
+// notifyDown calls PeerDown unless another session has replaced s.
 func (n *Node) notifyDown(r *remote, s *session) {
-	r.notify.Lock()
-	defer r.notify.Unlock()
-	if n.current(r.id) == nil && r.up {
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
+	if n.currentSession(r.id) == nil && r.up {
 		r.up = false
 		info, _ := s.snapshot()
 		n.options.Handler.PeerDown(info)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dropUnused(r)
+	n.deleteIfUnused(r)
 }
--- a/node/peer/serve.go
+++ b/node/peer/serve.go
@@ -12,10 +12,10 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// serve runs one session until it ends. It returns whether the peer's Hello
-// was received, and why the session ended.
-func (n *Node) serve(conn net.Conn, raw *countedConn, agreed agreement, dialed bool) (established bool, err error) {
-	s, err := newSession(conn, raw, agreed, dialed, &n.options)
+// serve runs one session until it ends. It returns whether the peer's Hello was
+// received and why the session ended.
+func (n *Node) serve(conn net.Conn, raw *countedConn, result handshakeResult, dialed bool) (established bool, err error) {
+	s, err := newSession(conn, raw, result, dialed, &n.options)
 	if err != nil {
 		_ = raw.Close()
 		return false, trace.Wrap(err)
@@ -23,13 +23,13 @@
 	defer s.close()
 	r, replaced, ok := n.register(s)
 	if !ok {
-		return false, errRefused
+		return false, errSessionRejected
 	}
 	if replaced != nil {
 		replaced.close()
 	}
 	stop := context.AfterFunc(n.ctx, s.close)
-	established, err = n.converse(r, s)
+	established, err = n.runSession(r, s)
 	stop()
 	s.close()
 	n.unregister(r, s)
@@ -38,14 +38,15 @@
 	return established, err
 }
 
-// converse opens both streams, exchanges Hello and passes on messages.
-func (n *Node) converse(r *remote, s *session) (established bool, err error) {
+// runSession opens both streams, exchanges Hello messages and then handles
+// messages until the session ends.
+func (n *Node) runSession(r *remote, s *session) (established bool, err error) {
 	out, err := s.mux.OpenStream()
 	if err != nil {
 		return false, trace.ConnectionProblem(err, "open stream")
 	}
 	w := n.newSender(s, out)
-	if err := w.write(n.hello(s)); err != nil {
+	if err := w.write(n.newHello(s)); err != nil {
 		return false, trace.Wrap(err)
 	}
 	in, err := n.acceptStream(s)
@@ -53,14 +54,14 @@
 		return false, trace.Wrap(err)
 	}
 	reader := newReceiver(in, &n.options)
-	if err := n.greet(s, reader); err != nil {
+	if err := n.receiveHello(s, reader); err != nil {
 		return false, trace.Wrap(err)
 	}
 	n.notifyUp(r, s)
 	info, _ := s.snapshot()
 	n.options.Handler.Heard(info)
 	n.logger.Info("peer session established", zap.String("peer", r.id), zap.Bool("dialed", s.dialed))
-	return true, n.exchange(s, w, reader)
+	return true, n.exchangeMessages(s, w, reader)
 }
 
 func (n *Node) acceptStream(s *session) (*yamux.Stream, error) {
@@ -73,15 +74,15 @@
 	return stream, nil
 }
 
-// exchange sends and receives until either ends.
-func (n *Node) exchange(s *session, w *sender, reader *receiver) error {
+// exchangeMessages sends and receives until either fails or ends.
+func (n *Node) exchangeMessages(s *session, w *sender, reader *receiver) error {
 	ctx, cancel := context.WithCancel(n.ctx)
 	sendErr := make(chan error, 1)
 	go func() {
 		sendErr <- w.run(ctx)
 		s.close()
 	}()
-	n.pull(s)
+	n.requestConfigState(s)
 	err := n.receive(s, reader)
 	cancel()
 	s.close()
@@ -105,15 +106,15 @@
 
 func (n *Node) newSender(s *session, stream *yamux.Stream) *sender {
 	return &sender{
-		session:  s,
-		stream:   stream,
-		interval: n.options.HeartbeatInterval,
-		timeout:  n.options.SilenceTimeout,
-		idle:     n.heartbeat,
+		session:      s,
+		stream:       stream,
+		interval:     n.options.HeartbeatInterval,
+		timeout:      n.options.SilenceTimeout,
+		newHeartbeat: n.newHeartbeat,
 	}
 }
 
-func (n *Node) hello(s *session) *peerpb.Envelope {
+func (n *Node) newHello(s *session) *peerpb.Envelope {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	hello := &peerpb.Hello{
@@ -127,44 +128,44 @@
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Hello{Hello: hello}}
 }
 
-// greet reads the peer's Hello, which must match the handshake.
-func (n *Node) greet(s *session, reader *receiver) error {
+// receiveHello reads the peer's Hello, which must match the handshake.
+func (n *Node) receiveHello(s *session, reader *receiver) error {
 	message, err := reader.next()
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	hello := message.GetHello()
 	if hello == nil {
-		return trace.BadParameter("the first message is not a Hello")
+		return trace.BadParameter("first message is not a Hello")
 	}
-	if hello.GetInstance() != s.remoteID || hello.GetIncarnation() != s.incarnation {
-		return trace.BadParameter("the Hello of %q names instance %q", s.remoteID, hello.GetInstance())
+	if hello.GetInstance() != s.remoteID || hello.GetIncarnation() != s.process {
+		return trace.BadParameter("Hello from %q names instance %q", s.remoteID, hello.GetInstance())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.info.Zone = hello.GetZone()
 	s.info.State = hello.GetState()
 	s.info.Revision = hello.GetRevision()
-	s.heardAt = time.Now()
+	s.lastReceived = time.Now()
 	return nil
 }
 
-// dispatch passes one message to the handler. A body that this version does not
-// know is left out.
+// dispatch passes one message to the handler. A message of a type that this
+// version does not know is ignored.
 func (n *Node) dispatch(s *session, message *peerpb.Envelope) error {
-	info := s.heard(message.GetHeartbeat())
+	info := s.recordReceived(message.GetHeartbeat())
 	handler := n.options.Handler
 	handler.Heard(info)
 	switch body := message.GetBody().(type) {
 	case *peerpb.Envelope_Hello:
-		return trace.BadParameter("a second Hello from %q", s.remoteID)
+		return trace.BadParameter("second Hello from %q", s.remoteID)
 	case *peerpb.Envelope_Digest:
-		handler.Digest(s.remoteID, s.fillIn(body.Digest))
+		handler.Digest(s.remoteID, s.setDigestOrigin(body.Digest))
 	case *peerpb.Envelope_ConfigState:
-		n.noteReceived(body.ConfigState.GetRevision())
+		n.recordReceivedRevision(body.ConfigState.GetRevision())
 		handler.ConfigState(s.remoteID, body.ConfigState)
 	case *peerpb.Envelope_RequestState:
-		n.answerState(s, body.RequestState.GetHaveRevision())
+		n.sendConfigState(s, body.RequestState.GetHaveRevision())
 	case *peerpb.Envelope_Poison:
 		handler.Poison(s.remoteID, body.Poison)
 	case *peerpb.Envelope_Suspicion:
@@ -186,24 +187,26 @@
 	case *peerpb.Envelope_CrashEvidence:
 		handler.CrashEvidence(s.remoteID, body.CrashEvidence)
 	}
-	n.pull(s)
+	n.requestConfigState(s)
 	return nil
 }
 
-// fillIn names the instance of a digest that is the sender's own.
-func (s *session) fillIn(digest *peerpb.Digest) *peerpb.Digest {
+// setDigestOrigin sets the instance of a digest that is the sender's own, as
+// the message omits it.
+func (s *session) setDigestOrigin(digest *peerpb.Digest) *peerpb.Digest {
 	if digest.GetInstance() == "" {
 		digest.Instance = s.remoteID
-		digest.Incarnation = s.incarnation
+		digest.Incarnation = s.process
 	}
 	return digest
 }
 
-// heard notes that a message came, and what a heartbeat says.
-func (s *session) heard(heartbeat *peerpb.Heartbeat) Info {
+// recordReceived records that a message was received and applies the state in a
+// heartbeat.
+func (s *session) recordReceived(heartbeat *peerpb.Heartbeat) Info {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heardAt = time.Now()
+	s.lastReceived = time.Now()
 	s.receivedMessages++
 	if heartbeat != nil {
 		s.info.State = heartbeat.GetState()
--- a/node/peer/session.go
+++ b/node/peer/session.go
@@ -18,32 +18,33 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// maxKeptBuffer is the size of a write buffer, in bytes, that is kept for the
-// next message.
-const maxKeptBuffer = 64 << 10
+// maxRetainedBuffer is the maximum size, in bytes, of a write buffer that is
+// reused for the next message.
+const maxRetainedBuffer = 64 << 10
 
 // session is one authenticated connection with a peer. Each side opens one
-// yamux stream, on which it sends, and accepts one, on which it receives.
+// yamux stream to send on and accepts one to receive from.
 type session struct {
-	agreement
-	// dialed is true when this instance opened the connection.
+	handshakeResult
+	// dialed is true if this instance opened the connection.
 	dialed bool
 	queue  *queue
 
-	raw  *countedConn
-	mux  *yamux.Session
-	once sync.Once
+	raw       *countedConn
+	mux       *yamux.Session
+	closeOnce sync.Once
 
 	mu   sync.Mutex
 	info Info
-	// heardAt is when the last message came, zero before the peer's Hello.
-	heardAt          time.Time
+	// lastReceived is the time of the last message; zero before the peer's
+	// Hello.
+	lastReceived     time.Time
 	sentMessages     uint64
 	receivedMessages uint64
 }
 
 // newSession starts yamux on conn, which may be a TLS connection over raw.
-func newSession(conn net.Conn, raw *countedConn, agreed agreement, dialed bool, options *Options) (*session, error) {
+func newSession(conn net.Conn, raw *countedConn, result handshakeResult, dialed bool, options *Options) (*session, error) {
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
 	config.LogOutput = io.Discard
@@ -56,12 +57,12 @@
 		return nil, trace.Wrap(err)
 	}
 	return &session{
-		agreement: agreed,
-		dialed:    dialed,
-		queue:     newQueue(),
-		raw:       raw,
-		mux:       mux,
-		info:      Info{ID: agreed.remoteID, Incarnation: agreed.incarnation, Version: agreed.version},
+		handshakeResult: result,
+		dialed:          dialed,
+		queue:           newQueue(),
+		raw:             raw,
+		mux:             mux,
+		info:            Info{ID: result.remoteID, Incarnation: result.process, Version: result.version},
 	}, nil
 }
 
@@ -72,36 +73,39 @@
 	return yamux.Server(conn, config)
 }
 
-// close ends the session at once. The raw connection goes first, so that a
-// write which is stuck can't hold up the rest.
+// close ends the session immediately. It closes the raw connection first, so
+// that a blocked write cannot delay the rest.
 func (s *session) close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		_ = s.raw.Close()
 		_ = s.mux.Close()
 		s.queue.close()
 	})
 }
 
-// snapshot returns what is known of the peer and when it was last heard.
+// snapshot returns the peer's last known state and the time of its last
+// message.
 func (s *session) snapshot() (Info, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.info, s.heardAt
+	return s.info, s.lastReceived
 }
 
-// sender writes the queue of a session to its stream.
+// sender writes the queued messages of a session to its stream.
 type sender struct {
 	session  *session
 	stream   *yamux.Stream
 	interval time.Duration
 	timeout  time.Duration
-	// idle makes the message that is sent after an interval without another.
-	idle func() *peerpb.Envelope
-	// buffer holds one message with its length, so that it is one write.
+	// newHeartbeat returns the message to send after an interval without
+	// another.
+	newHeartbeat func() *peerpb.Envelope
+	// buffer holds one message with its length prefix, so that both are sent in
+	// one write.
 	buffer []byte
 }
 
-// run sends until ctx ends, a write fails or the queue is closed and empty.
+// run sends until ctx ends, a write fails, or the queue is closed and empty.
 func (w *sender) run(ctx context.Context) error {
 	timer := time.NewTimer(w.interval)
 	defer timer.Stop()
@@ -122,7 +126,7 @@
 			return nil
 		case <-w.session.queue.ready:
 		case <-timer.C:
-			w.session.queue.push(w.idle())
+			w.session.queue.push(w.newHeartbeat())
 		}
 	}
 }
@@ -140,7 +144,7 @@
 	if _, err := w.stream.Write(w.buffer); err != nil {
 		return trace.ConnectionProblem(err, "write message")
 	}
-	if cap(w.buffer) > maxKeptBuffer {
+	if cap(w.buffer) > maxRetainedBuffer {
 		w.buffer = nil
 	}
 	w.session.mu.Lock()
@@ -149,7 +153,7 @@
 	return nil
 }
 
-// receiver reads messages from the stream of the peer.
+// receiver reads messages from the peer's stream.
 type receiver struct {
 	stream  *yamux.Stream
 	reader  *bufio.Reader
@@ -166,8 +170,8 @@
 	}
 }
 
-// next returns the next message. It fails when none comes within the timeout,
-// or when one exceeds the limit: the session can't go on after either.
+// next returns the next message. It fails if none arrives within the timeout or
+// if one exceeds the size limit; the session cannot continue after either.
 func (r *receiver) next() (*peerpb.Envelope, error) {
 	if err := r.stream.SetReadDeadline(time.Now().Add(r.timeout)); err != nil {
 		return nil, trace.ConnectionProblem(err, "set read deadline")
@@ -179,9 +183,9 @@
 	case err == nil:
 		return message, nil
 	case errors.As(err, &tooLarge):
-		return nil, trace.LimitExceeded("message of %d bytes", tooLarge.Size)
+		return nil, trace.LimitExceeded("message of %d bytes is too large", tooLarge.Size)
 	case errors.Is(err, yamux.ErrTimeout):
-		return nil, trace.ConnectionProblem(err, "no message for %v", r.timeout)
+		return nil, trace.ConnectionProblem(err, "no message received for %v", r.timeout)
 	default:
 		return nil, trace.ConnectionProblem(err, "read message")
 	}
--- a/node/peer/sharing/bench_test.go
+++ b/node/peer/sharing/bench_test.go
@@ -13,34 +13,34 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// meshEnd feeds a sharer from a real peer node.
-type meshEnd struct {
+// meshInstance connects a sharer to a real peer node.
+type meshInstance struct {
 	peer.NopHandler
-	end
+	testInstance
 	up chan peer.Info
 }
 
-func (m *meshEnd) PeerUp(info peer.Info)                  { m.up <- info }
-func (m *meshEnd) Heard(info peer.Info)                   { m.sharer.Heard(info) }
-func (m *meshEnd) Digest(_ string, digest *peerpb.Digest) { m.sharer.Digest(digest) }
+func (m *meshInstance) PeerUp(info peer.Info)                  { m.up <- info }
+func (m *meshInstance) Heard(info peer.Info)                   { m.sharer.Heard(info) }
+func (m *meshInstance) Digest(_ string, digest *peerpb.Digest) { m.sharer.Digest(digest) }
 
-// BenchmarkNineInstances runs nine nodes with their sharers over loopback for a
-// second an iteration, and gives what one node sends and the processor time of
-// one node.
+// BenchmarkNineInstances runs nine nodes with their sharers over loopback for
+// one second per iteration. It reports the bytes sent and the processor time
+// per node.
 func BenchmarkNineInstances(b *testing.B) {
 	for _, changing := range []bool{false, true} {
-		b.Run(fmt.Sprintf("changing=%t", changing), func(b *testing.B) { benchmarkNine(b, changing) })
+		b.Run(fmt.Sprintf("changing=%t", changing), func(b *testing.B) { benchmarkNineInstances(b, changing) })
 	}
 }
 
-func benchmarkNine(b *testing.B, changing bool) {
+func benchmarkNineInstances(b *testing.B, changing bool) {
 	ctx, cancel := context.WithCancel(b.Context())
-	var ends []*meshEnd
+	var ends []*meshInstance
 	var nodes []*peer.Node
 	var peers []peer.Peer
 	for i := range instances {
-		end := &meshEnd{up: make(chan peer.Info, 2*instances)}
-		end.id, end.wanted, end.ended = fmt.Sprintf("m%d", i), 20, make(chan error, 1)
+		end := &meshInstance{up: make(chan peer.Info, 2*instances)}
+		end.id, end.wanted, end.done = fmt.Sprintf("m%d", i), 20, make(chan error, 1)
 		node, err := peer.New(peer.Options{ID: end.id, Listen: "127.0.0.1:0", Key: []byte("0123456789abcdef"), Handler: end})
 		require.NoError(b, err)
 		end.sharer = New(Options{ID: end.id, Peers: node, Pools: end})
@@ -51,34 +51,34 @@
 	}
 	for i, node := range nodes {
 		node.SetPeers(peers)
-		go func() { ends[i].ended <- ends[i].sharer.Run(ctx) }()
+		go func() { ends[i].done <- ends[i].sharer.Run(ctx) }()
 	}
 	for _, end := range ends {
 		for range instances - 1 {
 			<-end.up
 		}
 	}
-	before, cpuBefore, started := sent(nodes), cpuTime(b), time.Now()
+	before, cpuBefore, started := bytesSent(nodes), cpuTime(b), time.Now()
 	for b.Loop() {
 		for range 10 {
 			time.Sleep(DefaultTick)
 			if changing {
-				change(ends)
+				toggleDemand(ends)
 			}
 		}
 	}
 	seconds := time.Since(started).Seconds()
-	b.ReportMetric(float64(sent(nodes)-before)/instances/seconds, "B/s/node")
+	b.ReportMetric(float64(bytesSent(nodes)-before)/instances/seconds, "B/s/node")
 	b.ReportMetric(float64((cpuTime(b)-cpuBefore).Microseconds())/instances/seconds, "cpu-us/s/node")
 	cancel()
 	for i, node := range nodes {
-		require.NoError(b, <-ends[i].ended)
+		require.NoError(b, <-ends[i].done)
 		require.NoError(b, node.Close(context.Background()))
 	}
 }
 
-// change doubles or halves the demand of each instance.
-func change(ends []*meshEnd) {
+// toggleDemand doubles or halves the demand of each instance.
+func toggleDemand(ends []*meshInstance) {
 	for _, e := range ends {
 		e.mu.Lock()
 		e.wanted = 60 - e.wanted
@@ -86,7 +86,7 @@
 	}
 }
 
-func sent(nodes []*peer.Node) uint64 {
+func bytesSent(nodes []*peer.Node) uint64 {
 	var sum uint64
 	for _, node := range nodes {
 		for _, p := range node.Peers() {
--- a/node/peer/sharing/sharing.go
+++ b/node/peer/sharing/sharing.go
@@ -1,6 +1,7 @@
-// Package sharing shares the slots of upstream pools among the instances. It
-// feeds core/membership and core/demand with what peers tell, tells the peers
-// the demand of this instance, and sets how many requests may run here.
+// Package sharing divides the slots of upstream pools among the instances. It
+// passes messages of peers to core/membership and core/demand, publishes the
+// demand of this instance to the peers, and sets the number of requests that
+// may run here.
 package sharing
 
 import (
@@ -23,34 +24,34 @@
 const (
 	DefaultTick          = 100 * time.Millisecond
 	DefaultMaxWorkspaces = 8
-	// stalePeriods is the number of longest periods after which a digest is
-	// stale.
+	// stalePeriods is the age, in maximum publishing periods, after which a
+	// digest is stale.
 	stalePeriods = 5
-	// minGap is the least time between two computations.
-	minGap = 10 * time.Millisecond
-	// frameBytes is what yamux and the length add to a message.
-	frameBytes = 15
+	// minInterval is the minimum time between two updates.
+	minInterval = 10 * time.Millisecond
+	// framingBytes is the overhead of yamux and the length prefix per message.
+	framingBytes = 15
 )
 
-// Pool is the present state of one pool at this instance.
+// Pool is the current state of one pool at this instance.
 type Pool struct {
 	demand.Pool
-	// Loads holds the work of all workspaces at this instance.
+	// Loads holds the load of all workspaces at this instance.
 	Loads []demand.Load
 }
 
-// Pools is the part of the router that holds the queues. It is called from one
-// goroutine at a time.
+// Pools is implemented by the part of the router that holds the queues. Calls
+// are never concurrent.
 type Pools interface {
 	// Pools returns the state of all pools.
 	Pools() []Pool
-	// SetLimit sets how many requests of the pool called name may run here.
+	// SetLimit sets how many requests of the named pool may run here.
 	SetLimit(name string, slots int)
 }
 
-// Broadcaster is the part of peer.Node that is needed.
+// Broadcaster is the part of peer.Node that a Sharer uses.
 type Broadcaster interface {
-	// Broadcast queues message for every peer and returns their number.
+	// Broadcast queues message for every peer and returns the number of peers.
 	Broadcast(message proto.Message) (int, error)
 }
 
@@ -61,17 +62,17 @@
 	Peers  Broadcaster
 	Pools  Pools
 	Logger *zap.Logger
-	// OnMember, if set, is called for each change of another instance.
+	// OnMember, if set, is called for each state change of another instance.
 	OnMember func(membership.Changed)
 
-	// Tick is the time between two computations; 0 means DefaultTick.
+	// Tick is the time between two updates; 0 means DefaultTick.
 	Tick time.Duration
-	// Membership holds the heartbeat settings; its Self is ignored.
+	// Membership holds the heartbeat settings; its Self is overwritten with ID.
 	Membership membership.Config
-	// Teller bounds how often digests are told.
+	// Teller bounds how often digests are published.
 	Teller demand.TellerConfig
-	// MaxWorkspaces bounds the workspaces listed for each pool; 0 means
-	// DefaultMaxWorkspaces.
+	// MaxWorkspaces is the maximum number of workspaces listed per pool; 0
+	// means DefaultMaxWorkspaces.
 	MaxWorkspaces int
 }
 
@@ -94,33 +95,34 @@
 	o.Membership.Self = o.ID
 }
 
-// Sharer is safe for concurrent use.
+// Sharer divides the slots of the pools among the instances. It is safe for
+// concurrent use.
 type Sharer struct {
 	options Options
 	wake    chan struct{}
 
-	mu       sync.Mutex
-	members  *membership.Members
-	view     *demand.View
-	teller   *demand.Teller
-	sequence uint64
-	// sessions is the number of peers that the last digest went to.
+	mu        sync.Mutex
+	members   *membership.Members
+	view      *demand.View
+	publisher *demand.Teller
+	sequence  uint64
+	// sessions is the number of peers that the last digest was sent to.
 	sessions int
 }
 
-// New returns a sharer that does nothing until Run.
+// New returns a sharer that is inactive until Run.
 func New(options Options) *Sharer {
 	options.setDefaults()
 	return &Sharer{
-		options: options,
-		wake:    make(chan struct{}, 1),
-		members: membership.New(options.Membership),
-		view:    demand.NewView(stalePeriods * options.Teller.MaxPeriod),
-		teller:  demand.NewTeller(options.Teller),
+		options:   options,
+		wake:      make(chan struct{}, 1),
+		members:   membership.New(options.Membership),
+		view:      demand.NewView(stalePeriods * options.Teller.MaxPeriod),
+		publisher: demand.NewTeller(options.Teller),
 	}
 }
 
-// Run computes limits and tells digests until ctx ends, and returns nil then.
+// Run publishes digests and sets limits until ctx ends. It then returns nil.
 func (s *Sharer) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -131,15 +133,15 @@
 		case <-timer.C:
 		case <-s.wake:
 		}
-		s.step(time.Now())
+		s.update(time.Now())
 		timer.Reset(s.options.Tick)
-		if !pause(ctx, minGap) {
+		if !sleep(ctx, minInterval) {
 			return nil
 		}
 	}
 }
 
-// Wake asks for a computation soon, such as when a request waits for a slot. It
+// Wake requests an update soon, for example when a request waits for a slot. It
 // never blocks.
 func (s *Sharer) Wake() {
 	select {
@@ -148,7 +150,7 @@
 	}
 }
 
-// SetList takes a copy of the platform's list.
+// SetList applies a copy of the platform's list.
 func (s *Sharer) SetList(instances []wire.Instance) {
 	var listed membership.Listed
 	for _, in := range instances {
@@ -164,14 +166,15 @@
 // SetState sets the state of this instance.
 func (s *Sharer) SetState(state membership.State) { s.apply(membership.SelfChanged{State: state}) }
 
-// Heard takes the state of a peer; it is called for every message of it.
+// Heard applies the state of a peer. It must be called for every message of the
+// peer.
 func (s *Sharer) Heard(info peer.Info) {
 	if heard, ok := info.Member(); ok {
 		s.apply(heard)
 	}
 }
 
-// Digest takes the demand that a peer tells.
+// Digest applies the demand published by a peer.
 func (s *Sharer) Digest(message *peerpb.Digest) {
 	digest, age := peer.DecodeDigest(message)
 	if digest.Instance == s.options.ID {
@@ -182,14 +185,14 @@
 	s.mu.Unlock()
 }
 
-// Members returns what is known of all instances, in the order of their IDs.
+// Members returns the known instances, sorted by ID.
 func (s *Sharer) Members() []membership.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members.All()
 }
 
-// Candidates returns the instances to choose neighbours from.
+// Candidates returns the instances from which neighbors can be chosen.
 func (s *Sharer) Candidates() []membership.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,48 +209,49 @@
 	}
 	s.mu.Unlock()
 	for _, c := range changes {
-		s.report(c)
+		s.reportChange(c)
 	}
 }
 
-func (s *Sharer) report(c membership.Changed) {
+func (s *Sharer) reportChange(c membership.Changed) {
 	if c.ID == s.options.ID {
 		return
 	}
-	s.options.Logger.Info("instance changed", zap.String("instance", c.ID),
+	s.options.Logger.Info("instance state changed", zap.String("instance", c.ID),
 		zap.Stringer("from", c.From), zap.Stringer("to", c.To))
 	if s.options.OnMember != nil {
 		s.options.OnMember(c)
 	}
 }
 
-// step tells the demand of this instance if it is due, and sets all limits.
-func (s *Sharer) step(now time.Time) {
+// update publishes the demand of this instance if that is due, and sets all
+// limits.
+func (s *Sharer) update(now time.Time) {
 	s.apply(membership.Tick{})
 	pools := s.options.Pools.Pools()
 	current := make([]demand.PoolDemand, len(pools))
 	for i, p := range pools {
 		current[i] = demand.Summarize(p.Name, len(p.MinShares), p.Loads, s.options.MaxWorkspaces)
 	}
-	if err := s.tell(now, current); err != nil {
-		s.options.Logger.Error("digest cannot be told", zap.Error(err))
+	if err := s.publishDigest(now, current); err != nil {
+		s.options.Logger.Error("publishing the digest failed", zap.Error(err))
 	}
 	s.mu.Lock()
 	live := s.members.Live(now)
-	told := s.view.Fresh(now)
+	digests := s.view.Fresh(now)
 	s.mu.Unlock()
 	for i, p := range pools {
-		s.options.Pools.SetLimit(p.Name, demand.Limit(p.Pool, live, told, s.options.ID, current[i]))
+		s.options.Pools.SetLimit(p.Name, demand.Limit(p.Pool, live, digests, s.options.ID, current[i]))
 	}
 }
 
-// tell broadcasts a digest if the teller finds it due.
-func (s *Sharer) tell(now time.Time, current []demand.PoolDemand) error {
+// publishDigest broadcasts a digest if the publisher reports it due.
+func (s *Sharer) publishDigest(now time.Time, current []demand.PoolDemand) error {
 	s.mu.Lock()
 	digest := demand.Digest{Instance: s.options.ID, Sequence: s.sequence + 1, Pools: current}
 	message := peer.EncodeDigest(digest, s.options.ID, 0)
-	size := (proto.Size(message) + frameBytes) * s.sessions
-	due := s.teller.Due(now, digest, size)
+	size := (proto.Size(message) + framingBytes) * s.sessions
+	due := s.publisher.Due(now, digest, size)
 	if due {
 		s.sequence++
 		s.view.Observe(now, 0, digest)
@@ -263,7 +267,7 @@
 	return trace.Wrap(err)
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/node/peer/sharing/sharing_test.go
+++ b/node/peer/sharing/sharing_test.go
@@ -26,31 +26,32 @@
 	instances = 9
 )
 
-// bus carries messages between the sharers of a test.
+// bus delivers messages between the sharers of a test.
 type bus struct {
-	mu    sync.Mutex
-	ends  map[string]*end
-	state map[string]peerpb.InstanceState
+	mu        sync.Mutex
+	instances map[string]*testInstance
+	state     map[string]peerpb.InstanceState
 }
 
-// end is one instance on the bus, with wanted requests waiting or running.
-type end struct {
+// testInstance is one instance on the bus. wanted is the number of its
+// requests, waiting and running.
+type testInstance struct {
 	bus     *bus
 	id      string
 	sharer  *Sharer
 	cancel  context.CancelFunc
-	ended   chan error
+	done    chan error
 	mu      sync.Mutex
 	limit   int
 	wanted  int
 	running int
 }
 
-func (e *end) Broadcast(message proto.Message) (int, error) {
+func (e *testInstance) Broadcast(message proto.Message) (int, error) {
 	e.bus.mu.Lock()
 	defer e.bus.mu.Unlock()
 	info := peer.Info{ID: e.id, Incarnation: 1, State: e.bus.state[e.id]}
-	for id, other := range e.bus.ends {
+	for id, other := range e.bus.instances {
 		if id == e.id {
 			continue
 		}
@@ -59,10 +60,10 @@
 		digest.Instance, digest.Incarnation = e.id, 1
 		other.sharer.Digest(digest)
 	}
-	return len(e.bus.ends) - 1, nil
+	return len(e.bus.instances) - 1, nil
 }
 
-func (e *end) Pools() []Pool {
+func (e *testInstance) Pools() []Pool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	load := demand.Load{Workspace: "u", Queued: e.wanted - e.running, InFlight: e.running, Weight: demand.WeightUnit}
@@ -72,48 +73,49 @@
 	}}
 }
 
-// SetLimit runs as many requests as it may; those above the limit end at once.
-func (e *end) SetLimit(_ string, slots int) {
+// SetLimit runs as many requests as the limit allows; those above it end at
+// once.
+func (e *testInstance) SetLimit(_ string, slots int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limit = slots
 	e.running = min(slots, e.wanted)
 }
 
-func (e *end) limited() int {
+func (e *testInstance) currentLimit() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.limit
 }
 
-func (b *bus) start(ctx context.Context, id string, wanted int) *end {
+func (b *bus) start(ctx context.Context, id string, wanted int) *testInstance {
 	ctx, cancel := context.WithCancel(ctx)
-	e := &end{bus: b, id: id, cancel: cancel, ended: make(chan error, 1), wanted: wanted}
+	e := &testInstance{bus: b, id: id, cancel: cancel, done: make(chan error, 1), wanted: wanted}
 	e.sharer = New(Options{ID: id, Peers: e, Pools: e})
 	b.mu.Lock()
-	b.ends[id] = e
+	b.instances[id] = e
 	b.state[id] = peerpb.InstanceState_INSTANCE_STATE_READY
 	b.mu.Unlock()
-	go func() { e.ended <- e.sharer.Run(ctx) }()
+	go func() { e.done <- e.sharer.Run(ctx) }()
 	return e
 }
 
-// kill stops an instance without a word.
-func (b *bus) kill(t *testing.T, e *end) {
+// kill stops an instance without notice to the others.
+func (b *bus) kill(t *testing.T, e *testInstance) {
 	t.Helper()
 	b.mu.Lock()
-	delete(b.ends, e.id)
+	delete(b.instances, e.id)
 	b.mu.Unlock()
 	e.cancel()
-	require.NoError(t, <-e.ended)
+	require.NoError(t, <-e.done)
 }
 
 func (b *bus) total() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum := 0
-	for _, e := range b.ends {
-		sum += e.limited()
+	for _, e := range b.instances {
+		sum += e.currentLimit()
 	}
 	return sum
 }
@@ -126,12 +128,13 @@
 	return append(list, wire.Instance{ID: "replica-1", Role: wire.RoleEngine})
 }
 
-// Nine instances share one pool; then one is killed while the list still names
-// it, and its slots are in use by the others within the 5 s of the target.
-func TestSlotsOfKilledInstanceAreUsed(t *testing.T) {
+// TestSlotsOfKilledInstanceAreReused lets nine instances share one pool and
+// kills one that stays in the platform's list. The others must use its slots
+// within 5 s.
+func TestSlotsOfKilledInstanceAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bus{ends: map[string]*end{}, state: map[string]peerpb.InstanceState{}}
-		var all []*end
+		b := &bus{instances: map[string]*testInstance{}, state: map[string]peerpb.InstanceState{}}
+		var all []*testInstance
 		for i := range instances {
 			all = append(all, b.start(t.Context(), fmt.Sprintf("m%d", i), 100))
 		}
@@ -141,7 +144,7 @@
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		require.Equal(t, capacity, b.total())
-		require.Equal(t, capacity/instances, all[3].limited())
+		require.Equal(t, capacity/instances, all[3].currentLimit())
 
 		killedAt := time.Now()
 		b.kill(t, all[0])
@@ -159,35 +162,35 @@
 	})
 }
 
-// Demand decides: idle instances leave their slots, and take them back when work
-// comes, at once when it is woken.
+// TestLimitsFollowDemand checks that idle instances give up their slots and get
+// them back when they have work: immediately after Wake.
 func TestLimitsFollowDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bus{ends: map[string]*end{}, state: map[string]peerpb.InstanceState{}}
+		b := &bus{instances: map[string]*testInstance{}, state: map[string]peerpb.InstanceState{}}
 		busy := b.start(t.Context(), "m0", 200)
 		idle := b.start(t.Context(), "m1", 0)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, capacity, busy.limited())
-		require.Zero(t, idle.limited())
+		require.Equal(t, capacity, busy.currentLimit())
+		require.Zero(t, idle.currentLimit())
 
 		idle.mu.Lock()
 		idle.wanted = 30
 		idle.mu.Unlock()
 		idle.sharer.Wake()
-		time.Sleep(2 * minGap)
+		time.Sleep(2 * minInterval)
 		synctest.Wait()
-		require.Equal(t, 30, idle.limited(), "urgent work starts at once")
+		require.Equal(t, 30, idle.currentLimit(), "work must start immediately after Wake")
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		require.Equal(t, capacity, b.total())
-		require.Equal(t, capacity-30, busy.limited())
+		require.Equal(t, capacity-30, busy.currentLimit())
 
 		b.kill(t, idle)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		require.Equal(t, capacity, busy.limited())
-		require.Len(t, busy.sharer.Members(), 1, "neither listed nor heard")
+		require.Equal(t, capacity, busy.currentLimit())
+		require.Len(t, busy.sharer.Members(), 1, "a member that is neither listed nor heard from must be removed")
 		b.kill(t, busy)
 	})
 }
--- a/node/peer/state.go
+++ b/node/peer/state.go
@@ -6,55 +6,57 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// Waits before a configuration is asked for again.
+// Delays before a configuration is requested again.
 const (
-	// pullRetry applies while no answer has come.
-	pullRetry = time.Second
-	// pullRepeat applies when the answer came and was not put in force.
-	pullRepeat = 10 * time.Second
+	// pullRetryDelay applies while no response has arrived.
+	pullRetryDelay = time.Second
+	// pullRepeatDelay applies if the response arrived but was not put in force.
+	pullRepeatDelay = 10 * time.Second
 )
 
-// pullState remembers what was asked for, so that a new revision is fetched from
-// one peer and not from all of them. Node.mu guards it.
+// pullState records what was requested, so that a new revision is fetched from
+// one peer and not from all of them. It is guarded by Node.mu.
 type pullState struct {
-	revision uint64
-	askedAt  time.Time
-	received uint64
-	// behindSince is when a peer was first heard to have a higher revision than the
-	// one in force here; zero when that one has changed since.
+	requestedRevision uint64
+	requestedAt       time.Time
+	receivedRevision  uint64
+	// behindSince is when a peer first reported a higher revision than the one
+	// in force here. It is reset when the configuration in force changes.
 	behindSince time.Time
 }
 
-// due tells whether revision is to be asked for at now, and notes that it is.
-func (p *pullState) due(revision uint64, now time.Time) bool {
-	pause := pullRetry
-	if revision <= p.received {
-		pause = pullRepeat
+// shouldRequest reports whether revision should be requested now. If so, it
+// records the request.
+func (p *pullState) shouldRequest(revision uint64, now time.Time) bool {
+	delay := pullRetryDelay
+	if revision <= p.receivedRevision {
+		delay = pullRepeatDelay
 	}
-	if revision <= p.revision && now.Sub(p.askedAt) < pause {
+	if revision <= p.requestedRevision && now.Sub(p.requestedAt) < delay {
 		return false
 	}
-	p.revision = revision
-	p.askedAt = now
+	p.requestedRevision = revision
+	p.requestedAt = now
 	return true
 }
 
-// waited tells whether this instance has been behind for delay.
-func (p *pullState) waited(now time.Time, delay time.Duration) bool {
+// delayElapsed reports whether this instance has had an outdated configuration
+// for at least delay.
+func (p *pullState) delayElapsed(now time.Time, delay time.Duration) bool {
 	if p.behindSince.IsZero() {
 		p.behindSince = now
 	}
 	return now.Sub(p.behindSince) >= delay
 }
 
-// pull asks the peer of s for its configuration if that is newer than the one in
-// force here.
-func (n *Node) pull(s *session) {
+// requestConfigState requests the configuration of the peer of s if it is newer
+// than the one in force here.
+func (n *Node) requestConfigState(s *session) {
 	info, _ := s.snapshot()
 	n.mu.Lock()
 	have := n.config.GetRevision()
 	now := time.Now()
-	due := info.Revision > have && n.pulls.waited(now, n.options.PullDelay) && n.pulls.due(info.Revision, now)
+	due := info.Revision > have && n.pulls.delayElapsed(now, n.options.PullDelay) && n.pulls.shouldRequest(info.Revision, now)
 	n.mu.Unlock()
 	if !due {
 		return
@@ -63,8 +65,9 @@
 	s.queue.push(&peerpb.Envelope{Body: &peerpb.Envelope_RequestState{RequestState: request}})
 }
 
-// answerState sends the configuration in force if it is newer than have.
-func (n *Node) answerState(s *session, have uint64) {
+// sendConfigState sends the configuration in force here if it is newer than
+// have.
+func (n *Node) sendConfigState(s *session, have uint64) {
 	n.mu.Lock()
 	config := n.config
 	n.mu.Unlock()
@@ -73,8 +76,10 @@
 	}
 }
 
-func (n *Node) noteReceived(revision uint64) {
+// recordReceivedRevision records that a configuration with this revision was
+// received.
+func (n *Node) recordReceivedRevision(revision uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.pulls.received = max(n.pulls.received, revision)
+	n.pulls.receivedRevision = max(n.pulls.receivedRevision, revision)
 }
--- a/node/peer/status.go
+++ b/node/peer/status.go
@@ -8,14 +8,14 @@
 	"masticbank.example/node/peer/peerpb"
 )
 
-// Status is what is known of one peer, for operators and metrics. Counts are
-// those of all sessions since the peer became known.
+// Status describes one peer for operators and metrics. Counts are totals over
+// all sessions since the peer was added.
 type Status struct {
 	ID      string
 	Address string
 	Zone    string
-	// Connected tells whether there is a session. The fields from Incarnation
-	// to LastHeard are set only then.
+	// Connected is true if there is a session. The fields from Incarnation to
+	// LastHeard are set only then.
 	Connected   bool
 	Incarnation uint64
 	Version     uint32
@@ -27,20 +27,22 @@
 	BytesReceived    uint64
 	MessagesSent     uint64
 	MessagesReceived uint64
-	// Dropped counts messages that were superseded or lost by a full queue.
+	// Dropped counts messages that were superseded or discarded because a queue
+	// was full.
 	Dropped uint64
-	// Dials counts attempts to connect; Sessions counts sessions that began.
+	// Dials counts connection attempts; Sessions counts sessions that were
+	// started.
 	Dials    uint64
 	Sessions uint64
 }
 
-// counters are the counts of one or several sessions.
+// counters holds the counts of one or several sessions.
 type counters struct {
 	bytesSent        uint64
 	bytesReceived    uint64
 	messagesSent     uint64
 	messagesReceived uint64
-	dropped          uint64
+	discarded        uint64
 	dials            uint64
 	sessions         uint64
 }
@@ -50,7 +52,7 @@
 	c.bytesReceived += other.bytesReceived
 	c.messagesSent += other.messagesSent
 	c.messagesReceived += other.messagesReceived
-	c.dropped += other.dropped
+	c.discarded += other.discarded
 	c.dials += other.dials
 	c.sessions += other.sessions
 }
@@ -64,12 +66,12 @@
 		bytesReceived:    s.raw.received.Load(),
 		messagesSent:     s.sentMessages,
 		messagesReceived: s.receivedMessages,
-		dropped:          s.queue.droppedCount(),
+		discarded:        s.queue.discardedCount(),
 		sessions:         1,
 	}
 }
 
-// Peers returns the status of every known peer, in the order of their IDs.
+// Peers returns the status of every known peer, sorted by ID.
 func (n *Node) Peers() []Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,7 +84,7 @@
 }
 
 func (r *remote) status() Status {
-	sum := r.total()
+	sum := r.totals()
 	status := Status{
 		ID:               r.id,
 		Address:          r.address,
@@ -91,7 +93,7 @@
 		BytesReceived:    sum.bytesReceived,
 		MessagesSent:     sum.messagesSent,
 		MessagesReceived: sum.messagesReceived,
-		Dropped:          sum.dropped,
+		Dropped:          sum.discarded,
 		Dials:            sum.dials,
 		Sessions:         sum.sessions,
 	}
