--- a/node/wire/instance.go
+++ b/node/wire/instance.go
@@ -1,6 +1,6 @@
 package wire
 
-// PathInstances answers an InstanceList.
+// PathInstances returns an InstanceList.
 const PathInstances = "/v1/instances"
 
 // Roles of an instance.
@@ -13,7 +13,7 @@
 	RoleEntry = "entry"
 )
 
-// InstanceList is the platform's list; it may lag behind the truth.
+// InstanceList is the platform's list of instances. It may be out of date.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
@@ -23,17 +23,17 @@
 	ID string `json:"id"`
 	// Role is RoleEngine, RoleService or RoleEntry.
 	Role string `json:"role"`
-	// Address is host:port. For RoleEntry it is the peer address.
+	// Address is host:port. For RoleEntry it is the address for peers.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Leaving is true when the instance is to get no new work.
+	// Leaving is true if the instance must get no new work.
 	Leaving bool `json:"leaving"`
-	// Model and the layers are set for RoleEngine.
+	// Model, Version and the layers are set for RoleEngine.
 	Model      string `json:"model,omitempty"`
 	Version    string `json:"version,omitempty"`
 	FirstLayer int    `json:"first_layer"`
 	LastLayer  int    `json:"last_layer"`
-	// Accelerator is the kind of accelerator of an engine.
+	// Accelerator is the accelerator type of an engine.
 	Accelerator string `json:"accelerator,omitempty"`
 	// Service is set for RoleService.
 	Service string `json:"service,omitempty"`
--- a/node/wire/log.go
+++ b/node/wire/log.go
@@ -1,30 +1,32 @@
 package wire
 
-// Paths of the log service. Streams are named in the query parameter "stream".
+// Paths of the log service. The query parameter "stream" names the stream.
 const (
-	// PathLogAppend takes an AppendRequest by POST and answers AppendResponse.
+	// PathLogAppend accepts an AppendRequest by POST and returns an
+	// AppendResponse.
 	PathLogAppend = "/v1/log/append"
-	// PathLogRead answers a ReadResponse from the offset in query parameter
-	// "from", with at most "max" records; "wait_ms" lets it wait for a record.
+	// PathLogRead returns a ReadResponse that starts at the offset in the query
+	// parameter "from" and has at most "max" records. "wait_ms" is the maximum
+	// time to wait for a record.
 	PathLogRead = "/v1/log/read"
 )
 
-// AppendRequest appends records as one unit.
+// AppendRequest appends records atomically.
 type AppendRequest struct {
 	Stream  string   `json:"stream"`
 	Records [][]byte `json:"records"`
 }
 
-// AppendResponse gives the offset of the first record appended.
+// AppendResponse contains the offset of the first appended record.
 type AppendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
-// ReadResponse holds records in offset order.
+// ReadResponse contains records in offset order.
 type ReadResponse struct {
-	// First is the lowest offset still kept.
+	// First is the lowest offset that is still stored.
 	First uint64 `json:"first"`
-	// Next is the offset after the last record returned.
+	// Next is the offset after the last returned record.
 	Next    uint64      `json:"next"`
 	Records []LogRecord `json:"records"`
 }
--- a/node/wire/weight.go
+++ b/node/wire/weight.go
@@ -1,6 +1,6 @@
 package wire
 
-// PathWeights answers the weights of one layer range; query parameters
-// "model", "version", "first" and "last". It answers 429 when too many loads
-// run at once.
+// PathWeights returns the weights of one range of layers, given by the query
+// parameters "model", "version", "first" and "last". It returns status 429 if
+// too many loads are running.
 const PathWeights = "/v1/weights"
