--- a/core/health/upstream.go
+++ b/core/health/upstream.go
@@ -99,13 +99,13 @@
 	}
 	switch e := event.(type) {
 	case Listed:
-		u.listed(now, e.Leaving)
+		u.handleListed(now, e.Leaving)
 	case Unlisted:
-		u.unlisted(now)
+		u.handleUnlisted(now)
 	case Leaving:
 		u.startLeaving(e.Source)
 	case Progress:
-		u.progress(now, e.Connection)
+		u.recordProgress(now, e.Connection)
 	case Silent:
 		u.connectionFault(now, e.Connection)
 	case Lost:
@@ -119,7 +119,7 @@
 			u.probeFailed(now)
 		}
 	case Tick:
-		u.tick(now)
+		u.handleTick(now)
 	}
 	return u.effects
 }
@@ -141,7 +141,7 @@
 	return earliest, !earliest.IsZero()
 }
 
-func (u *Upstream) listed(now time.Time, leaving bool) {
+func (u *Upstream) handleListed(now time.Time, leaving bool) {
 	u.removeAt = time.Time{}
 	if leaving {
 		u.startLeaving(FromList)
@@ -153,9 +153,9 @@
 	}
 }
 
-// unlisted removes an upstream that gets no new work at once. One that gets
-// work is probed and stays for UnlistedGrace, as the list may be wrong.
-func (u *Upstream) unlisted(now time.Time) {
+// handleUnlisted removes an upstream that gets no new work at once. One that
+// gets work is probed and stays for UnlistedGrace, as the list may be wrong.
+func (u *Upstream) handleUnlisted(now time.Time) {
 	switch u.phase {
 	case joining, ejected, leaving:
 		u.remove()
@@ -204,13 +204,13 @@
 	}
 }
 
-func (u *Upstream) progress(now time.Time, connection uint64) {
+func (u *Upstream) recordProgress(now time.Time, connection uint64) {
 	u.lastProgress = now
 	u.consecutiveFaults = 0
 	u.suspectedConnections = slices.DeleteFunc(u.suspectedConnections, func(c uint64) bool { return c == connection })
 }
 
-func (u *Upstream) tick(now time.Time) {
+func (u *Upstream) handleTick(now time.Time) {
 	if !u.removeAt.IsZero() && !now.Before(u.removeAt) {
 		u.remove()
 		return
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -152,7 +152,7 @@
 		for i := range table.roundRobinTurns {
 			table.roundRobinTurns[i] = random.Uint64N(40)
 		}
-		table.choiceRate = choiceRate{count: float64(each), at: start.UnixNano()}
+		table.choiceRate = choiceRate{count: float64(each), updatedAt: start.UnixNano()}
 		for range each {
 			c := table.Choose(start, req, random.Uint64()).Chain
 			chains = append(chains, c)
@@ -183,7 +183,7 @@
 	sum, runs := 0.0, uint64(0)
 	for b.Loop() {
 		runs++
-		sum += table.Choose(start, req, runs).Chain.Expected.Seconds() / table.best[0]
+		sum += table.Choose(start, req, runs).Chain.Expected.Seconds() / table.lowestCost[0]
 	}
 	b.ReportMetric(sum/float64(runs), "to-lowest")
 }
--- a/core/route/cache.go
+++ b/core/route/cache.go
@@ -27,10 +27,11 @@
 	head  int
 }
 
-// holder is a replica that reported a block at time at (Unix nanoseconds).
+// holder is a replica that reported a block, with the time of the report in
+// Unix nanoseconds.
 type holder struct {
-	replica *replica
-	at      int64
+	replica    *replica
+	reportedAt int64
 }
 
 // hint is a reported pair of block and replica.
@@ -46,16 +47,16 @@
 // store records that the replica holds the block. A report that is not newer
 // than the known one is ignored.
 func (c *cacheIndex) store(now int64, r *replica, block uint64) {
-	entry := holder{replica: r, at: now}
+	entry := holder{replica: r, reportedAt: now}
 	holders := c.holders[block]
-	at := indexOf(holders, r)
+	index := indexOf(holders, r)
 	switch {
-	case at < 0:
+	case index < 0:
 		c.holders[block] = append(holders, entry)
-	case holders[at].at >= now:
+	case holders[index].reportedAt >= now:
 		return
 	default:
-		holders[at] = entry
+		holders[index] = entry
 	}
 	c.hints = append(c.hints, hint{block: block, holder: entry})
 	if len(c.hints)-c.head > c.size {
@@ -66,8 +67,8 @@
 // evict records that the replica no longer holds the block.
 func (c *cacheIndex) evict(r *replica, block uint64) {
 	holders := c.holders[block]
-	at := indexOf(holders, r)
-	if at < 0 {
+	index := indexOf(holders, r)
+	if index < 0 {
 		return
 	}
 	if len(holders) == 1 {
@@ -75,19 +76,19 @@
 		return
 	}
 	last := len(holders) - 1
-	holders[at] = holders[last]
+	holders[index] = holders[last]
 	holders[last] = holder{}
 	c.holders[block] = holders[:last]
 }
 
 func (c *cacheIndex) discardOldest() {
-	old := c.hints[c.head]
+	oldest := c.hints[c.head]
 	c.hints[c.head] = hint{}
 	c.head++
-	holders := c.holders[old.block]
-	at := indexOf(holders, old.replica)
-	if at >= 0 && holders[at].at == old.at {
-		c.evict(old.replica, old.block)
+	holders := c.holders[oldest.block]
+	index := indexOf(holders, oldest.replica)
+	if index >= 0 && holders[index].reportedAt == oldest.reportedAt {
+		c.evict(oldest.replica, oldest.block)
 	}
 	if c.head > c.size {
 		c.hints = slices.Delete(c.hints, 0, c.head)
@@ -105,7 +106,7 @@
 	for i := n - 1; i >= 0; i -= stride {
 		fraction := float64(i+1) / float64(n)
 		for _, holder := range c.holders[blocks[i]] {
-			value := 1 - float64(now-holder.at)/float64(cacheHintAge)
+			value := 1 - float64(now-holder.reportedAt)/float64(cacheHintAge)
 			if value <= 0 || holder.replica.cachedStamp == stamp {
 				continue
 			}
--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -11,8 +11,8 @@
 // candidate is a replica that can run the next layers of the path being built
 // and from whose end the path can be completed.
 type candidate struct {
-	replica *replica
-	next    int
+	replica   *replica
+	nextLayer int
 	// excessCost is the cost of the cheapest path through the replica minus that of
 	// the cheapest path from the same layer, in seconds.
 	excessCost float64
@@ -30,11 +30,11 @@
 	t.beginChoice(at, &req)
 	t.withinShares = t.live != nil
 	t.search(at, &req)
-	if t.withinShares && math.IsInf(t.best[0], 1) {
+	if t.withinShares && math.IsInf(t.lowestCost[0], 1) {
 		t.withinShares = false
 		t.search(at, &req)
 	}
-	if math.IsInf(t.best[0], 1) {
+	if math.IsInf(t.lowestCost[0], 1) {
 		return t.explainFailure(at)
 	}
 	t.choiceRate.count++
@@ -63,9 +63,9 @@
 	for b := 0; b < t.layers; {
 		t.collectCandidates(b)
 		c := t.candidates[t.policy.pick(t, b, t.candidates, t.source.Uint64())]
-		stages = append(stages, Hop{ReplicaID: c.replica.ID, First: b, Last: c.next - 1})
+		stages = append(stages, Hop{ReplicaID: c.replica.ID, First: b, Last: c.nextLayer - 1})
 		total += c.replica.cost
-		b = c.next
+		b = c.nextLayer
 	}
 	return Chain{Hops: stages, Expected: durationOf(total)}
 }
@@ -74,7 +74,7 @@
 func (t *Table) collectCandidates(b int) {
 	t.candidates = t.candidates[:0]
 	for _, g := range t.groupsFrom[b] {
-		rest := t.best[g.next]
+		rest := t.lowestCost[g.nextLayer]
 		if math.IsInf(rest, 1) {
 			continue
 		}
@@ -82,8 +82,8 @@
 			if math.IsInf(r.cost, 1) {
 				continue
 			}
-			excess := r.cost + rest - t.best[b]
-			t.candidates = append(t.candidates, candidate{replica: r, next: g.next, excessCost: excess})
+			excess := r.cost + rest - t.lowestCost[b]
+			t.candidates = append(t.candidates, candidate{replica: r, nextLayer: g.nextLayer, excessCost: excess})
 		}
 	}
 }
--- a/core/route/explain.go
+++ b/core/route/explain.go
@@ -72,7 +72,7 @@
 	e := Explanation{Decision: t.Choose(now, req, random), Tolerance: t.tolerance}
 	t.choiceRate = rate
 	if e.Decision.Outcome == Chosen {
-		e.Lowest = durationOf(t.best[0])
+		e.Lowest = durationOf(t.lowestCost[0])
 	}
 	at := now.UnixNano()
 	t.computeReachability(func(r *replica) bool { return t.usable(r) && !t.atLimit(at, r) })
@@ -119,10 +119,10 @@
 		return Excluded
 	case t.atLimit(now, r):
 		return AtLimit
-	case !t.forward[r.First] || !t.backward[r.Last+1]:
+	case !t.reachableFromStart[r.First] || !t.reachesEnd[r.Last+1]:
 		return NoPath
 	}
-	c := candidate{replica: r, excessCost: r.cost + t.best[r.Last+1] - t.best[r.First]}
+	c := candidate{replica: r, excessCost: r.cost + t.lowestCost[r.Last+1] - t.lowestCost[r.First]}
 	if math.IsInf(r.cost, 1) || c.drawWeight(t.tolerance) == 0 {
 		return TooSlow
 	}
--- a/core/route/policy.go
+++ b/core/route/policy.go
@@ -61,6 +61,6 @@
 	case PolicyLeastInFlight:
 		return leastInFlightPolicy{}
 	default:
-		return costPolicy{fixed: -1}
+		return costPolicy{fixedTolerance: -1}
 	}
 }
--- a/core/route/policy_cost.go
+++ b/core/route/policy_cost.go
@@ -35,14 +35,14 @@
 // tolerance, and with it the spread, grows with the rate of choices of the
 // other instances.
 type costPolicy struct {
-	// fixed replaces the table's tolerance unless it is negative.
-	fixed float64
+	// fixedTolerance replaces the table's tolerance unless it is negative.
+	fixedTolerance float64
 }
 
 func (p costPolicy) pick(t *Table, _ int, candidates []candidate, random uint64) int {
 	tolerance := t.tolerance
-	if p.fixed >= 0 {
-		tolerance = p.fixed
+	if p.fixedTolerance >= 0 {
+		tolerance = p.fixedTolerance
 	}
 	total := 0.0
 	for i := range candidates {
@@ -81,14 +81,14 @@
 // choiceRate estimates the number of own choices within the last rateWindow,
 // with exponential decay.
 type choiceRate struct {
-	count float64
-	at    int64
+	count     float64
+	updatedAt int64
 }
 
 func (c *choiceRate) decay(now int64) {
-	if elapsed := now - c.at; elapsed > 0 {
+	if elapsed := now - c.updatedAt; elapsed > 0 {
 		c.count *= math.Exp(-float64(elapsed) / float64(rateWindow))
-		c.at = now
+		c.updatedAt = now
 	}
 }
 
--- a/core/route/replica.go
+++ b/core/route/replica.go
@@ -53,13 +53,13 @@
 	cachedFraction float64
 }
 
-func (r *replica) begin(tokens int) {
+func (r *replica) recordDispatch(tokens int) {
 	r.inFlight++
 	r.inFlightDelta++
 	r.unreportedTokens += max(tokens, 0)
 }
 
-func (r *replica) end(tokens int) {
+func (r *replica) recordEnd(tokens int) {
 	if r.inFlight == 0 {
 		return
 	}
@@ -68,7 +68,7 @@
 	r.unreportedTokens = max(r.unreportedTokens-max(tokens, 0), 0)
 }
 
-func (r *replica) report(now int64, load Load) {
+func (r *replica) applyLoad(now int64, load Load) {
 	if r.reported && now < r.reportedAt {
 		return
 	}
@@ -86,10 +86,10 @@
 	}
 }
 
-// observe updates the token times with the measured duration of steps. It
+// recordSteps updates the token times with the measured duration of steps. It
 // ignores a prefill while no slot is free, as its duration then includes the
 // wait for one.
-func (r *replica) observe(prefillTokens, decodeTokens int, seconds float64) {
+func (r *replica) recordSteps(prefillTokens, decodeTokens int, seconds float64) {
 	if prefillTokens > 0 && float64(r.reportedOccupancy()) > r.slots() {
 		return
 	}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -144,7 +144,7 @@
 		}).Draw(t, "policy")
 		table, ids := drawTable(t, policy)
 		table.SetInstances(rapid.IntRange(1, 3).Draw(t, "instances"))
-		table.choiceRate = choiceRate{count: rapid.Float64Range(0, 5).Draw(t, "rate"), at: start.UnixNano()}
+		table.choiceRate = choiceRate{count: rapid.Float64Range(0, 5).Draw(t, "rate"), updatedAt: start.UnixNano()}
 		req := drawRequest(t, ids)
 		outcomes[checkChoice(t, table, policy, req)]++
 	})
@@ -163,7 +163,7 @@
 	d := table.Choose(start, req, rapid.Uint64().Draw(t, "random"))
 	if !math.IsInf(lowest, 1) {
 		require.Equal(t, Chosen, d.Outcome)
-		require.InDelta(t, lowest, table.best[0], 1e-9)
+		require.InDelta(t, lowest, table.lowestCost[0], 1e-9)
 		cost := requireTiling(t, table, &req, d.Chain)
 		require.InDelta(t, cost, d.Chain.Expected.Seconds(), 1e-6)
 		if policy == PolicyCost {
--- a/core/route/search.go
+++ b/core/route/search.go
@@ -7,23 +7,23 @@
 // acyclic graph whose nodes are the boundaries and whose edges are the
 // replicas.
 func (t *Table) search(now int64, req *Request) {
-	for b := range t.best {
-		t.best[b] = math.Inf(1)
+	for b := range t.lowestCost {
+		t.lowestCost[b] = math.Inf(1)
 	}
-	t.best[t.layers] = 0
+	t.lowestCost[t.layers] = 0
 	for b := t.layers - 1; b >= 0; b-- {
 		for _, g := range t.groupsFrom[b] {
-			rest := t.best[g.next]
+			rest := t.lowestCost[g.nextLayer]
 			if math.IsInf(rest, 1) {
 				continue
 			}
-			t.best[b] = min(t.best[b], t.priceGroup(now, req, g)+rest)
+			t.lowestCost[b] = min(t.lowestCost[b], t.computeCosts(now, req, g)+rest)
 		}
 	}
 }
 
-// priceGroup sets the cost of each member and returns the lowest.
-func (t *Table) priceGroup(now int64, req *Request, g *group) float64 {
+// computeCosts sets the cost of each member and returns the lowest.
+func (t *Table) computeCosts(now int64, req *Request, g *group) float64 {
 	lowest := math.Inf(1)
 	for _, r := range g.members {
 		r.cost = math.Inf(1)
@@ -72,41 +72,41 @@
 // one already.
 func (t *Table) missingRange(allowed func(*replica) bool) (Range, bool) {
 	t.computeReachability(allowed)
-	if t.forward[t.layers] {
+	if t.reachableFromStart[t.layers] {
 		return Range{}, false
 	}
 	found := Range{First: 0, Last: t.layers - 1}
-	begin := 0
+	start := 0
 	for b := 1; b <= t.layers; b++ {
-		if t.backward[b] && b-1-begin < found.Last-found.First {
-			found = Range{First: begin, Last: b - 1}
+		if t.reachesEnd[b] && b-1-start < found.Last-found.First {
+			found = Range{First: start, Last: b - 1}
 		}
-		if t.forward[b] {
-			begin = b
+		if t.reachableFromStart[b] {
+			start = b
 		}
 	}
 	return found, true
 }
 
-// computeReachability sets forward for the boundaries that allowed replicas can
-// reach from the first layer, and backward for those from which they can reach
-// the end.
+// computeReachability sets reachableFromStart for the boundaries that allowed
+// replicas can reach from the first layer, and reachesEnd for those from which
+// they can reach the end.
 func (t *Table) computeReachability(allowed func(*replica) bool) {
-	clear(t.forward)
-	clear(t.backward)
-	t.forward[0] = true
-	t.backward[t.layers] = true
+	clear(t.reachableFromStart)
+	clear(t.reachesEnd)
+	t.reachableFromStart[0] = true
+	t.reachesEnd[t.layers] = true
 	for b := range t.layers {
 		for _, g := range t.groupsFrom[b] {
-			if t.forward[b] && g.anyMember(allowed) {
-				t.forward[g.next] = true
+			if t.reachableFromStart[b] && g.anyMember(allowed) {
+				t.reachableFromStart[g.nextLayer] = true
 			}
 		}
 	}
 	for b := t.layers - 1; b >= 0; b-- {
 		for _, g := range t.groupsFrom[b] {
-			if t.backward[g.next] && g.anyMember(allowed) {
-				t.backward[b] = true
+			if t.reachesEnd[g.nextLayer] && g.anyMember(allowed) {
+				t.reachesEnd[b] = true
 			}
 		}
 	}
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -34,37 +34,38 @@
 	choiceRate choiceRate
 	// tolerance applies to the current choice.
 	tolerance float64
-	// best is the lowest cost from each layer boundary to the end.
-	best       []float64
-	source     rand.PCG
-	candidates []candidate
-	forward    []bool
-	backward   []bool
+	// lowestCost is the lowest cost from each layer boundary to the end in the
+	// current choice.
+	lowestCost         []float64
+	source             rand.PCG
+	candidates         []candidate
+	reachableFromStart []bool
+	reachesEnd         []bool
 }
 
 // group holds the replicas with equal ranges of layers.
 type group struct {
 	first int
-	// next is the layer after the range.
-	next    int
-	members []*replica
+	// nextLayer is the layer after the range.
+	nextLayer int
+	members   []*replica
 }
 
 // NewTable returns an empty table for a model with the given number of layers
 // that chooses by the given policy.
 func NewTable(layers int, p Policy) *Table {
 	return &Table{
-		layers:           layers,
-		instances:        1,
-		replicas:         make(map[string]*replica),
-		groupsFrom:       make([][]*group, layers),
-		acceleratorTimes: make(map[string]*tokenTimes),
-		cache:            newCacheIndex(maxCacheHints),
-		policy:           newPolicy(p),
-		roundRobinTurns:  make([]uint64, layers),
-		best:             make([]float64, layers+1),
-		forward:          make([]bool, layers+1),
-		backward:         make([]bool, layers+1),
+		layers:             layers,
+		instances:          1,
+		replicas:           make(map[string]*replica),
+		groupsFrom:         make([][]*group, layers),
+		acceleratorTimes:   make(map[string]*tokenTimes),
+		cache:              newCacheIndex(maxCacheHints),
+		policy:             newPolicy(p),
+		roundRobinTurns:    make([]uint64, layers),
+		lowestCost:         make([]float64, layers+1),
+		reachableFromStart: make([]bool, layers+1),
+		reachesEnd:         make([]bool, layers+1),
 	}
 }
 
@@ -154,14 +155,14 @@
 // of prompt tokens to a replica.
 func (t *Table) Begin(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
-		r.begin(tokens)
+		r.recordDispatch(tokens)
 	}
 }
 
 // End records that a request passed to Begin has ended.
 func (t *Table) End(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
-		r.end(tokens)
+		r.recordEnd(tokens)
 	}
 }
 
@@ -169,7 +170,7 @@
 // than the last one are ignored.
 func (t *Table) Report(now time.Time, id string, load Load) {
 	if r, ok := t.replicas[id]; ok {
-		r.report(now.UnixNano(), load)
+		r.applyLoad(now.UnixNano(), load)
 	}
 }
 
@@ -178,7 +179,7 @@
 // prefix cache must not be included.
 func (t *Table) Observe(id string, prefillTokens, decodeTokens int, d time.Duration) {
 	if r, ok := t.replicas[id]; ok {
-		r.observe(prefillTokens, decodeTokens, d.Seconds())
+		r.recordSteps(prefillTokens, decodeTokens, d.Seconds())
 	}
 }
 
@@ -202,12 +203,12 @@
 	t.updatePosition(r)
 	next := r.Last + 1
 	for _, g := range t.groupsFrom[r.First] {
-		if g.next == next {
+		if g.nextLayer == next {
 			g.members = append(g.members, r)
 			return
 		}
 	}
-	g := &group{first: r.First, next: next, members: []*replica{r}}
+	g := &group{first: r.First, nextLayer: next, members: []*replica{r}}
 	t.groupsFrom[r.First] = append(t.groupsFrom[r.First], g)
 }
 
--- a/core/route/table_test.go
+++ b/core/route/table_test.go
@@ -169,33 +169,33 @@
 
 // TestExplainStatuses checks the status that Explain returns for each replica.
 func TestExplainStatuses(t *testing.T) {
-	table := newTestTable(t, "fast", "slow", "busy", "out", "barred")
-	require.NoError(t, table.Upsert(Replica{ID: "astray", First: 1, Last: 3}))
+	table := newTestTable(t, "fast", "slow", "busy", "zero-weight", "excluded")
+	require.NoError(t, table.Upsert(Replica{ID: "off-path", First: 1, Last: 3}))
 	table.Report(start, "slow", Load{Step: time.Second})
 	table.SetLimit("busy", 1)
 	table.Begin("busy", 1)
-	table.SetWeight("out", 0)
-	e := table.Explain(start, Request{PromptTokens: 10, OutputTokens: 10, Exclude: []string{"barred"}}, 1)
+	table.SetWeight("zero-weight", 0)
+	e := table.Explain(start, Request{PromptTokens: 10, OutputTokens: 10, Exclude: []string{"excluded"}}, 1)
 	got := make(map[string]Status)
 	for _, r := range e.Replicas {
 		got[r.ID] = r.Standing
 	}
 	require.Equal(t, map[string]Status{
-		"fast": Eligible, "slow": TooSlow, "busy": AtLimit, "out": ZeroWeight,
-		"barred": Excluded, "astray": NoPath,
+		"fast": Eligible, "slow": TooSlow, "busy": AtLimit, "zero-weight": ZeroWeight,
+		"excluded": Excluded, "off-path": NoPath,
 	}, got)
 	require.Equal(t, "fast", e.Decision.Chain.Hops[0].ReplicaID)
 	require.Equal(t, e.Lowest, e.Decision.Chain.Expected)
 }
 
-// TestEachSignRaisesItsTerm checks that each sign of a slower replica, taken
-// alone, raises its term and the total, compared with an otherwise equal
-// replica.
-func TestEachSignRaisesItsTerm(t *testing.T) {
-	usual := Load{Running: 2, Slots: 4, Step: 10 * time.Millisecond, PrefillTokensPerSecond: 1000}
+// TestEachSignOfSlownessRaisesItsTerm checks that each sign of a slower
+// replica, taken alone, raises its term and the total, compared with an
+// otherwise equal replica.
+func TestEachSignOfSlownessRaisesItsTerm(t *testing.T) {
+	baseline := Load{Running: 2, Slots: 4, Step: 10 * time.Millisecond, PrefillTokensPerSecond: 1000}
 	change := func(f func(*Load)) func(*Table) {
 		return func(table *Table) {
-			load := usual
+			load := baseline
 			f(&load)
 			table.Report(start, "worse", load)
 		}
@@ -219,7 +219,7 @@
 	} {
 		table := newTestTable(t, "usual", "worse")
 		for _, id := range []string{"usual", "worse"} {
-			table.Report(start, id, usual)
+			table.Report(start, id, baseline)
 			table.CacheEvent(start, id, 1, false)
 		}
 		sign.apply(table)
--- a/node/peer/conn.go
+++ b/node/peer/conn.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// countedConn counts the bytes of one connection, including yamux framing but
+// countingConn counts the bytes of one connection, including yamux framing but
 // not TCP headers.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 
 	sent     atomic.Uint64
@@ -15,14 +15,14 @@
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.received.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sent.Add(uint64(n))
 	return n, err
--- a/node/peer/dial.go
+++ b/node/peer/dial.go
@@ -52,7 +52,7 @@
 // acceptSession authenticates an accepted connection and serves its session
 // until it ends.
 func (n *Node) acceptSession(raw net.Conn) {
-	counted := &countedConn{Conn: raw}
+	counted := &countingConn{Conn: raw}
 	conn := n.withTLS(counted, false, "")
 	result, err := n.runHandshake(n.openCtx, counted, conn, func(ctx context.Context) (handshakeResult, error) {
 		return newHandshake(&n.options, 0).accept(ctx, conn)
@@ -130,7 +130,7 @@
 	if err != nil {
 		return false, trace.ConnectionProblem(err, "dial")
 	}
-	counted := &countedConn{Conn: raw}
+	counted := &countingConn{Conn: raw}
 	conn := n.withTLS(counted, true, address)
 	result, err := n.runHandshake(ctx, counted, conn, func(ctx context.Context) (handshakeResult, error) {
 		return newHandshake(&n.options, previous).dial(ctx, conn)
--- a/node/peer/digest_test.go
+++ b/node/peer/digest_test.go
@@ -102,7 +102,7 @@
 	defer node.mu.Unlock()
 	connected := 0
 	for _, r := range node.remotes {
-		if r.session == nil || len(r.open) != 1 {
+		if r.session == nil || len(r.openSessions) != 1 {
 			return false
 		}
 		if _, heardAt := r.session.snapshot(); !heardAt.IsZero() {
--- a/node/peer/handshake.go
+++ b/node/peer/handshake.go
@@ -43,9 +43,9 @@
 // binding, if any. The dialer sends its proof first, so that an unauthenticated
 // dialer gets no proof.
 type handshake struct {
-	key    []byte
-	local  *peerpb.Preamble
-	remote *peerpb.Preamble
+	key            []byte
+	localPreamble  *peerpb.Preamble
+	remotePreamble *peerpb.Preamble
 
 	dialerBytes    []byte
 	acceptorBytes  []byte
@@ -66,7 +66,7 @@
 func newHandshake(options *Options, previous uint64) *handshake {
 	nonce := make([]byte, nonceBytes)
 	_, _ = rand.Read(nonce)
-	return &handshake{key: options.Key, local: &peerpb.Preamble{
+	return &handshake{key: options.Key, localPreamble: &peerpb.Preamble{
 		MinVersion:      minVersion,
 		MaxVersion:      maxVersion,
 		Nonce:           nonce,
@@ -140,7 +140,7 @@
 }
 
 func (h *handshake) writePreamble(w io.Writer) ([]byte, error) {
-	body, err := proto.Marshal(h.local)
+	body, err := proto.Marshal(h.localPreamble)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -164,14 +164,14 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, trace.ConnectionProblem(err, "read preamble")
 	}
-	h.remote = &peerpb.Preamble{}
-	if err := proto.Unmarshal(body, h.remote); err != nil {
+	h.remotePreamble = &peerpb.Preamble{}
+	if err := proto.Unmarshal(body, h.remotePreamble); err != nil {
 		return nil, trace.BadParameter("invalid preamble: %v", err)
 	}
-	if len(h.remote.GetNonce()) != nonceBytes {
-		return nil, trace.BadParameter("invalid preamble: nonce of %d bytes", len(h.remote.GetNonce()))
+	if len(h.remotePreamble.GetNonce()) != nonceBytes {
+		return nil, trace.BadParameter("invalid preamble: nonce of %d bytes", len(h.remotePreamble.GetNonce()))
 	}
-	return body, trace.Wrap(checkID(h.remote.GetInstance()))
+	return body, trace.Wrap(checkID(h.remotePreamble.GetInstance()))
 }
 
 // proof returns the HMAC that the given side must send.
@@ -190,7 +190,7 @@
 		return trace.ConnectionProblem(err, "read proof")
 	}
 	if !hmac.Equal(got, h.proof(sender)) {
-		return trace.AccessDenied("peer %q has a different shared key", h.remote.GetInstance())
+		return trace.AccessDenied("peer %q has a different shared key", h.remotePreamble.GetInstance())
 	}
 	return nil
 }
@@ -198,23 +198,23 @@
 // complete negotiates the protocol version and returns the result of the
 // handshake.
 func (h *handshake) complete(conn net.Conn) (handshakeResult, error) {
-	version := min(maxVersion, h.remote.GetMaxVersion())
-	if version < max(minVersion, h.remote.GetMinVersion()) {
+	version := min(maxVersion, h.remotePreamble.GetMaxVersion())
+	if version < max(minVersion, h.remotePreamble.GetMinVersion()) {
 		return handshakeResult{}, trace.NotImplemented("peer %q supports protocol versions %d to %d, this instance %d to %d",
-			h.remote.GetInstance(), h.remote.GetMinVersion(), h.remote.GetMaxVersion(), minVersion, maxVersion)
+			h.remotePreamble.GetInstance(), h.remotePreamble.GetMinVersion(), h.remotePreamble.GetMaxVersion(), minVersion, maxVersion)
 	}
-	if h.remote.GetInstance() == h.local.GetInstance() {
-		return handshakeResult{}, trace.BadParameter("peer has the same ID %q as this instance", h.local.GetInstance())
+	if h.remotePreamble.GetInstance() == h.localPreamble.GetInstance() {
+		return handshakeResult{}, trace.BadParameter("peer has the same ID %q as this instance", h.localPreamble.GetInstance())
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return handshakeResult{}, trace.ConnectionProblem(err, "clear deadline")
 	}
 	return handshakeResult{
-		remoteID: h.remote.GetInstance(),
-		process:  h.remote.GetIncarnation(),
+		remoteID: h.remotePreamble.GetInstance(),
+		process:  h.remotePreamble.GetIncarnation(),
 		version:  version,
 		id:       h.sessionID(),
-		previous: h.remote.GetPreviousSession(),
+		previous: h.remotePreamble.GetPreviousSession(),
 	}, nil
 }
 
--- a/node/peer/handshake_test.go
+++ b/node/peer/handshake_test.go
@@ -53,7 +53,7 @@
 
 func TestHandshakeAgrees(t *testing.T) {
 	dialer := newHandshake(optionsWith("a", testKey), 5)
-	dialer.local.MaxVersion = 9
+	dialer.localPreamble.MaxVersion = 9
 	acceptor := newHandshake(optionsWith("b", testKey), 0)
 	atDialer, atAcceptor := handshakeBothSides(t, dialer, acceptor)
 	require.NoError(t, atDialer.err)
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			dialer := newHandshake(test.dialer, 0)
 			if test.change != nil {
-				test.change(dialer.local)
+				test.change(dialer.localPreamble)
 			}
 			_, atAcceptor := handshakeBothSides(t, dialer, newHandshake(optionsWith("b", testKey), 0))
 			require.Error(t, atAcceptor.err)
@@ -127,7 +127,7 @@
 	recorded := first.proof(roleDialer)
 	acceptor := newHandshake(optionsWith("b", testKey), 0)
 	acceptor.dialerBytes = first.dialerBytes
-	acceptor.remote = first.local
+	acceptor.remotePreamble = first.localPreamble
 	var err error
 	acceptor.acceptorBytes, err = acceptor.writePreamble(io.Discard)
 	require.NoError(t, err)
--- a/node/peer/node_test.go
+++ b/node/peer/node_test.go
@@ -269,7 +269,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	atA, atB := a.remotes["b"], b.remotes["a"]
-	if len(atA.open) != 1 || len(atB.open) != 1 || atA.session == nil || atB.session == nil {
+	if len(atA.openSessions) != 1 || len(atB.openSessions) != 1 || atA.session == nil || atB.session == nil {
 		return false
 	}
 	return atA.session.id == atB.session.id
--- a/node/peer/queue.go
+++ b/node/peer/queue.go
@@ -20,16 +20,16 @@
 	// ready holds a token while the queue may hold a message or is closed.
 	ready chan struct{}
 
-	mu        sync.Mutex
-	heartbeat *peerpb.Envelope
-	notices   []*peerpb.Envelope
-	state     *peerpb.Envelope
-	digests   []*peerpb.Envelope
-	loads     *peerpb.Envelope
-	zoneLoads *peerpb.Envelope
-	states    *peerpb.Envelope
-	discarded uint64
-	closed    bool
+	mu             sync.Mutex
+	heartbeat      *peerpb.Envelope
+	notices        []*peerpb.Envelope
+	configState    *peerpb.Envelope
+	digests        []*peerpb.Envelope
+	loads          *peerpb.Envelope
+	zoneLoads      *peerpb.Envelope
+	upstreamStates *peerpb.Envelope
+	discarded      uint64
+	closed         bool
 }
 
 func newQueue() *queue {
@@ -51,7 +51,7 @@
 	case *peerpb.Envelope_Heartbeat:
 		q.heartbeat = message
 	case *peerpb.Envelope_ConfigState:
-		q.state = message
+		q.configState = message
 	case *peerpb.Envelope_Digest:
 		q.addDigest(message)
 	case *peerpb.Envelope_UpstreamLoads:
@@ -59,7 +59,7 @@
 	case *peerpb.Envelope_ZoneLoads:
 		q.zoneLoads = message
 	case *peerpb.Envelope_UpstreamStates:
-		q.states = message
+		q.upstreamStates = message
 	default:
 		q.notices = q.appendBounded(q.notices, message, maxQueuedNotices)
 	}
@@ -97,14 +97,14 @@
 		message, q.heartbeat = q.heartbeat, nil
 	case len(q.notices) > 0:
 		message, q.notices = q.notices[0], q.notices[1:]
-	case q.state != nil:
-		message, q.state = q.state, nil
+	case q.configState != nil:
+		message, q.configState = q.configState, nil
 	case q.loads != nil:
 		message, q.loads = q.loads, nil
 	case q.zoneLoads != nil:
 		message, q.zoneLoads = q.zoneLoads, nil
-	case q.states != nil:
-		message, q.states = q.states, nil
+	case q.upstreamStates != nil:
+		message, q.upstreamStates = q.upstreamStates, nil
 	case len(q.digests) > 0:
 		message, q.digests = q.digests[0], q.digests[1:]
 	}
--- a/node/peer/remote.go
+++ b/node/peer/remote.go
@@ -14,15 +14,15 @@
 	zone    string
 	// wanted is true while the peer is in the set passed to SetPeers.
 	wanted bool
-	// stop ends the dialing loop; nil if none is running.
-	stop context.CancelFunc
+	// cancelDial ends the dialing loop; nil if none is running.
+	cancelDial context.CancelFunc
 	// disconnected holds a token after the session has ended.
 	disconnected chan struct{}
 
 	session *session
-	// open holds the sessions that have not ended yet. All except session are
-	// being closed.
-	open []*session
+	// openSessions holds the sessions that have not ended yet. All except
+	// session are being closed.
+	openSessions []*session
 	// lastSession is the ID of the last session that ended here.
 	lastSession uint64
 	// latestProcess is the process number of the last registered session. It
@@ -33,21 +33,21 @@
 
 	// notifyMu serializes the calls of PeerUp and PeerDown.
 	notifyMu sync.Mutex
-	// up is true between PeerUp and PeerDown.
-	up bool
+	// notifiedUp is true between PeerUp and PeerDown.
+	notifiedUp bool
 }
 
 func (r *remote) stopDialing() {
-	if r.stop != nil {
-		r.stop()
-		r.stop = nil
+	if r.cancelDial != nil {
+		r.cancelDial()
+		r.cancelDial = nil
 	}
 }
 
 // totals returns the sum over all sessions with the peer, ended and open.
 func (r *remote) totals() counters {
 	sum := r.endedTotals
-	for _, s := range r.open {
+	for _, s := range r.openSessions {
 		sum.add(s.counters())
 	}
 	return sum
@@ -58,11 +58,11 @@
 	r := n.findOrAddRemote(p.ID)
 	r.address, r.zone = p.Address, p.Zone
 	r.wanted = true
-	if r.stop != nil {
+	if r.cancelDial != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(n.openCtx)
-	r.stop = cancel
+	r.cancelDial = cancel
 	n.tasks.Go(func() { n.dialLoop(ctx, r) })
 }
 
@@ -81,7 +81,7 @@
 // deleteIfUnused deletes the record of a peer that is not wanted and has no
 // open session. The caller must hold n.mu.
 func (n *Node) deleteIfUnused(r *remote) {
-	if !r.wanted && len(r.open) == 0 {
+	if !r.wanted && len(r.openSessions) == 0 {
 		delete(n.remotes, r.id)
 	}
 }
@@ -109,7 +109,7 @@
 	r = n.findOrAddRemote(s.remoteID)
 	replaced = r.session
 	r.session = s
-	r.open = append(r.open, s)
+	r.openSessions = append(r.openSessions, s)
 	r.latestProcess = s.process
 	return r, replaced, true
 }
@@ -150,7 +150,7 @@
 	defer n.mu.Unlock()
 	r.lastSession = s.id
 	r.endedTotals.add(s.counters())
-	r.open = slices.DeleteFunc(r.open, func(other *session) bool { return other == s })
+	r.openSessions = slices.DeleteFunc(r.openSessions, func(other *session) bool { return other == s })
 	if r.session != s {
 		return
 	}
@@ -168,7 +168,7 @@
 	if n.currentSession(r.id) != s {
 		return
 	}
-	r.up = true
+	r.notifiedUp = true
 	info, _ := s.snapshot()
 	n.options.Handler.PeerUp(info)
 }
@@ -177,8 +177,8 @@
 func (n *Node) notifyDown(r *remote, s *session) {
 	r.notifyMu.Lock()
 	defer r.notifyMu.Unlock()
-	if n.currentSession(r.id) == nil && r.up {
-		r.up = false
+	if n.currentSession(r.id) == nil && r.notifiedUp {
+		r.notifiedUp = false
 		info, _ := s.snapshot()
 		n.options.Handler.PeerDown(info)
 	}
--- a/node/peer/serve.go
+++ b/node/peer/serve.go
@@ -14,7 +14,7 @@
 
 // serve runs one session until it ends. It returns whether the peer's Hello was
 // received and why the session ended.
-func (n *Node) serve(conn net.Conn, raw *countedConn, result handshakeResult, dialed bool) (established bool, err error) {
+func (n *Node) serve(conn net.Conn, raw *countingConn, result handshakeResult, dialed bool) (established bool, err error) {
 	s, err := newSession(conn, raw, result, dialed, &n.options)
 	if err != nil {
 		_ = raw.Close()
--- a/node/peer/session.go
+++ b/node/peer/session.go
@@ -30,7 +30,7 @@
 	dialed bool
 	queue  *queue
 
-	raw       *countedConn
+	raw       *countingConn
 	mux       *yamux.Session
 	closeOnce sync.Once
 
@@ -44,7 +44,7 @@
 }
 
 // newSession starts yamux on conn, which may be a TLS connection over raw.
-func newSession(conn net.Conn, raw *countedConn, result handshakeResult, dialed bool, options *Options) (*session, error) {
+func newSession(conn net.Conn, raw *countingConn, result handshakeResult, dialed bool, options *Options) (*session, error) {
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
 	config.LogOutput = io.Discard
@@ -155,18 +155,18 @@
 
 // receiver reads messages from the peer's stream.
 type receiver struct {
-	stream  *yamux.Stream
-	reader  *bufio.Reader
-	timeout time.Duration
-	limits  protodelim.UnmarshalOptions
+	stream           *yamux.Stream
+	reader           *bufio.Reader
+	timeout          time.Duration
+	unmarshalOptions protodelim.UnmarshalOptions
 }
 
 func newReceiver(stream *yamux.Stream, options *Options) *receiver {
 	return &receiver{
-		stream:  stream,
-		reader:  bufio.NewReader(stream),
-		timeout: options.SilenceTimeout,
-		limits:  protodelim.UnmarshalOptions{MaxSize: int64(options.MaxMessageBytes)},
+		stream:           stream,
+		reader:           bufio.NewReader(stream),
+		timeout:          options.SilenceTimeout,
+		unmarshalOptions: protodelim.UnmarshalOptions{MaxSize: int64(options.MaxMessageBytes)},
 	}
 }
 
@@ -177,7 +177,7 @@
 		return nil, trace.ConnectionProblem(err, "set read deadline")
 	}
 	message := &peerpb.Envelope{}
-	err := r.limits.UnmarshalFrom(r.reader, message)
+	err := r.unmarshalOptions.UnmarshalFrom(r.reader, message)
 	var tooLarge *protodelim.SizeTooLargeError
 	switch {
 	case err == nil:
