--- a/core/health/health.go
+++ b/core/health/health.go
@@ -133,8 +133,8 @@
 // in order.
 type Effect interface{ isEffect() }
 
-// Probe requests a probe on a new connection. Its result is reported within
-// Timeout by ProbeAnswered or ProbeFailed with the same number.
+// Probe requests a probe on a new connection. Its result must be reported with
+// the same number within Timeout.
 type Probe struct {
 	Number  uint64
 	Timeout time.Duration
--- a/core/health/pace.go
+++ b/core/health/pace.go
@@ -20,7 +20,7 @@
 	timeoutFactor = 3
 	// minSamples is the number of samples an estimate needs to be used.
 	minSamples = 4
-	// maxDoublings limits how often Expired can double the timeout.
+	// maxDoublings limits how often a timeout can be doubled.
 	maxDoublings = 3
 )
 
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -71,7 +71,8 @@
 	Last      int
 }
 
-// Chain is a path: stages whose layers tile the model exactly.
+// Chain is the list of stages chosen for a request. Their layers tile the model
+// exactly.
 type Chain struct {
 	Hops []Hop
 	// Expected is the estimated time from dispatch to the last token.
@@ -82,7 +83,7 @@
 type Outcome int
 
 const (
-	// Chosen means that a path was found and Decision.Chain is set.
+	// Chosen means that a path was found; the decision contains it.
 	Chosen Outcome = iota
 	// Full means that paths exist, but each needs a range of layers whose
 	// replicas have all reached their limit of requests in flight.
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// End records that a request passed to Begin has ended.
+// End records the end of a request that was recorded as dispatched.
 func (t *Table) End(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
 		r.recordEnd(tokens)
--- a/node/peer/status.go
+++ b/node/peer/status.go
@@ -14,8 +14,8 @@
 	ID      string
 	Address string
 	Zone    string
-	// Connected is true if there is a session. The fields from Incarnation to
-	// LastHeard are set only then.
+	// Connected is true if there is a session. The five fields after it are set
+	// only then.
 	Connected   bool
 	Incarnation uint64
 	Version     uint32
--- a/node/wire/engine.go
+++ b/node/wire/engine.go
@@ -16,7 +16,8 @@
 	// PathCacheEvents returns CacheEvents, starting at the sequence number in
 	// the query parameter "from".
 	PathCacheEvents = "/v1/cache-events"
-	// PathOrder accepts an Order by POST and returns an OrderResponse.
+	// PathOrder accepts a layer assignment by POST and returns an
+	// OrderResponse.
 	PathOrder = "/v1/order"
 	// PathState returns an EngineState.
 	PathState = "/v1/state"
@@ -120,10 +121,10 @@
 // covers.
 const PrefixBlockBytes = 64
 
-// Order is a layer assignment: it requests that an engine hold a target state.
-// It contains the whole target, so repeating it has no effect.
+// Order assigns a range of layers to an engine. It contains the whole target
+// state, so repeating it has no effect.
 type Order struct {
-	// Fence is the epoch of the leader task that sends the order.
+	// Fence is the epoch of the leader task that sends the assignment.
 	Fence      uint64 `json:"fence"`
 	Model      string `json:"model"`
 	Version    string `json:"version"`
@@ -131,7 +132,7 @@
 	LastLayer  int    `json:"last_layer"`
 }
 
-// OrderResponse reports whether an engine accepted an order.
+// OrderResponse reports whether an engine accepted a layer assignment.
 type OrderResponse struct {
 	Accepted bool `json:"accepted"`
 	// Fence is the highest fence received so far.
@@ -147,7 +148,8 @@
 	LastLayer  int    `json:"last_layer"`
 	Loading    bool   `json:"loading"`
 	Fence      uint64 `json:"fence"`
-	// Fencing is true if the engine rejects orders with an older fence.
+	// Fencing is true if the engine rejects layer assignments with an older
+	// fence.
 	Fencing bool `json:"fencing"`
 }
 
