--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -36,12 +36,12 @@
 	for i := range n {
 		id := fmt.Sprintf("replica-%d", i)
 		held := ranges[i%len(ranges)]
-		kind := i % 3
-		if err := table.Upsert(Replica{ID: id, First: held.First, Last: held.Last, Accelerator: fmt.Sprint(kind)}); err != nil {
+		accelerator := i % 3
+		if err := table.Upsert(Replica{ID: id, First: held.First, Last: held.Last, Accelerator: fmt.Sprint(accelerator)}); err != nil {
 			b.Fatal(err)
 		}
 		table.Latency(id, time.Duration(250+i)*time.Microsecond)
-		step := time.Duration((held.Last-held.First+1)<<kind*250+i) * time.Microsecond
+		step := time.Duration((held.Last-held.First+1)<<accelerator*250+i) * time.Microsecond
 		table.Report(start, id, Load{Running: i % 16, Slots: 16, Step: step, PrefillTokensPerSecond: 8000})
 		table.Observe(id, 0, 1, step+time.Millisecond)
 		for _, block := range req.Blocks[:i*7%len(req.Blocks)] {
@@ -144,7 +144,7 @@
 func placeBetweenReports(b *testing.B, p policy, each int, seed uint64) (times []float64, most int) {
 	const instances = 9
 	truth, req := benchTable(b, 40, p)
-	var chains []Chain
+	var paths []Chain
 	for instance := range instances {
 		table, _ := benchTable(b, 40, p)
 		table.SetInstances(instances)
@@ -155,15 +155,15 @@
 		table.choiceRate = choiceRate{count: float64(each), updatedAt: start.UnixNano()}
 		for range each {
 			c := table.Choose(start, req, random.Uint64()).Chain
-			chains = append(chains, c)
-			for _, hop := range c.Hops {
-				table.Begin(hop.ReplicaID, req.PromptTokens)
-				truth.Begin(hop.ReplicaID, req.PromptTokens)
+			paths = append(paths, c)
+			for _, stage := range c.Hops {
+				table.Begin(stage.ReplicaID, req.PromptTokens)
+				truth.Begin(stage.ReplicaID, req.PromptTokens)
 			}
 		}
 	}
 	truth.beginChoice(start.UnixNano(), &req)
-	for _, c := range chains {
+	for _, c := range paths {
 		total := 0.0
 		for _, hop := range c.Hops {
 			r := truth.replicas[hop.ReplicaID]
--- a/core/route/pace.go
+++ b/core/route/pace.go
@@ -35,7 +35,7 @@
 // addReported adds a reported value. If too few samples are known, the value
 // replaces them and is used at once.
 func (m *mean) addReported(value float64) {
-	if !m.known() {
+	if !m.reliable() {
 		m.value = value
 		m.samples = minSamples
 		return
@@ -43,7 +43,8 @@
 	m.add(value, reportGain)
 }
 
-func (m *mean) known() bool {
+// reliable reports whether the average has enough samples to be used.
+func (m *mean) reliable() bool {
 	return m.samples >= minSamples
 }
 
--- a/core/route/part_test.go
+++ b/core/route/part_test.go
@@ -21,13 +21,13 @@
 		}
 		sum, most := 0, 0
 		for _, self := range live {
-			tab := NewTable(1, PolicyCost)
-			require.NoError(t, tab.Upsert(Replica{ID: "r"}))
-			tab.SetLimit("r", limit)
-			tab.SetMembers(self, live)
-			part := tab.limitShare(tab.replicas["r"])
-			sum += part
-			most = max(most, part)
+			table := NewTable(1, PolicyCost)
+			require.NoError(t, table.Upsert(Replica{ID: "r"}))
+			table.SetLimit("r", limit)
+			table.SetMembers(self, live)
+			share := table.limitShare(table.replicas["r"])
+			sum += share
+			most = max(most, share)
 		}
 		require.Equal(t, limit, sum)
 		require.LessOrEqual(t, most, limit/len(live)+1)
@@ -43,22 +43,22 @@
 	live := []string{"a", "b", "c"}
 	held := map[string]int{}
 	for _, self := range live {
-		tab := NewTable(1, PolicyCost)
+		table := NewTable(1, PolicyCost)
 		for i := range replicas {
 			id := fmt.Sprint("r", i)
-			require.NoError(t, tab.Upsert(Replica{ID: id}))
-			tab.SetLimit(id, limit)
-			tab.Report(start, id, Load{Slots: limit})
+			require.NoError(t, table.Upsert(Replica{ID: id}))
+			table.SetLimit(id, limit)
+			table.Report(start, id, Load{Slots: limit})
 		}
-		tab.SetMembers(self, live)
-		parts := 0
-		for _, r := range tab.replicas {
-			parts += tab.limitShare(r)
+		table.SetMembers(self, live)
+		shares := 0
+		for _, r := range table.replicas {
+			shares += table.limitShare(r)
 		}
-		for i := range parts {
-			d := tab.Choose(start.Add(time.Millisecond), Request{PromptTokens: 1, OutputTokens: 1}, uint64(i)*0x9e3779b97f4a7c15)
+		for i := range shares {
+			d := table.Choose(start.Add(time.Millisecond), Request{PromptTokens: 1, OutputTokens: 1}, uint64(i)*0x9e3779b97f4a7c15)
 			require.Equal(t, Chosen, d.Outcome)
-			tab.Begin(d.Chain.Hops[0].ReplicaID, 1)
+			table.Begin(d.Chain.Hops[0].ReplicaID, 1)
 			held[d.Chain.Hops[0].ReplicaID]++
 		}
 	}
--- a/core/route/replica.go
+++ b/core/route/replica.go
@@ -139,9 +139,9 @@
 	layers := float64(r.layers())
 	var perToken float64
 	switch {
-	case own.known():
+	case own.reliable():
 		perToken = own.value
-	case accelerator.known():
+	case accelerator.reliable():
 		perToken = accelerator.value * layers
 	case own.samples > 0:
 		perToken = own.value
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -29,8 +29,8 @@
 		first := rapid.IntRange(0, layers-1).Draw(t, "first")
 		last := rapid.IntRange(first, layers-1).Draw(t, "last")
 		id := fmt.Sprintf("r%d", i)
-		kind := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "kind")
-		require.NoError(t, table.Upsert(Replica{ID: id, First: first, Last: last, Accelerator: kind}))
+		accelerator := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "kind")
+		require.NoError(t, table.Upsert(Replica{ID: id, First: first, Last: last, Accelerator: accelerator}))
 		ids = append(ids, id)
 	}
 	for _, id := range ids {
@@ -79,14 +79,14 @@
 
 // enumerate calls visit for every exact tiling by replicas that allowed
 // accepts.
-func enumerate(table *Table, from int, chain []*replica, allowed func(*replica) bool, visit func([]*replica)) {
+func enumerate(table *Table, from int, path []*replica, allowed func(*replica) bool, visit func([]*replica)) {
 	if from == table.layers {
-		visit(chain)
+		visit(path)
 		return
 	}
 	for _, r := range table.replicas {
 		if r.First == from && allowed(r) {
-			enumerate(table, r.Last+1, append(chain, r), allowed, visit)
+			enumerate(table, r.Last+1, append(path, r), allowed, visit)
 		}
 	}
 }
@@ -95,9 +95,9 @@
 // none.
 func bruteForce(table *Table, req *Request, allowed func(*replica) bool) float64 {
 	lowest := math.Inf(1)
-	enumerate(table, 0, nil, allowed, func(chain []*replica) {
+	enumerate(table, 0, nil, allowed, func(path []*replica) {
 		total := 0.0
-		for _, r := range chain {
+		for _, r := range path {
 			total += naiveCost(table, req, r)
 		}
 		lowest = min(lowest, total)
@@ -115,19 +115,19 @@
 	return table.costTerms(start.UnixNano(), req, r, cached).Total()
 }
 
-func requireTiling(t require.TestingT, table *Table, req *Request, chain Chain) float64 {
+func requireTiling(t require.TestingT, table *Table, req *Request, path Chain) float64 {
 	next := 0
 	total := 0.0
-	for _, hop := range chain.Hops {
-		r := table.replicas[hop.ReplicaID]
+	for _, stage := range path.Hops {
+		r := table.replicas[stage.ReplicaID]
 		require.NotNil(t, r)
-		require.Equal(t, next, hop.First)
-		require.Equal(t, Range{r.First, r.Last}, Range{hop.First, hop.Last})
+		require.Equal(t, next, stage.First)
+		require.Equal(t, Range{r.First, r.Last}, Range{stage.First, stage.Last})
 		require.False(t, slices.Contains(req.Exclude, r.ID))
 		require.Positive(t, r.weight)
 		require.False(t, r.atLimit(start.UnixNano()))
 		total += naiveCost(table, req, r)
-		next = hop.Last + 1
+		next = stage.Last + 1
 	}
 	require.Equal(t, table.layers, next)
 	return total
@@ -189,9 +189,9 @@
 func requireSmallestMissingRange(t *rapid.T, table *Table, missing Range, allowed func(*replica) bool) {
 	completes := func(first, last int) bool {
 		found := false
-		before := &replica{Replica: Replica{ID: "probe", First: first, Last: last}}
-		table.replicas["probe"] = before
-		enumerate(table, 0, nil, func(r *replica) bool { return r == before || allowed(r) },
+		probe := &replica{Replica: Replica{ID: "probe", First: first, Last: last}}
+		table.replicas["probe"] = probe
+		enumerate(table, 0, nil, func(r *replica) bool { return r == probe || allowed(r) },
 			func([]*replica) { found = true })
 		delete(table.replicas, "probe")
 		return found
--- a/node/peer/digest_test.go
+++ b/node/peer/digest_test.go
@@ -57,9 +57,9 @@
 
 func TestInfoMember(t *testing.T) {
 	info := Info{ID: "m2", Incarnation: 4, Zone: "quito", State: peerpb.InstanceState_INSTANCE_STATE_LEAVING}
-	heard, ok := info.Member()
+	event, ok := info.Member()
 	require.True(t, ok)
-	require.Equal(t, membership.Heard{ID: "m2", Incarnation: 4, Zone: "quito", State: membership.Leaving}, heard)
+	require.Equal(t, membership.Heard{ID: "m2", Incarnation: 4, Zone: "quito", State: membership.Leaving}, event)
 	_, ok = Info{}.Member()
 	require.False(t, ok)
 }
--- a/node/peer/handshake.go
+++ b/node/peer/handshake.go
@@ -177,9 +177,9 @@
 // proof returns the HMAC that the given side must send.
 func (h *handshake) proof(sender role) []byte {
 	mac := hmac.New(sha256.New, h.key)
-	for _, part := range [][]byte{[]byte(sender), h.dialerBytes, h.acceptorBytes, h.channelBinding} {
-		_ = binary.Write(mac, binary.BigEndian, uint32(len(part)))
-		_, _ = mac.Write(part)
+	for _, input := range [][]byte{[]byte(sender), h.dialerBytes, h.acceptorBytes, h.channelBinding} {
+		_ = binary.Write(mac, binary.BigEndian, uint32(len(input)))
+		_, _ = mac.Write(input)
 	}
 	return mac.Sum(nil)
 }
--- a/node/peer/remote.go
+++ b/node/peer/remote.go
@@ -102,8 +102,8 @@
 func (n *Node) register(s *session) (r *remote, replaced *session, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	known := n.remotes[s.remoteID]
-	if n.closed || !n.mayRegister(s, known) {
+	existing := n.remotes[s.remoteID]
+	if n.closed || !n.mayRegister(s, existing) {
 		return nil, nil, false
 	}
 	r = n.findOrAddRemote(s.remoteID)
@@ -115,14 +115,14 @@
 }
 
 // mayRegister reports whether s may become the current session with its peer.
-func (n *Node) mayRegister(s *session, known *remote) bool {
-	if known == nil {
+func (n *Node) mayRegister(s *session, existing *remote) bool {
+	if existing == nil {
 		return !s.dialed && len(n.remotes) < n.options.MaxSessions
 	}
-	if s.dialed && !known.wanted {
+	if s.dialed && !existing.wanted {
 		return false
 	}
-	return s.process >= known.latestProcess && n.prefer(s, known.session)
+	return s.process >= existing.latestProcess && n.prefer(s, existing.session)
 }
 
 // prefer reports whether session s replaces old. Both ends decide alike, so
--- a/node/peer/sharing/sharing.go
+++ b/node/peer/sharing/sharing.go
@@ -169,8 +169,8 @@
 // Heard applies the state of a peer. It must be called for every message of the
 // peer.
 func (s *Sharer) Heard(info peer.Info) {
-	if heard, ok := info.Member(); ok {
-		s.apply(heard)
+	if event, ok := info.Member(); ok {
+		s.apply(event)
 	}
 }
 
