--- a/node/router/attempts.go
+++ b/node/router/attempts.go
@@ -11,7 +11,7 @@
 	"masticbank.example/core/route"
 )
 
-func (x *run) route(ctx context.Context, e attempt.Route) attempt.Event {
+func (x *requestRun) route(ctx context.Context, e attempt.Route) attempt.Event {
 	if e.Attempt == 1 {
 		return x.firstRoute(ctx)
 	}
@@ -22,12 +22,12 @@
 }
 
 // firstRoute waits for admission and chooses the first chain.
-func (x *run) firstRoute(ctx context.Context) attempt.Event {
-	effect, err := x.pool.queue.enter(ctx, admission.Request{
+func (x *requestRun) firstRoute(ctx context.Context) attempt.Event {
+	effect, err := x.pool.queue.admit(ctx, admission.Request{
 		ID:        x.req.ID,
 		Workspace: x.req.Workspace,
 		Rank:      x.req.Rank,
-		Cost:      float64(x.req.PromptTokens() + x.expected),
+		Cost:      float64(x.req.PromptTokens() + x.expectedTokens),
 		Deadline:  x.req.Deadline,
 	})
 	for {
@@ -42,17 +42,17 @@
 		d := x.pool.choose(x.routeRequest(nil))
 		if d.Outcome == route.Chosen {
 			x.result.QueueWait = time.Since(x.req.Arrived)
-			x.pool.first()
-			return x.routed(d.Chain)
+			x.pool.recordFirstAttempt()
+			return x.beginAttempt(d.Chain)
 		}
 		x.dispatched = false
-		effect, err = x.pool.queue.reenter(ctx, x.req.ID)
+		effect, err = x.pool.queue.requeue(ctx, x.req.ID)
 	}
 }
 
 // nextRoute chooses a chain for a later attempt, as soon as there is one and the
 // retry budget pays for it.
-func (x *run) nextRoute(ctx context.Context, e attempt.Route) attempt.Event {
+func (x *requestRun) nextRoute(ctx context.Context, e attempt.Route) attempt.Event {
 	if x.poisoned {
 		return attempt.Unroutable{Reason: string(CodePoison)}
 	}
@@ -66,48 +66,48 @@
 			return contextEvent(ctx)
 		}
 		if !paid {
-			paid = x.pool.mayRetry()
+			paid = x.pool.spendRetry()
 		}
 		if !paid {
 			continue
 		}
-		d := x.pool.choose(x.routeRequest(x.exclude(e.Exclude)))
+		d := x.pool.choose(x.routeRequest(x.excludedReplicas(e.Exclude)))
 		if d.Outcome == route.Chosen {
-			x.router.poisons.place(x.fingerprint, hopIDs(d.Chain.Hops))
-			return x.routed(d.Chain)
+			x.router.poison.recordPlacement(x.fingerprint, replicaIDs(d.Chain.Hops))
+			return x.beginAttempt(d.Chain)
 		}
 	}
 }
 
-// exclude adds the replicas that a suspect of a crash is to keep away from.
-func (x *run) exclude(failed []string) []string {
-	return append(slices.Clone(failed), x.router.poisons.avoid(x.fingerprint)...)
+// excludedReplicas adds the replicas that a suspect of a crash is to keep away from.
+func (x *requestRun) excludedReplicas(failed []string) []string {
+	return append(slices.Clone(failed), x.router.poison.replicasToAvoid(x.fingerprint)...)
 }
 
-func hopIDs(hops []route.Hop) []string {
-	out := make([]string, 0, len(hops))
-	for _, h := range hops {
+func replicaIDs(stages []route.Hop) []string {
+	out := make([]string, 0, len(stages))
+	for _, h := range stages {
 		out = append(out, h.ReplicaID)
 	}
 	return out
 }
 
-func (x *run) routed(c route.Chain) attempt.Event {
-	x.hops = c.Hops
+func (x *requestRun) beginAttempt(c route.Chain) attempt.Event {
+	x.stages = c.Hops
 	x.version = x.pool.version()
 	x.result.Expected = c.Expected
-	x.result.Route = hopIDs(c.Hops)
-	hops := make([]attempt.Hop, 0, len(c.Hops))
+	x.result.Route = replicaIDs(c.Hops)
+	stages := make([]attempt.Hop, 0, len(c.Hops))
 	for _, h := range c.Hops {
-		hops = append(hops, attempt.Hop{ReplicaID: h.ReplicaID, FirstLayer: h.First, LastLayer: h.Last})
+		stages = append(stages, attempt.Hop{ReplicaID: h.ReplicaID, FirstLayer: h.First, LastLayer: h.Last})
 	}
-	return attempt.Routed{Hops: hops}
+	return attempt.Routed{Hops: stages}
 }
 
-func (x *run) routeRequest(exclude []string) route.Request {
+func (x *requestRun) routeRequest(exclude []string) route.Request {
 	return route.Request{
 		PromptTokens: x.req.PromptTokens() + x.result.Tokens,
-		OutputTokens: max(x.expected-x.result.Tokens, 1),
+		OutputTokens: max(x.expectedTokens-x.result.Tokens, 1),
 		Blocks:       prefixBlocks(x.req.Prompt),
 		Exclude:      exclude,
 	}
--- a/node/router/bench_test.go
+++ b/node/router/bench_test.go
@@ -22,10 +22,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// await waits until every replica has answered its first probe.
-func await(b *testing.B, r *Router) {
+// awaitProbes waits until every replica has answered its first probe.
+func awaitProbes(b *testing.B, r *Router) {
 	deadline := time.Now().Add(10 * time.Second)
-	for unprobed(r.pool(testModel)) {
+	for hasUnprobedReplica(r.pool(testModel)) {
 		if time.Now().After(deadline) {
 			b.Fatal("replicas without an answer")
 		}
@@ -33,7 +33,7 @@
 	}
 }
 
-func unprobed(p *pool) bool {
+func hasUnprobedReplica(p *pool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.upstreams {
@@ -52,9 +52,9 @@
 		for _, replicas := range []int{40, 256} {
 			for _, tokens := range []int{1, 101} {
 				b.Run(fmt.Sprintf("stages=%d/replicas=%d/tokens=%d", stages, replicas, tokens), func(b *testing.B) {
-					r := newTestRouter(&fakeEngines{quiet: true}, &noMetrics{}, fleet(stages, replicas), 10)
+					r := newTestRouter(&fakeEngines{unrecorded: true}, &discardCounter{}, fleet(stages, replicas), 10)
 					defer r.Close()
-					await(b, r)
+					awaitProbes(b, r)
 					benchRequests(b, r, tokens)
 				})
 			}
@@ -81,8 +81,8 @@
 // all load reports, without the network.
 func BenchmarkControl(b *testing.B) {
 	for _, replicas := range []int{40, 256, 1024} {
-		r := newTestRouter(&fakeEngines{quiet: true}, &noMetrics{}, fleet(4, replicas), 2000)
-		await(b, r)
+		r := newTestRouter(&fakeEngines{unrecorded: true}, &discardCounter{}, fleet(4, replicas), 2000)
+		awaitProbes(b, r)
 		b.Run(fmt.Sprintf("tick/replicas=%d", replicas), func(b *testing.B) {
 			for b.Loop() {
 				r.tickOnce()
@@ -92,7 +92,7 @@
 			p := r.pool(testModel)
 			for b.Loop() {
 				p.mu.Lock()
-				p.updateCapacity()
+				p.scheduleCapacityUpdate()
 				p.mu.Unlock()
 			}
 		})
@@ -109,7 +109,7 @@
 func BenchmarkConfigure(b *testing.B) {
 	for _, workspaces := range []int{10, 200, 2000} {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
-			r := newTestRouter(&fakeEngines{quiet: true}, &noMetrics{}, fleet(4, 256), workspaces)
+			r := newTestRouter(&fakeEngines{unrecorded: true}, &discardCounter{}, fleet(4, 256), workspaces)
 			defer r.Close()
 			c := testConfig(workspaces)
 			b.ReportAllocs()
@@ -126,9 +126,9 @@
 	for _, replicas := range []int{40, 256, 1024} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			list := fleet(4, replicas)
-			r := newTestRouter(&fakeEngines{quiet: true}, &noMetrics{}, list, 10)
+			r := newTestRouter(&fakeEngines{unrecorded: true}, &discardCounter{}, list, 10)
 			defer r.Close()
-			await(b, r)
+			awaitProbes(b, r)
 			b.ReportAllocs()
 			for b.Loop() {
 				r.SetInstances(list)
@@ -178,8 +178,8 @@
 			var idle, used uint64
 			for b.Loop() {
 				before := heapBytes()
-				r := newTestRouter(&fakeEngines{quiet: true}, &noMetrics{}, fleet(4, size.replicas), size.workspaces)
-				await(b, r)
+				r := newTestRouter(&fakeEngines{unrecorded: true}, &discardCounter{}, fleet(4, size.replicas), size.workspaces)
+				awaitProbes(b, r)
 				idle = heapBytes() - before
 				for i := range size.workspaces {
 					req := testRequest(strconv.Itoa(i), 1, time.Minute)
--- a/node/router/cache.go
+++ b/node/router/cache.go
@@ -11,7 +11,7 @@
 // readCacheOnce asks every engine what its prefix cache stored and evicted since
 // the last time.
 func (r *Router) readCacheOnce() {
-	inParallel(r.engineTasks(r.readCacheOf))
+	runParallel(r.engineTasks(r.readCacheOf))
 }
 
 func (r *Router) readCacheOf(p *pool, t engine.Target) {
@@ -35,7 +35,7 @@
 	if !ok || !u.usable() {
 		return 0, false
 	}
-	return u.cacheNext, true
+	return u.nextCacheEvent, true
 }
 
 // applyCacheEvents takes events, which may be late and may skip numbers: what the
@@ -43,7 +43,7 @@
 func (p *pool) applyCacheEvents(t engine.Target, events *wire.CacheEvents) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(t)
+	u, ok := p.lookup(t)
 	if !ok {
 		return
 	}
@@ -51,5 +51,5 @@
 	for _, e := range events.Events {
 		p.table.CacheEvent(now, t.ID, e.Block, e.Evicted)
 	}
-	u.cacheNext = max(u.cacheNext, events.Next)
+	u.nextCacheEvent = max(u.nextCacheEvent, events.Next)
 }
--- a/node/router/configure_test.go
+++ b/node/router/configure_test.go
@@ -14,9 +14,9 @@
 	"masticbank.example/node/service"
 )
 
-type nowhere struct{}
+type discardSink struct{}
 
-func (nowhere) Token(attempt.Token) error { return nil }
+func (discardSink) Token(attempt.Token) error { return nil }
 
 // TestReplacedPoolRefusesWaitingRequests lets a request wait for a replica while
 // a configuration replaces or removes its pool.
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, _ := newPlainRouter(t)
 			waiting := make(chan struct{}, 1)
-			r.pools["m"].queue.wake = func() { waiting <- struct{}{} }
+			r.pools["m"].queue.onWait = func() { waiting <- struct{}{} }
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
 			ended := make(chan Result, 1)
@@ -37,7 +37,7 @@
 				now := time.Now()
 				ended <- r.Generate(ctx, &Request{
 					ID: "r", Workspace: "w", Model: "m", Prompt: "p", MaxTokens: 1, Arrived: now, Deadline: now.Add(time.Minute),
-				}, nowhere{})
+				}, discardSink{})
 			}()
 			<-waiting
 			c := plainConfig()
@@ -54,17 +54,17 @@
 
 // TestRetryRatioOfFirstRevision pays first attempts into an empty budget.
 func TestRetryRatioOfFirstRevision(t *testing.T) {
-	e := &events{}
-	r := newRouter(Options{Engines: engines{}, Services: service.New(), Metrics: e, Logger: zap.NewNop()})
+	e := &upstreamEvents{}
+	r := newRouter(Options{Engines: stubEngines{}, Services: service.New(), Metrics: e, Logger: zap.NewNop()})
 	t.Cleanup(r.Close)
 	c := plainConfig()
 	c.Limits.RetryRatio = 0.5
 	r.Configure(c)
 	require.InDelta(t, 0.5, r.pools["m"].ratio, 0)
 	p := r.pools["m"]
-	for p.mayRetry() { // empties the budget
+	for p.spendRetry() { // empties the budget
 	}
 	before := p.budget.Saved(time.Now())
-	p.first()
+	p.recordFirstAttempt()
 	require.GreaterOrEqual(t, p.budget.Saved(time.Now())-before, 0.5)
 }
--- a/node/router/demand.go
+++ b/node/router/demand.go
@@ -33,7 +33,7 @@
 }
 
 func sharedPool(name string, shares []float64, q *queue) sharing.Pool {
-	p := sharing.Pool{Pool: demand.Pool{Name: name, Capacity: q.total(), MinShares: shares}}
+	p := sharing.Pool{Pool: demand.Pool{Name: name, Capacity: q.totalCapacity(), MinShares: shares}}
 	for _, l := range q.loads() {
 		p.Loads = append(p.Loads, demand.Load{
 			Workspace: l.Workspace,
@@ -73,5 +73,5 @@
 		return 0
 	}
 	s := p.queue.stats(0)
-	return max(1, (s.InFlight+s.Queued)*max(len(r.entries), 1))
+	return max(1, (s.InFlight+s.Queued)*max(len(r.entryInstances), 1))
 }
--- a/node/router/fake_test.go
+++ b/node/router/fake_test.go
@@ -23,8 +23,8 @@
 	testSlots = 8
 )
 
-// sent is one step that reached the fake engines.
-type sent struct {
+// sentStep is one step that reached the fake engines.
+type sentStep struct {
 	replica  string
 	request  string
 	attempt  int
@@ -34,8 +34,8 @@
 	executed bool
 }
 
-// cancelled is one attempt that the router told a replica to forget.
-type cancelled struct {
+// cancelledAttempt is one attempt that the router told a replica to forget.
+type cancelledAttempt struct {
 	replica string
 	request string
 	attempt int
@@ -44,24 +44,24 @@
 // fakeEngines implements engine.Client for a whole fleet. It is safe for
 // concurrent use.
 type fakeEngines struct {
-	// behave answers a step in place of honest, when it is set. It tells whether
+	// onStep answers a step in place of honest, when it is set. It tells whether
 	// the step was executed.
-	behave func(ctx context.Context, t engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error)
+	onStep func(ctx context.Context, t engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error)
 	// probe answers probes; nil lets every engine answer.
 	probe func(t engine.Target) error
 	// slots is reported by every engine; 0 means testSlots.
 	slots int
-	// quiet leaves out the record of steps and cancellations.
-	quiet bool
+	// unrecorded leaves out the record of steps and cancellations.
+	unrecorded bool
 
 	mu        sync.Mutex
-	steps     []sent
-	cancelled []cancelled
+	steps     []sentStep
+	cancelled []cancelledAttempt
 	replaced  []string
 }
 
-// honest answers a step as an engine does that holds the range asked for.
-func honest(r *wire.StepRequest) *wire.StepResponse {
+// correctResponse answers a step as an engine does that holds the range asked for.
+func correctResponse(r *wire.StepRequest) *wire.StepResponse {
 	resp := &wire.StepResponse{RequestID: r.RequestID, Attempt: r.Attempt, Position: r.Position}
 	if r.LastLayer < testLayers-1 {
 		resp.Hidden = []byte{1}
@@ -78,16 +78,16 @@
 
 // Step implements engine.Client.
 func (f *fakeEngines) Step(ctx context.Context, t engine.Target, r *wire.StepRequest) (*wire.StepResponse, error) {
-	if f.quiet {
-		return honest(r), nil
+	if f.unrecorded {
+		return correctResponse(r), nil
 	}
-	resp, executed, err := honest(r), true, error(nil)
-	if f.behave != nil {
-		resp, executed, err = f.behave(ctx, t, r)
+	resp, executed, err := correctResponse(r), true, error(nil)
+	if f.onStep != nil {
+		resp, executed, err = f.onStep(ctx, t, r)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.steps = append(f.steps, sent{
+	f.steps = append(f.steps, sentStep{
 		replica: t.ID, request: r.RequestID, attempt: r.Attempt, position: r.Position, resend: r.Resend, executed: executed,
 	})
 	return resp, err
@@ -95,12 +95,12 @@
 
 // Cancel implements engine.Client.
 func (f *fakeEngines) Cancel(_ context.Context, t engine.Target, r *wire.CancelRequest) error {
-	if f.quiet {
+	if f.unrecorded {
 		return nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cancelled = append(f.cancelled, cancelled{replica: t.ID, request: r.RequestID, attempt: r.Attempt})
+	f.cancelled = append(f.cancelled, cancelledAttempt{replica: t.ID, request: r.RequestID, attempt: r.Attempt})
 	return nil
 }
 
@@ -147,10 +147,10 @@
 func (f *fakeEngines) Forget(engine.Target) {}
 
 // stepsOf returns the steps that reached engines for one request.
-func (f *fakeEngines) stepsOf(request string) []sent {
+func (f *fakeEngines) stepsOf(request string) []sentStep {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []sent
+	var out []sentStep
 	for _, s := range f.steps {
 		if s.request == request {
 			out = append(out, s)
@@ -159,18 +159,18 @@
 	return out
 }
 
-// refuse is the error of an engine that states that nothing ran.
-func refuse(code string) error {
+// refusalError is the error of an engine that states that nothing ran.
+func refusalError(code string) error {
 	return &engine.CallError{Proof: engine.ProofRefused, Code: code, Err: errors.New("refused")}
 }
 
-// lost is the error of a connection that ended after it was written to.
-func lost() error {
+// connectionLostError is the error of a connection that ended after it was written to.
+func connectionLostError() error {
 	return &engine.CallError{Code: engine.CodeConnection, Err: errors.New("reset")}
 }
 
-// silence blocks until the step is given up.
-func silence(ctx context.Context) error {
+// blockUntilDone blocks until the step is given up.
+func blockUntilDone(ctx context.Context) error {
 	<-ctx.Done()
 	code := engine.CodeCancelled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -179,13 +179,13 @@
 	return &engine.CallError{Code: code, Err: ctx.Err()}
 }
 
-// noMetrics implements Metrics and counts the answers that were not used.
-type noMetrics struct {
+// discardCounter implements Metrics and counts the answers that were not used.
+type discardCounter struct {
 	mu      sync.Mutex
 	dropped map[attempt.DropKind]int
 }
 
-func (m *noMetrics) Dropped(k attempt.DropKind) {
+func (m *discardCounter) Dropped(k attempt.DropKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.dropped == nil {
@@ -194,11 +194,11 @@
 	m.dropped[k]++
 }
 
-func (*noMetrics) TokenGap(string, config.Rank, time.Duration) {}
-func (*noMetrics) Finished(*Result)                            {}
-func (*noMetrics) ConnectionReplaced(string)                   {}
-func (*noMetrics) Ejected(string)                              {}
-func (*noMetrics) Leaving(string)                              {}
+func (*discardCounter) TokenGap(string, config.Rank, time.Duration) {}
+func (*discardCounter) Finished(*Result)                            {}
+func (*discardCounter) ConnectionReplaced(string)                   {}
+func (*discardCounter) Ejected(string)                              {}
+func (*discardCounter) Leaving(string)                              {}
 
 // testConfig returns a configuration with the given number of workspaces.
 func testConfig(workspaces int) *config.Config {
--- a/node/router/health.go
+++ b/node/router/health.go
@@ -15,11 +15,11 @@
 // is ejected at once.
 const maxEjectedShare = 0.5
 
-// verdictTimeout bounds the wait for a verdict on a silent connection.
-const verdictTimeout = 3 * time.Second
+// probeResultTimeout bounds the wait for a verdict on a silent connection.
+const probeResultTimeout = 3 * time.Second
 
-// begin prepares a step of prefill tokens, 0 for a decode step, on a replica.
-func (p *pool) begin(id string, f poison.Fingerprint, prefill int, initial time.Duration) (call, bool) {
+// beginStep prepares a step of prefill tokens, 0 for a decode step, on a replica.
+func (p *pool) beginStep(id string, f poison.Fingerprint, prefill int, initial time.Duration) (call, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	u, ok := p.upstreams[id]
@@ -27,26 +27,26 @@
 		return call{}, false
 	}
 	p.calls++
-	u.open[p.calls] = f
-	return call{number: p.calls, target: u.target(), timeout: u.pace.ProgressTimeout(prefill, initial), live: u.live}, true
+	u.runningSteps[p.calls] = f
+	return call{number: p.calls, target: u.target(), timeout: u.pace.ProgressTimeout(prefill, initial), attemptCtx: u.attemptCtx}, true
 }
 
-// at returns the replica at a target; it is not known any more when the replica
+// lookup returns the replica lookup a target; it is not known any more when the replica
 // moved to another address. The caller holds p.mu.
-func (p *pool) at(t engine.Target) (*upstream, bool) {
+func (p *pool) lookup(t engine.Target) (*upstream, bool) {
 	u, ok := p.upstreams[t.ID]
 	return u, ok && u.target() == t
 }
 
-// progressed records an answered step of prefill tokens, 0 for a decode step.
-func (p *pool) progressed(c call, prefill, cached int, d time.Duration) {
+// recordStep records an answered step of prefill tokens, 0 for a decode step.
+func (p *pool) recordStep(c call, prefill, cached int, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(c.target)
+	u, ok := p.lookup(c.target)
 	if !ok {
 		return
 	}
-	delete(u.open, c.number)
+	delete(u.runningSteps, c.number)
 	now := time.Now()
 	if prefill > 0 {
 		computed := max(prefill-cached, 1)
@@ -62,20 +62,20 @@
 	p.step(u, health.Progress{Connection: c.number})
 }
 
-// refused records a step that the replica refused or that was not sent.
-func (p *pool) refused(c call, code string) {
+// recordRefusal records a step that the replica recordRefusal or that was not sent.
+func (p *pool) recordRefusal(c call, code string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(c.target)
+	u, ok := p.lookup(c.target)
 	if !ok {
 		return
 	}
-	delete(u.open, c.number)
+	delete(u.runningSteps, c.number)
 	switch code {
 	case wire.CodeLeaving:
 		p.step(u, health.Leaving{Source: health.FromUpstream})
 	case wire.CodeWrongRange:
-		p.readHolding(c.target)
+		p.readState(c.target)
 	case wire.CodeOverloaded:
 		u.limit.Refused(time.Now())
 		p.updateLimit(u)
@@ -84,12 +84,12 @@
 	}
 }
 
-// ended records a step that ended without an answer and without a verdict.
-func (p *pool) ended(c call) {
+// discardStep records a step that discardStep without an answer and without a verdict.
+func (p *pool) discardStep(c call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if u, ok := p.at(c.target); ok {
-		delete(u.open, c.number)
+	if u, ok := p.lookup(c.target); ok {
+		delete(u.runningSteps, c.number)
 	}
 }
 
@@ -97,17 +97,17 @@
 // p.mu.
 func (p *pool) updateLimit(u *upstream) {
 	l := u.limit.Limit()
-	if l == u.inForce {
+	if l == u.appliedLimit {
 		return
 	}
-	u.inForce = l
+	u.appliedLimit = l
 	p.table.SetLimit(u.instance.ID, l)
-	p.updateCapacity()
+	p.scheduleCapacityUpdate()
 }
 
-// leaving records a sign that a replica leaves, and tells whether the pool
+// markLeaving records a sign that a replica leaves, and tells whether the pool
 // knows it.
-func (p *pool) leaving(id string, source health.Source) bool {
+func (p *pool) markLeaving(id string, source health.Source) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	u, ok := p.upstreams[id]
@@ -117,15 +117,15 @@
 	return ok
 }
 
-// suspect reports that a call got no answer, because it made no progress or, if
+// checkAlive reports that a call got no answer, because it made no progress or, if
 // broken, because its connection broke. It waits until a probe on a new
 // connection has told whether the replica answers.
-func (p *pool) suspect(ctx context.Context, c call, broken bool) bool {
-	ch := p.accuse(c, broken)
+func (p *pool) checkAlive(ctx context.Context, c call, broken bool) bool {
+	ch := p.reportUnanswered(c, broken)
 	if ch == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeResultTimeout)
 	defer cancel()
 	select {
 	case alive := <-ch:
@@ -135,24 +135,24 @@
 	}
 }
 
-// accuse feeds the event to the replica's state machine and returns the channel
+// reportUnanswered feeds the event to the replica's state machine and returns the channel
 // of the verdict, or nil when the replica is not known any more.
-func (p *pool) accuse(c call, broken bool) chan bool {
+func (p *pool) reportUnanswered(c call, broken bool) chan bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(c.target)
+	u, ok := p.lookup(c.target)
 	if !ok {
 		return nil
 	}
 	ch := make(chan bool, 1)
-	u.verdicts[c.number] = ch
+	u.probeWaiters[c.number] = ch
 	if broken {
-		u.lost[c.number] = u.open[c.number]
-		delete(u.open, c.number)
+		u.lostSteps[c.number] = u.runningSteps[c.number]
+		delete(u.runningSteps, c.number)
 		p.step(u, health.Lost{Connection: c.number})
 		return ch
 	}
-	delete(u.open, c.number)
+	delete(u.runningSteps, c.number)
 	u.pace.Expired()
 	p.step(u, health.Silent{Connection: c.number})
 	return ch
@@ -174,7 +174,7 @@
 // The caller holds p.mu.
 func (p *pool) step(u *upstream, e health.Event) {
 	if p.reporter.step(u.instance.ID, u.health, e, &engineActions{pool: p, upstream: u}) {
-		p.updateCapacity()
+		p.scheduleCapacityUpdate()
 	}
 }
 
@@ -188,8 +188,8 @@
 
 func (a *engineActions) replaceConnection(number uint64) {
 	a.pool.engines.ReplaceConnections(a.upstream.target())
-	delete(a.upstream.lost, number)
-	a.upstream.decide(number, true)
+	delete(a.upstream.lostSteps, number)
+	a.upstream.deliverProbeResult(number, true)
 }
 
 func (a *engineActions) setWeight(weight float64) {
@@ -205,8 +205,8 @@
 // failAttempts ends the open attempts on a replica that does not answer. When
 // connections broke before, it crashed, and what it was running is suspect.
 func (p *pool) failAttempts(u *upstream) {
-	if len(u.lost) > 0 {
-		p.poisons.crashed(u.instance.ID, u.suspects())
+	if len(u.lostSteps) > 0 {
+		p.poison.recordCrash(u.instance.ID, u.crashCandidates())
 	}
 	u.failAttempts()
 }
@@ -234,8 +234,8 @@
 // remove forgets a replica that is no longer listed. Attempts still open on it
 // go on until they end or their connections fail.
 func (p *pool) remove(u *upstream) {
-	for number := range u.verdicts {
-		u.decide(number, false)
+	for number := range u.probeWaiters {
+		u.deliverProbeResult(number, false)
 	}
 	p.table.Remove(u.instance.ID)
 	p.engines.Forget(u.target())
--- a/node/router/held.go
+++ b/node/router/held.go
@@ -13,34 +13,34 @@
 // stateTimeout bounds the reading of what an engine holds.
 const stateTimeout = time.Second
 
-// holding is what an engine said that it holds while the platform's list showed
+// reportedState is what an engine said that it holds while the platform's list showed
 // something else.
-type holding struct {
-	listed wire.Instance
-	model  string
-	ver    string
-	first  int
-	last   int
+type reportedState struct {
+	listed     wire.Instance
+	model      string
+	version    string
+	firstLayer int
+	lastLayer  int
 }
 
-// correct returns in with what the engine said that it holds, until the list
+// withReportedState returns in with what the engine said that it holds, until the list
 // shows a change.
-func (p *pool) correct(in wire.Instance) wire.Instance {
-	h, ok := p.held[in.ID]
+func (p *pool) withReportedState(in wire.Instance) wire.Instance {
+	h, ok := p.reportedStates[in.ID]
 	if !ok {
 		return in
 	}
 	if h.listed != in {
-		delete(p.held, in.ID)
+		delete(p.reportedStates, in.ID)
 		return in
 	}
-	in.Model, in.Version, in.FirstLayer, in.LastLayer = h.model, h.ver, h.first, h.last
+	in.Model, in.Version, in.FirstLayer, in.LastLayer = h.model, h.version, h.firstLayer, h.lastLayer
 	return in
 }
 
-// readHolding asks an engine in the background what it holds, after it refused
+// readState asks an engine in the background what it holds, after it refused
 // a step because of its layers. The caller holds p.mu.
-func (p *pool) readHolding(t engine.Target) {
+func (p *pool) readState(t engine.Target) {
 	p.background(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 		defer cancel()
@@ -48,44 +48,44 @@
 		if err != nil || s.Loading {
 			return
 		}
-		p.applyHolding(t.ID, s)
+		p.applyState(t.ID, s)
 	})
 }
 
-// applyHolding takes what an engine holds and applies the list again if that is
+// applyState takes what an engine holds and applies the list again if that is
 // news.
-func (p *pool) applyHolding(id string, s *wire.EngineState) {
+func (p *pool) applyState(id string, s *wire.EngineState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, in := range p.list {
 		if in.ID != id {
 			continue
 		}
-		h := holding{listed: in, model: s.Model, ver: s.Version, first: s.FirstLayer, last: s.LastLayer}
-		if p.held[id] == h || sameAsListed(h) {
+		h := reportedState{listed: in, model: s.Model, version: s.Version, firstLayer: s.FirstLayer, lastLayer: s.LastLayer}
+		if p.reportedStates[id] == h || matchesList(h) {
 			continue
 		}
-		p.held[id] = h
+		p.reportedStates[id] = h
 		p.log.Info("engine holds other layers than listed", zap.String("upstream", id), zap.String("version", s.Version),
 			zap.Int("first", s.FirstLayer), zap.Int("last", s.LastLayer))
 		p.applyList()
 	}
 }
 
-func sameAsListed(h holding) bool {
+func matchesList(h reportedState) bool {
 	in := h.listed
-	return h.model == in.Model && h.ver == in.Version && h.first == in.FirstLayer && h.last == in.LastLayer
+	return h.model == in.Model && h.version == in.Version && h.firstLayer == in.FirstLayer && h.lastLayer == in.LastLayer
 }
 
-// readOthers asks the engines that seem to hold another version than the one in
+// readOtherVersions asks the engines that seem to hold another version than the one in
 // use, while that lacks replicas of some layer. The caller holds p.mu.
-func (p *pool) readOthers(engines []wire.Instance) {
-	if p.tiles(engines, p.inUse) {
+func (p *pool) readOtherVersions(engines []wire.Instance) {
+	if p.coversAllLayers(engines, p.activeVersion) {
 		return
 	}
 	for _, in := range engines {
-		if in.Version != p.inUse {
-			p.readHolding(engine.Target{ID: in.ID, Address: in.Address})
+		if in.Version != p.activeVersion {
+			p.readState(engine.Target{ID: in.ID, Address: in.Address})
 		}
 	}
 }
--- a/node/router/list.go
+++ b/node/router/list.go
@@ -21,11 +21,11 @@
 // caller holds p.mu.
 func (p *pool) applyList() {
 	engines := p.engineList()
-	p.inUse = p.chooseVersion(engines)
-	p.readOthers(engines)
+	p.activeVersion = p.chooseVersion(engines)
+	p.readOtherVersions(engines)
 	listed := map[string]bool{}
 	for _, in := range engines {
-		if in.Version == p.inUse {
+		if in.Version == p.activeVersion {
 			listed[in.ID] = true
 			p.upsert(in)
 		}
@@ -33,13 +33,13 @@
 	for id, u := range p.upstreams {
 		switch {
 		case listed[id]:
-		case u.instance.Version != p.inUse:
+		case u.instance.Version != p.activeVersion:
 			p.retire(u)
 		default:
 			p.step(u, health.Unlisted{})
 		}
 	}
-	p.updateCapacity()
+	p.scheduleCapacityUpdate()
 }
 
 // engineList returns the engines of the list that hold the model in any version.
@@ -49,7 +49,7 @@
 		if in.Role != wire.RoleEngine {
 			continue
 		}
-		if in = p.correct(in); in.Model == p.model {
+		if in = p.withReportedState(in); in.Model == p.model {
 			out = append(out, in)
 		}
 	}
@@ -59,14 +59,14 @@
 // chooseVersion returns the configured version, or the one in use while only that
 // has replicas of every layer.
 func (p *pool) chooseVersion(engines []wire.Instance) string {
-	if p.inUse == "" || p.tiles(engines, p.cfg.Version) || !p.tiles(engines, p.inUse) {
+	if p.activeVersion == "" || p.coversAllLayers(engines, p.cfg.Version) || !p.coversAllLayers(engines, p.activeVersion) {
 		return p.cfg.Version
 	}
-	return p.inUse
+	return p.activeVersion
 }
 
-// tiles tells whether the engines of a version hold every layer of the model.
-func (p *pool) tiles(engines []wire.Instance, version string) bool {
+// coversAllLayers tells whether the engines of a version hold every layer of the model.
+func (p *pool) coversAllLayers(engines []wire.Instance, version string) bool {
 	var edges []capacity.Edge
 	for _, in := range engines {
 		if in.Version == version && !in.Leaving {
--- a/node/router/load.go
+++ b/node/router/load.go
@@ -20,7 +20,7 @@
 			})
 		}
 	}
-	inParallel(tasks)
+	runParallel(tasks)
 }
 
 // engineTasks returns one call of f for each engine of each model.
@@ -34,10 +34,10 @@
 	return tasks
 }
 
-// inParallel runs tasks, loadReaders at once, and waits for them.
-func inParallel(tasks []func()) {
+// runParallel runs tasks, loadReaders at once, and waits for them.
+func runParallel(tasks []func()) {
 	var g errgroup.Group
-	g.SetLimit(loadReaders)
+	g.SetLimit(maxParallelReads)
 	for _, task := range tasks {
 		g.Go(func() error {
 			task()
@@ -53,9 +53,9 @@
 	report, err := p.engines.Load(ctx, t)
 	if err != nil {
 		if r.ctx.Err() == nil {
-			p.noReport(t)
+			p.recordMissedReport(t)
 		}
 		return
 	}
-	p.report(t, report)
+	p.applyLoadReport(t, report)
 }
--- a/node/router/moved_test.go
+++ b/node/router/moved_test.go
@@ -15,22 +15,22 @@
 func TestEngineReturnsAtNewAddress(t *testing.T) {
 	r, _ := newPlainRouter(t)
 	in := wire.Instance{ID: "a", Role: wire.RoleEngine, Model: "m", Version: "1", LastLayer: 7, Address: "127.0.0.1:1"}
-	r.list(in)
+	r.setInstancesAndWait(in)
 	p := r.pools["m"]
-	old, ok := p.begin("a", poison.Fingerprint{}, 0, 0)
+	old, ok := p.beginStep("a", poison.Fingerprint{}, 0, 0)
 	require.True(t, ok)
 	require.True(t, r.MarkLeaving("a"))
 	// Still leaving while the list shows the same address.
-	r.list(in)
+	r.setInstancesAndWait(in)
 	require.True(t, p.upstreams["a"].health.Leaving())
 	in.Address = "127.0.0.1:2"
-	r.list(in)
+	r.setInstancesAndWait(in)
 	require.True(t, p.upstreams["a"].usable())
-	p.refused(old, wire.CodeLeaving)
-	p.report(old.target, &wire.LoadReport{Leaving: true})
+	p.recordRefusal(old, wire.CodeLeaving)
+	p.applyLoadReport(old.target, &wire.LoadReport{Leaving: true})
 	require.True(t, p.upstreams["a"].usable())
 	// Moving while in use leaves no member behind in the group.
 	in.Address = "127.0.0.1:3"
-	r.list(in)
+	r.setInstancesAndWait(in)
 	require.Equal(t, 1, p.group(route.Replica{ID: "a", Last: 7}).Members())
 }
--- a/node/router/orders.go
+++ b/node/router/orders.go
@@ -26,7 +26,7 @@
 // callKeyed makes a non-idempotent call under its key.
 func (r *Router) callKeyed(ctx context.Context, pool *servicePool, req *ServiceRequest) ServiceResult {
 	if r.opts.Orders == nil {
-		return failedCall(CodeLogUnavailable, execution.NotRun, "this instance has no log, which calls with a key need")
+		return failedResult(CodeLogUnavailable, execution.NotRun, "this instance has no log, which calls with a key need")
 	}
 	deadline, _ := ctx.Deadline()
 	var sent ServiceResult
@@ -34,19 +34,19 @@
 		Workspace:   req.Workspace,
 		Service:     req.Service,
 		Key:         req.Key,
-		Fingerprint: fingerprint(req),
+		Fingerprint: keyFingerprint(req),
 		Date:        req.KeyDate,
 		First:       req.FirstUse,
 		Deadline:    deadline,
 	}, func(ctx context.Context) order.Answer {
 		sent = r.callOnce(ctx, pool, req)
-		return orderAnswer(&sent)
+		return newOrderAnswer(&sent)
 	})
 	return keyedResult(&res, &sent)
 }
 
-// fingerprint binds a key to method, path and body of its first call.
-func fingerprint(req *ServiceRequest) string {
+// keyFingerprint binds a key to method, path and body of its first call.
+func keyFingerprint(req *ServiceRequest) string {
 	h := sha256.New()
 	for _, part := range []string{req.Method, req.Path, string(req.Body)} {
 		_, _ = h.Write([]byte(part))
@@ -55,7 +55,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func orderAnswer(res *ServiceResult) order.Answer {
+func newOrderAnswer(res *ServiceResult) order.Answer {
 	a := order.Answer{Execution: res.Execution}
 	if res.Answer != nil {
 		a.Status = res.Answer.Status
@@ -69,8 +69,8 @@
 // its headers; a replayed one has those that were recorded.
 func keyedResult(res *order.Result, sent *ServiceResult) ServiceResult {
 	if res.Reason != order.ReasonNone {
-		out := failedCall(orderCode(res.Reason), res.Execution, string(res.Reason))
-		out.RetryAfter = orderRetry(res.Reason)
+		out := failedResult(orderCode(res.Reason), res.Execution, string(res.Reason))
+		out.RetryAfter = orderRetryAfter(res.Reason)
 		return out
 	}
 	if sent.Answer != nil && !res.Replayed {
@@ -118,8 +118,8 @@
 	}
 }
 
-// orderRetry returns when the same key may be sent again with a better chance.
-func orderRetry(r order.Reason) time.Duration {
+// orderRetryAfter returns when the same key may be sent again with a better chance.
+func orderRetryAfter(r order.Reason) time.Duration {
 	switch r {
 	case order.ReasonLogUnavailable, order.ReasonOverloaded, order.ReasonTooLate, order.ReasonReleased:
 		return retryAfterLog
--- a/node/router/outcome.go
+++ b/node/router/outcome.go
@@ -10,12 +10,12 @@
 )
 
 // finish records the outcome. Admission is told when the replicas are free.
-func (x *run) finish(o attempt.Outcome) {
+func (x *requestRun) finish(o attempt.Outcome) {
 	x.result.Complete = o.Complete
 	x.result.Execution = o.Execution
 	x.result.Attempts = o.Attempts
 	if !o.Complete {
-		x.explain(o)
+		x.setFailure(o)
 	}
 	if !x.dispatched {
 		return
@@ -23,15 +23,15 @@
 	x.dispatched = false
 	if o.Complete {
 		x.pool.observeOutput(x.req, o.Tokens)
-		x.router.poisons.completed(x.fingerprint)
+		x.router.poison.recordCompletion(x.fingerprint)
 	}
-	x.router.background(func() { x.leave(o) })
+	x.router.background(func() { x.leaveQueue(o) })
 }
 
-// leave gives the place in the pool back when the replicas are free. A request
+// leaveQueue gives the place in the pool back when the replicas are free. A request
 // that failed says nothing about the pace of the pool.
-func (x *run) leave(o attempt.Outcome) {
-	x.releases.Wait()
+func (x *requestRun) leaveQueue(o attempt.Outcome) {
+	x.pendingReleases.Wait()
 	if !o.Complete {
 		x.pool.queue.cancel(x.req.ID)
 		return
@@ -39,8 +39,8 @@
 	x.pool.queue.done(x.req.ID, float64(x.req.PromptTokens()+o.Tokens))
 }
 
-// explain sets code, message and retry hint of an unsuccessful result.
-func (x *run) explain(o attempt.Outcome) {
+// setFailure sets code, message and retry hint of an unsuccessful result.
+func (x *requestRun) setFailure(o attempt.Outcome) {
 	x.result.Message = o.Reason
 	if x.lastFailure != "" {
 		x.result.Message += " (last failure at " + x.lastFailure + ")"
--- a/node/router/output.go
+++ b/node/router/output.go
@@ -13,9 +13,9 @@
 	maxOutputMeans = 8192
 )
 
-// outputs learns how many tokens the answers of a workspace and rank have. The
+// outputLengths learns how many tokens the answers of a workspace and rank have. The
 // pool's lock guards it.
-type outputs struct {
+type outputLengths struct {
 	means map[outputKey]float64
 }
 
@@ -24,8 +24,8 @@
 	rank      config.Rank
 }
 
-// expect returns the expected number of tokens, at most limit.
-func (o *outputs) expect(key outputKey, limit int) int {
+// estimate returns the expected number of tokens, at most limit.
+func (o *outputLengths) estimate(key outputKey, limit int) int {
 	mean, ok := o.means[key]
 	if !ok {
 		return limit
@@ -33,7 +33,7 @@
 	return min(limit, int(math.Ceil(mean)))
 }
 
-func (o *outputs) observe(key outputKey, tokens int) {
+func (o *outputLengths) observe(key outputKey, tokens int) {
 	mean, ok := o.means[key]
 	switch {
 	case ok:
--- a/node/router/poison.go
+++ b/node/router/poison.go
@@ -8,21 +8,21 @@
 	"masticbank.example/core/poison"
 )
 
-// poisons holds the evidence on requests that crash replicas. It is safe for
+// poisonTracker holds the evidence on requests that crash replicas. It is safe for
 // concurrent use.
-type poisons struct {
+type poisonTracker struct {
 	mu        sync.Mutex
 	tracker   *poison.Tracker
 	retention time.Duration
 }
 
-func newPoisons(retention time.Duration) *poisons {
-	return &poisons{tracker: poison.NewTracker(retention), retention: retention}
+func newPoisonTracker(retention time.Duration) *poisonTracker {
+	return &poisonTracker{tracker: poison.NewTracker(retention), retention: retention}
 }
 
 // configure sets the time for which evidence is kept. A change discards what
 // was known.
-func (p *poisons) configure(retention time.Duration) {
+func (p *poisonTracker) configure(retention time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if retention == p.retention {
@@ -38,40 +38,40 @@
 	return poison.FingerprintOf(req.Model, req.Prompt, strconv.Itoa(req.MaxTokens), req.Workspace)
 }
 
-func (p *poisons) blocked(f poison.Fingerprint) bool {
+func (p *poisonTracker) blocked(f poison.Fingerprint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Blocked(time.Now(), f)
 }
 
-// crashed records that a replica crashed while it ran steps of suspects.
-func (p *poisons) crashed(replica string, suspects []poison.Fingerprint) {
+// recordCrash records that a replica recordCrash while it ran steps of suspects.
+func (p *poisonTracker) recordCrash(replica string, suspects []poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Crash(time.Now(), replica, suspects...)
 }
 
-// verdict tells whether a request whose step was lost with a crashed replica
+// stopAfterCrash tells whether a request whose step was lost with a crashed replica
 // must not run again.
-func (p *poisons) verdict(replica string, f poison.Fingerprint) bool {
+func (p *poisonTracker) stopAfterCrash(replica string, f poison.Fingerprint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Crash(time.Now(), replica, f)[0] == poison.Stop
 }
 
-func (p *poisons) completed(f poison.Fingerprint) {
+func (p *poisonTracker) recordCompletion(f poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Completed(time.Now(), f)
 }
 
-func (p *poisons) place(f poison.Fingerprint, replicas []string) {
+func (p *poisonTracker) recordPlacement(f poison.Fingerprint, replicas []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Place(f, replicas)
 }
 
-func (p *poisons) avoid(f poison.Fingerprint) []string {
+func (p *poisonTracker) replicasToAvoid(f poison.Fingerprint) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Avoid(f)
@@ -79,30 +79,30 @@
 
 // PoisonBlocks returns the fingerprints to tell the peers.
 func (r *Router) PoisonBlocks() []poison.Block {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
-	return r.poisons.tracker.Recent(time.Now())
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
+	return r.poison.tracker.Recent(time.Now())
 }
 
 // PoisonNews returns the evidence on requests that crash replicas which this instance
 // found since the last call.
 func (r *Router) PoisonNews() poison.State {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
-	return r.poisons.tracker.News()
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
+	return r.poison.tracker.News()
 }
 
 // LearnPoisonEvidence takes the evidence of a peer.
 func (r *Router) LearnPoisonEvidence(s poison.State) {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
-	r.poisons.tracker.LearnEvidence(time.Now(), s)
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
+	r.poison.tracker.LearnEvidence(time.Now(), s)
 }
 
 // LearnPoison takes a fingerprint from a peer.
 func (r *Router) LearnPoison(f poison.Fingerprint, ttl time.Duration) {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
 	now := time.Now()
-	r.poisons.tracker.Learn(now, f, now.Add(ttl))
+	r.poison.tracker.Learn(now, f, now.Add(ttl))
 }
--- a/node/router/pool.go
+++ b/node/router/pool.go
@@ -18,21 +18,21 @@
 
 const (
 	defaultRetryRatio = 0.1
-	// banksPerSlot and minBank bound the retries saved up: the loss of several
+	// savedRetriesPerSlot and minBank bound the retries saved up: the loss of several
 	// replicas ends many attempts at once, and each is to be resumed.
-	banksPerSlot = 4
-	minBank      = 64
-	// retriesPerSlot is the rate of retries, per slot and second, that needs no
+	savedRetriesPerSlot = 4
+	minSavedRetries     = 64
+	// retryRatePerSlot is the rate of retries, per slot and second, that needs no
 	// first attempts.
-	retriesPerSlot = 0.1
+	retryRatePerSlot = 0.1
 )
 
 // retryConfig returns the retry budget of a pool with the given slots.
 func retryConfig(slots int, ratio float64) retry.BudgetConfig {
 	return retry.BudgetConfig{
 		Ratio:        ratio,
-		MinPerSecond: max(1, retriesPerSlot*float64(slots)),
-		Bank:         float64(max(minBank, banksPerSlot*slots)),
+		MinPerSecond: max(1, retryRatePerSlot*float64(slots)),
+		Bank:         float64(max(minSavedRetries, savedRetriesPerSlot*slots)),
 	}
 }
 
@@ -42,10 +42,10 @@
 	engines engine.Client
 	// background runs a function that the router's Close waits for.
 	background func(func())
-	poisons    *poisons
-	// wake is called when a request has to wait.
-	wake func()
-	seed uint64
+	poison     *poisonTracker
+	// onWait is called when a request has to wait.
+	onWait func()
+	seed   uint64
 }
 
 // pool holds the replicas and the queue of one model. It is safe for
@@ -55,54 +55,54 @@
 	model string
 	queue *queue
 
-	mu        sync.Mutex
-	cfg       config.ModelConfig
-	table     *route.Table
-	upstreams map[string]*upstream
-	list      []wire.Instance               // the platform's list
-	inUse     string                        // model version that requests run on
-	held      map[string]holding            // what engines said against the list
-	groups    map[route.Range]*health.Group // by layer range
-	random    *rand.Rand
-	calls     uint64 // number of the last call
-	budget    *retry.Budget
-	outputs   outputs
-	slots     int // what the replicas in use carry at once
-	// changed is true when slots is to be computed again.
-	changed bool
-	ratio   float64
+	mu             sync.Mutex
+	cfg            config.ModelConfig
+	table          *route.Table
+	upstreams      map[string]*upstream
+	list           []wire.Instance               // the platform's list
+	activeVersion  string                        // model version that requests run on
+	reportedStates map[string]reportedState      // what engines said against the list
+	groups         map[route.Range]*health.Group // by layer range
+	random         *rand.Rand
+	calls          uint64 // number of the last call
+	budget         *retry.Budget
+	outputLengths  outputLengths
+	slots          int // what the replicas in use carry at once
+	// capacityChanged is true when slots is to be computed again.
+	capacityChanged bool
+	ratio           float64
 }
 
-func newPool(model string, cfg config.ModelConfig, policy route.Policy, adm admission.Admitter, o poolOptions) *pool {
+func newPool(model string, cfg config.ModelConfig, policy route.Policy, admitter admission.Admitter, o poolOptions) *pool {
 	return &pool{
-		poolOptions: o,
-		model:       model,
-		queue:       newQueue(adm, o.wake),
-		cfg:         cfg,
-		table:       route.NewTable(cfg.Layers, policy),
-		upstreams:   map[string]*upstream{},
-		held:        map[string]holding{},
-		groups:      map[route.Range]*health.Group{},
-		random:      rand.New(rand.NewPCG(o.seed, uint64(len(model)))),
-		budget:      retry.NewBudget(retryConfig(0, defaultRetryRatio)),
-		ratio:       defaultRetryRatio,
-		outputs:     outputs{means: map[outputKey]float64{}},
+		poolOptions:    o,
+		model:          model,
+		queue:          newQueue(admitter, o.onWait),
+		cfg:            cfg,
+		table:          route.NewTable(cfg.Layers, policy),
+		upstreams:      map[string]*upstream{},
+		reportedStates: map[string]reportedState{},
+		groups:         map[route.Range]*health.Group{},
+		random:         rand.New(rand.NewPCG(o.seed, uint64(len(model)))),
+		budget:         retry.NewBudget(retryConfig(0, defaultRetryRatio)),
+		ratio:          defaultRetryRatio,
+		outputLengths:  outputLengths{means: map[outputKey]float64{}},
 	}
 }
 
-// updateCapacity asks for a new computation of the capacity at the next tick, so
+// scheduleCapacityUpdate asks for a new computation of the capacity at the next tick, so
 // that many changes at once cost one. The caller holds p.mu.
-func (p *pool) updateCapacity() {
-	p.changed = true
+func (p *pool) scheduleCapacityUpdate() {
+	p.capacityChanged = true
 }
 
 // applyCapacity tells the queue how many requests the replicas in use carry at
 // once. The caller holds p.mu.
 func (p *pool) applyCapacity() {
-	if !p.changed {
+	if !p.capacityChanged {
 		return
 	}
-	p.changed = false
+	p.capacityChanged = false
 	edges := make([]capacity.Edge, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
 		if u.usable() {
@@ -118,36 +118,36 @@
 	p.queue.setCapacity(slots)
 }
 
-// silentReports is the number of load reports in a row that must not come before a
+// missedReportsBeforeProbe is the number of load reports in a row that must not come before a
 // replica is asked whether it answers: one may be lost, and requests may not be sent to
 // it because it was slow.
-const silentReports = 4
+const missedReportsBeforeProbe = 4
 
-// noReport notes that a replica gave no load report.
-func (p *pool) noReport(t engine.Target) {
+// recordMissedReport notes that a replica gave no load report.
+func (p *pool) recordMissedReport(t engine.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(t)
+	u, ok := p.lookup(t)
 	if !ok {
 		return
 	}
-	if u.unreported++; u.unreported < silentReports {
+	if u.missedReports++; u.missedReports < missedReportsBeforeProbe {
 		return
 	}
-	u.unreported = 0
+	u.missedReports = 0
 	p.calls++
 	p.step(u, health.Silent{Connection: p.calls})
 }
 
-// report takes the load report of one replica.
-func (p *pool) report(t engine.Target, r *wire.LoadReport) {
+// applyLoadReport takes the load applyLoadReport of one replica.
+func (p *pool) applyLoadReport(t engine.Target, r *wire.LoadReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(t)
+	u, ok := p.lookup(t)
 	if !ok {
 		return
 	}
-	u.unreported = 0
+	u.missedReports = 0
 	p.table.Report(time.Now(), t.ID, route.Load{
 		Running:                r.Running,
 		Waiting:                r.Waiting,
@@ -206,8 +206,8 @@
 	return d
 }
 
-// end takes back what choose counted for one replica.
-func (p *pool) end(id string, tokens int) {
+// endAttempt takes back what choose counted for one replica.
+func (p *pool) endAttempt(id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.End(id, tokens)
@@ -222,12 +222,12 @@
 }
 
 // release ends an attempt on its replicas and then frees their places.
-func (p *pool) release(requestID string, attemptNumber int, hops []route.Hop, tokens int) {
+func (p *pool) release(requestID string, attemptNumber int, stages []route.Hop, tokens int) {
 	var wg sync.WaitGroup
-	for _, h := range hops {
+	for _, h := range stages {
 		wg.Go(func() {
 			p.cancelAttempt(requestID, attemptNumber, h.ReplicaID)
-			p.end(h.ReplicaID, tokens)
+			p.endAttempt(h.ReplicaID, tokens)
 		})
 	}
 	wg.Wait()
@@ -260,25 +260,25 @@
 func (p *pool) version() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.inUse
+	return p.activeVersion
 }
 
-// first pays a first attempt into the retry budget.
-func (p *pool) first() {
+// recordFirstAttempt pays a recordFirstAttempt attempt into the retry budget.
+func (p *pool) recordFirstAttempt() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.First(time.Now())
 }
 
-// mayRetry spends one retry, or returns false when the budget is used up.
-func (p *pool) mayRetry() bool {
+// spendRetry spends one retry, or returns false when the budget is used up.
+func (p *pool) spendRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.Take(time.Now())
 }
 
-// setMembers names the entry instances that dispatch to the pool.
-func (p *pool) setMembers(self string, live []string) {
+// setEntryInstances names the entry instances that dispatch to the pool.
+func (p *pool) setEntryInstances(self string, live []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.SetMembers(self, live)
@@ -288,12 +288,12 @@
 func (p *pool) expectedOutput(r *Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.outputs.expect(outputKey{workspace: r.Workspace, rank: r.Rank}, r.MaxTokens)
+	return p.outputLengths.estimate(outputKey{workspace: r.Workspace, rank: r.Rank}, r.MaxTokens)
 }
 
 // observeOutput learns from a complete answer.
 func (p *pool) observeOutput(r *Request, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.outputs.observe(outputKey{workspace: r.Workspace, rank: r.Rank}, tokens)
+	p.outputLengths.observe(outputKey{workspace: r.Workspace, rank: r.Rank}, tokens)
 }
--- a/node/router/queue.go
+++ b/node/router/queue.go
@@ -12,17 +12,17 @@
 // queue lets goroutines wait for the decisions of one admission.Admitter. It
 // is safe for concurrent use.
 type queue struct {
-	mu      sync.Mutex
-	adm     admission.Admitter
-	waiting map[string]chan admission.Effect
+	mu       sync.Mutex
+	admitter admission.Admitter
+	waiting  map[string]chan admission.Effect
 	// capacity is what the upstreams carry for all instances together, share
 	// what this instance may use of it.
 	capacity int
 	share    int
 	// slots is the smaller of the two, as told to adm.
 	slots int
-	// wake is called when a request has to wait.
-	wake func()
+	// onWait is called when a request has to wait.
+	onWait func()
 	// closed tells that the pool is not in force any more.
 	closed bool
 }
@@ -30,35 +30,35 @@
 // unlimited is the share of an instance that runs alone.
 const unlimited = math.MaxInt
 
-func newQueue(adm admission.Admitter, wake func()) *queue {
-	return &queue{adm: adm, waiting: map[string]chan admission.Effect{}, share: unlimited, wake: wake}
+func newQueue(admitter admission.Admitter, onWait func()) *queue {
+	return &queue{admitter: admitter, waiting: map[string]chan admission.Effect{}, share: unlimited, onWait: onWait}
 }
 
-// enter waits until the request is dispatched or refused. When ctx ends first,
+// admit waits until the request is dispatched or refused. When ctx ends first,
 // the request leaves the queue and the error of ctx is returned.
-func (q *queue) enter(ctx context.Context, r admission.Request) (admission.Effect, error) {
+func (q *queue) admit(ctx context.Context, r admission.Request) (admission.Effect, error) {
 	q.mu.Lock()
 	if q.closed {
 		q.mu.Unlock()
-		return replacedPool(r.ID), nil
+		return poolReplacedEffect(r.ID), nil
 	}
-	ch := q.expect(r.ID)
-	q.deliver(q.adm.Arrive(time.Now(), r))
+	ch := q.register(r.ID)
+	q.deliver(q.admitter.Arrive(time.Now(), r))
 	q.mu.Unlock()
-	return q.wait(ctx, r.ID, ch)
+	return q.await(ctx, r.ID, ch)
 }
 
-// reenter returns a dispatched request to its place and waits again.
-func (q *queue) reenter(ctx context.Context, id string) (admission.Effect, error) {
+// requeue returns a dispatched request to its place and waits again.
+func (q *queue) requeue(ctx context.Context, id string) (admission.Effect, error) {
 	q.mu.Lock()
 	if q.closed {
 		q.mu.Unlock()
-		return replacedPool(id), nil
+		return poolReplacedEffect(id), nil
 	}
-	ch := q.expect(id)
-	q.deliver(q.adm.Requeue(time.Now(), id))
+	ch := q.register(id)
+	q.deliver(q.admitter.Requeue(time.Now(), id))
 	q.mu.Unlock()
-	return q.wait(ctx, id, ch)
+	return q.await(ctx, id, ch)
 }
 
 // close refuses the requests that wait and those that still come. The pool is
@@ -69,12 +69,12 @@
 	q.closed = true
 	for id, ch := range q.waiting {
 		delete(q.waiting, id)
-		ch <- replacedPool(id)
+		ch <- poolReplacedEffect(id)
 	}
 }
 
-// replacedPool refuses a request whose pool is not in force any more.
-func replacedPool(id string) admission.Effect {
+// poolReplacedEffect refuses a request whose pool is not in force any more.
+func poolReplacedEffect(id string) admission.Effect {
 	return admission.Effect{Kind: admission.Refuse, ID: id, RetryAfter: retryAfterReplaced}
 }
 
@@ -86,18 +86,18 @@
 	return e.Reason.String()
 }
 
-func (q *queue) expect(id string) chan admission.Effect {
+func (q *queue) register(id string) chan admission.Effect {
 	ch := make(chan admission.Effect, 1)
 	q.waiting[id] = ch
 	return ch
 }
 
-func (q *queue) wait(ctx context.Context, id string, ch chan admission.Effect) (admission.Effect, error) {
+func (q *queue) await(ctx context.Context, id string, ch chan admission.Effect) (admission.Effect, error) {
 	select {
 	case e := <-ch:
 		return e, nil
 	default:
-		q.wake()
+		q.onWait()
 	}
 	select {
 	case e := <-ch:
@@ -113,14 +113,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.waiting, id)
-	q.deliver(q.adm.Cancel(time.Now(), id))
+	q.deliver(q.admitter.Cancel(time.Now(), id))
 }
 
 // done reports that a dispatched request ended after cost tokens.
 func (q *queue) done(id string, cost float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.deliver(q.adm.Done(time.Now(), id, cost))
+	q.deliver(q.admitter.Done(time.Now(), id, cost))
 }
 
 // setCapacity sets what the upstreams carry for all instances together.
@@ -146,10 +146,10 @@
 		return
 	}
 	q.slots = slots
-	q.deliver(q.adm.Capacity(time.Now(), slots))
+	q.deliver(q.admitter.Capacity(time.Now(), slots))
 }
 
-func (q *queue) total() int {
+func (q *queue) totalCapacity() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.capacity
@@ -158,31 +158,31 @@
 func (q *queue) configure(c admission.Config) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.deliver(q.adm.Configure(time.Now(), c))
+	q.deliver(q.admitter.Configure(time.Now(), c))
 }
 
 func (q *queue) tick() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.deliver(q.adm.Tick(time.Now()))
+	q.deliver(q.admitter.Tick(time.Now()))
 }
 
 func (q *queue) stats(top int) admission.Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.adm.Stats(top)
+	return q.admitter.Stats(top)
 }
 
 func (q *queue) loads() []admission.Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.adm.Loads()
+	return q.admitter.Loads()
 }
 
 func (q *queue) position(id string) (admission.Position, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.adm.Position(time.Now(), id)
+	return q.admitter.Position(time.Now(), id)
 }
 
 // deliver hands effects to the goroutines that wait for them. The caller holds
--- a/node/router/reporter.go
+++ b/node/router/reporter.go
@@ -11,8 +11,8 @@
 // reporter steps the state machines of upstreams and tells the log and the
 // metrics what happens to them. It is safe for concurrent use.
 type reporter struct {
-	log    *zap.Logger
-	events Metrics
+	log     *zap.Logger
+	metrics Metrics
 }
 
 // actions carries out what the state machine of one upstream asks for. Its
@@ -40,7 +40,7 @@
 		case health.Probe:
 			a.probe(effect)
 		case health.ReplaceConnection:
-			r.events.ConnectionReplaced(id)
+			r.metrics.ConnectionReplaced(id)
 			a.replaceConnection(effect.Connection)
 		case health.SetWeight:
 			a.setWeight(effect.Weight)
@@ -49,10 +49,10 @@
 			a.failAttempts()
 		case health.Eject:
 			r.log.Warn("upstream ejected", zap.String("upstream", id), zap.Time("until", effect.Until))
-			r.events.Ejected(id)
+			r.metrics.Ejected(id)
 		case health.AnnounceLeaving:
 			r.log.Info("upstream leaves", zap.String("upstream", id))
-			r.events.Leaving(id)
+			r.metrics.Leaving(id)
 		case health.Remove:
 			a.remove()
 			changed = true
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -29,8 +29,8 @@
 	cachePeriod = time.Second
 	// loadTimeout bounds the reading of one load report.
 	loadTimeout = time.Second
-	// loadReaders bounds the load reports read at once.
-	loadReaders = 16
+	// maxParallelReads bounds the load reports read at once.
+	maxParallelReads = 16
 	// poisonRetention is the time for which evidence on crashes is kept until a
 	// configuration is in force.
 	poisonRetention = 10 * time.Minute
@@ -85,15 +85,15 @@
 	opts    Options
 	metrics Metrics
 	history *history
-	poisons *poisons
+	poison  *poisonTracker
 	cfg     atomic.Pointer[config.Config]
 
 	mu        sync.RWMutex
 	pools     map[string]*pool
 	services  map[string]*servicePool
 	instances []wire.Instance
-	// entries are the live entry instances, this one included.
-	entries []string
+	// entryInstances are the live entry instances, this one included.
+	entryInstances []string
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -104,9 +104,9 @@
 // it serve. Close ends it.
 func New(o Options) *Router {
 	r := newRouter(o)
-	r.background(func() { r.every(tickPeriod, r.tickOnce) })
-	r.background(func() { r.every(loadPeriod, r.readLoadOnce) })
-	r.background(func() { r.every(cachePeriod, r.readCacheOnce) })
+	r.background(func() { r.runEvery(tickPeriod, r.tickOnce) })
+	r.background(func() { r.runEvery(loadPeriod, r.readLoadOnce) })
+	r.background(func() { r.runEvery(cachePeriod, r.readCacheOnce) })
 	return r
 }
 
@@ -114,15 +114,15 @@
 func newRouter(o Options) *Router {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Router{
-		opts:     o,
-		metrics:  o.Metrics,
-		history:  newHistory(),
-		poisons:  newPoisons(poisonRetention),
-		entries:  []string{o.ID},
-		pools:    map[string]*pool{},
-		services: map[string]*servicePool{},
-		ctx:      ctx,
-		cancel:   cancel,
+		opts:           o,
+		metrics:        o.Metrics,
+		history:        newHistory(),
+		poison:         newPoisonTracker(poisonRetention),
+		entryInstances: []string{o.ID},
+		pools:          map[string]*pool{},
+		services:       map[string]*servicePool{},
+		ctx:            ctx,
+		cancel:         cancel,
 	}
 }
 
@@ -136,7 +136,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cfg.Store(c)
-	r.poisons.configure(c.Limits.PoisonTTL)
+	r.poison.configure(c.Limits.PoisonTTL)
 	policy := admission.FromConfig(c)
 	r.configurePools(c, policy)
 	r.configureServices(c, policy)
@@ -156,11 +156,11 @@
 			reporter:   r.reporter(),
 			engines:    r.opts.Engines,
 			background: r.background,
-			poisons:    r.poisons,
-			wake:       r.wake,
+			poison:     r.poison,
+			onWait:     r.onWait,
 			seed:       r.opts.Seed,
 		})
-		p.setMembers(r.opts.ID, r.entries)
+		p.setEntryInstances(r.opts.ID, r.entryInstances)
 		p.configure(m, c.Limits.RetryRatio, policy, r.instances)
 		r.pools[name] = p
 	}
@@ -179,9 +179,9 @@
 			sp = newServicePool(name, s, r.admitter(policy), serviceOptions{
 				reporter:   r.reporter(),
 				client:     r.opts.Services,
-				poisons:    r.poisons,
+				poison:     r.poison,
 				background: r.background,
-				wake:       r.wake,
+				onWait:     r.onWait,
 				seed:       r.opts.Seed,
 			})
 			sp.setInstances(r.instances)
@@ -221,9 +221,9 @@
 func (r *Router) SetEntries(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.entries = ids
+	r.entryInstances = ids
 	for _, p := range r.pools {
-		p.setMembers(r.opts.ID, ids)
+		p.setEntryInstances(r.opts.ID, ids)
 	}
 }
 
@@ -232,10 +232,10 @@
 func (r *Router) MarkLeaving(upstream string) bool {
 	known := false
 	for _, p := range r.allPools() {
-		known = p.leaving(upstream, health.FromPeer) || known
+		known = p.markLeaving(upstream, health.FromPeer) || known
 	}
 	for _, s := range r.allServices() {
-		known = s.leaving(upstream, health.FromPeer) || known
+		known = s.markLeaving(upstream, health.FromPeer) || known
 	}
 	return known
 }
@@ -248,12 +248,12 @@
 		return Result{RequestID: req.ID, Workspace: req.Workspace, Rank: req.Rank, Code: CodeUnknownModel, Message: "unknown model " + req.Model}
 	}
 	f := fingerprintOf(req)
-	if r.poisons.blocked(f) {
+	if r.poison.blocked(f) {
 		res := Result{RequestID: req.ID, Workspace: req.Workspace, Rank: req.Rank, Model: req.Model, Code: CodePoison, Message: poisonMessage}
-		r.finished(res)
+		r.recordResult(res)
 		return res
 	}
-	x := &run{
+	x := &requestRun{
 		router:      r,
 		pool:        p,
 		req:         req,
@@ -267,18 +267,18 @@
 		}),
 	}
 	result := x.serve(ctx)
-	r.finished(result)
+	r.recordResult(result)
 	return result
 }
 
-func (r *Router) wake() {
+func (r *Router) onWait() {
 	if r.opts.Wake != nil {
 		r.opts.Wake()
 	}
 }
 
-// finished records the result of a request.
-func (r *Router) finished(res Result) {
+// recordResult records the result of a request.
+func (r *Router) recordResult(res Result) {
 	r.history.add(res)
 	r.metrics.Finished(&res)
 }
@@ -310,7 +310,7 @@
 }
 
 func (r *Router) reporter() reporter {
-	return reporter{log: r.opts.Logger, events: r.metrics}
+	return reporter{log: r.opts.Logger, metrics: r.metrics}
 }
 
 func (r *Router) queues() []*queue {
@@ -355,8 +355,8 @@
 	}
 }
 
-// every calls f at each period until Close.
-func (r *Router) every(period time.Duration, f func()) {
+// runEvery calls f at each period until Close.
+func (r *Router) runEvery(period time.Duration, f func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -26,12 +26,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// serve runs f against a router whose replicas have answered their first probe
+// withRouter runs f against a router whose replicas have answered their first probe
 // and whose queue has heard of their capacity, which the next tick computes.
 // Time in f is that of the bubble. When f returns, all capacity must be back.
-func serve(t *testing.T, engines *fakeEngines, list []wire.Instance, f func(t *testing.T, r *Router, m *noMetrics)) {
+func withRouter(t *testing.T, engines *fakeEngines, list []wire.Instance, f func(t *testing.T, r *Router, m *discardCounter)) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &noMetrics{}
+		m := &discardCounter{}
 		r := newTestRouter(engines, m, list, 4)
 		synctest.Wait()
 		time.Sleep(tickPeriod)
@@ -39,12 +39,12 @@
 		defer r.Close()
 		f(t, r, m)
 		synctest.Wait()
-		require.Empty(t, held(r))
+		require.Empty(t, leakedCapacity(r))
 	})
 }
 
-// held describes what the router still counts as in use, or returns "".
-func held(r *Router) string {
+// leakedCapacity describes what the router still counts as in use, or returns "".
+func leakedCapacity(r *Router) string {
 	p := r.pool(testModel)
 	if s := p.queue.stats(0); s.InFlight != 0 || s.Queued != 0 {
 		return fmt.Sprintf("queue: %d in flight, %d queued", s.InFlight, s.Queued)
@@ -58,8 +58,8 @@
 		}
 	}
 	for id, u := range p.upstreams {
-		if len(u.verdicts) != 0 || len(u.open) != 0 || u.inFlight != 0 {
-			return fmt.Sprintf("%s: %d open verdicts, %d steps, %d attempts", id, len(u.verdicts), len(u.open), u.inFlight)
+		if len(u.probeWaiters) != 0 || len(u.runningSteps) != 0 || u.inFlight != 0 {
+			return fmt.Sprintf("%s: %d open verdicts, %d steps, %d attempts", id, len(u.probeWaiters), len(u.runningSteps), u.inFlight)
 		}
 	}
 	return ""
@@ -73,7 +73,7 @@
 	}
 }
 
-func wholeAnswer(id string, tokens int) []string {
+func completeResponse(id string, tokens int) []string {
 	out := make([]string, 0, tokens)
 	for i := range tokens {
 		out = append(out, tokenText(id, i))
@@ -83,7 +83,7 @@
 
 // Answers to another request, attempt or position, and answers without the output
 // of their stage, are dropped; the caller gets its own answer whole and in order.
-func TestCrossedAnswersAreDropped(t *testing.T) {
+func TestMismatchedResponsesAreDropped(t *testing.T) {
 	cases := map[string]struct {
 		kind  attempt.DropKind
 		alter func(*wire.StepResponse)
@@ -101,18 +101,18 @@
 		for stage := range 3 {
 			t.Run(fmt.Sprintf("%s at stage %d", name, stage), func(t *testing.T) {
 				engines := &fakeEngines{}
-				engines.behave = func(_ context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
-					resp := honest(r)
+				engines.onStep = func(_ context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
+					resp := correctResponse(r)
 					if r.Attempt == 1 && r.Position == 2 && r.FirstLayer == stage*testLayers/3 {
 						c.alter(resp)
 					}
 					return resp, true, nil
 				}
-				serve(t, engines, fleet(3, 9), func(t *testing.T, r *Router, m *noMetrics) {
+				withRouter(t, engines, fleet(3, 9), func(t *testing.T, r *Router, m *discardCounter) {
 					sink := &textSink{}
 					res := r.Generate(context.Background(), testRequest("a", 5, time.Minute), sink)
 					require.True(t, res.Complete)
-					require.Equal(t, wholeAnswer("a", 5), sink.texts)
+					require.Equal(t, completeResponse("a", 5), sink.texts)
 					require.Equal(t, 2, res.Attempts)
 					require.Equal(t, map[attempt.DropKind]int{c.kind: 1}, m.dropped)
 				})
@@ -123,29 +123,29 @@
 
 // A connection that lost track of its engine is replaced: the step is sent again
 // on the same attempt. An engine that does not answer the probe loses the attempt.
-func TestSilenceIsJudgedByProbe(t *testing.T) {
+func TestUnansweredStepIsProbed(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		t.Run(fmt.Sprint("alive=", alive), func(t *testing.T) {
 			engines := &fakeEngines{}
 			silent := ""
-			engines.behave = func(ctx context.Context, e engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
+			engines.onStep = func(ctx context.Context, e engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
 				if r.Position == 1 && r.FirstLayer > 0 && r.Attempt == 1 && !r.Resend {
 					silent = e.ID
-					return nil, true, silence(ctx)
+					return nil, true, blockUntilDone(ctx)
 				}
-				return honest(r), true, nil
+				return correctResponse(r), true, nil
 			}
 			engines.probe = func(e engine.Target) error {
 				if e.ID == silent && !alive {
-					return lost()
+					return connectionLostError()
 				}
 				return nil
 			}
-			serve(t, engines, fleet(2, 6), func(t *testing.T, r *Router, _ *noMetrics) {
+			withRouter(t, engines, fleet(2, 6), func(t *testing.T, r *Router, _ *discardCounter) {
 				sink := &textSink{}
 				res := r.Generate(context.Background(), testRequest("a", 3, time.Minute), sink)
 				require.True(t, res.Complete)
-				require.Equal(t, wholeAnswer("a", 3), sink.texts)
+				require.Equal(t, completeResponse("a", 3), sink.texts)
 				if alive {
 					require.Equal(t, 1, res.Attempts)
 					require.Equal(t, []string{silent}, engines.replaced)
@@ -160,26 +160,26 @@
 
 // A step that stays silent on every connection, although the replica answers
 // probes, ends the attempt, and the replica is not charged with it later.
-func TestSilenceThatStays(t *testing.T) {
+func TestStepUnansweredAfterResend(t *testing.T) {
 	engines := &fakeEngines{}
-	engines.behave = func(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
+	engines.onStep = func(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
 		if r.Position == 1 && r.FirstLayer > 0 && r.Attempt == 1 {
-			return nil, true, silence(ctx)
+			return nil, true, blockUntilDone(ctx)
 		}
-		return honest(r), true, nil
+		return correctResponse(r), true, nil
 	}
-	serve(t, engines, fleet(2, 6), func(t *testing.T, r *Router, _ *noMetrics) {
+	withRouter(t, engines, fleet(2, 6), func(t *testing.T, r *Router, _ *discardCounter) {
 		sink := &textSink{}
 		res := r.Generate(context.Background(), testRequest("a", 3, time.Minute), sink)
 		require.True(t, res.Complete)
-		require.Equal(t, wholeAnswer("a", 3), sink.texts)
+		require.Equal(t, completeResponse("a", 3), sink.texts)
 		require.Equal(t, 2, res.Attempts)
 	})
 }
 
 // The caller is told not_run only where every engine that was written to has
 // refused.
-func TestExecutionIsProven(t *testing.T) {
+func TestExecutionStatusIsProven(t *testing.T) {
 	steps := func(outcomes ...string) func(context.Context, engine.Target, *wire.StepRequest) (*wire.StepResponse, bool, error) {
 		n := 0
 		return func(_ context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
@@ -187,15 +187,15 @@
 			n++
 			switch outcome {
 			case "refused":
-				return nil, false, refuse(wire.CodeOverloaded)
+				return nil, false, refusalError(wire.CodeOverloaded)
 			case "unsent":
 				return nil, false, &engine.CallError{Proof: engine.ProofNotSent, Code: engine.CodeConnection, Err: errors.New("refused")}
 			case "lost":
-				return nil, false, lost()
+				return nil, false, connectionLostError()
 			case "garbled":
 				return nil, true, &engine.CallError{Code: engine.CodeProtocol, Err: errors.New("no JSON")}
 			default:
-				return honest(r), true, nil
+				return correctResponse(r), true, nil
 			}
 		}
 	}
@@ -213,8 +213,8 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.outcomes), func(t *testing.T) {
-			engines := &fakeEngines{behave: steps(c.outcomes...)}
-			serve(t, engines, fleet(2, 16), func(t *testing.T, r *Router, _ *noMetrics) {
+			engines := &fakeEngines{onStep: steps(c.outcomes...)}
+			withRouter(t, engines, fleet(2, 16), func(t *testing.T, r *Router, _ *discardCounter) {
 				res := r.Generate(context.Background(), testRequest("a", 3, time.Minute), &textSink{})
 				require.False(t, res.Complete)
 				require.Equal(t, CodeAttempts, res.Code)
@@ -229,15 +229,15 @@
 func TestDeadlineInQueue(t *testing.T) {
 	engines := &fakeEngines{slots: limit.New().Limit()}
 	var release chan struct{}
-	engines.behave = func(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
+	engines.onStep = func(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
 		select {
 		case <-release:
-			return honest(r), true, nil
+			return correctResponse(r), true, nil
 		case <-ctx.Done():
-			return nil, true, silence(ctx)
+			return nil, true, blockUntilDone(ctx)
 		}
 	}
-	serve(t, engines, fleet(1, 1), func(t *testing.T, r *Router, _ *noMetrics) {
+	withRouter(t, engines, fleet(1, 1), func(t *testing.T, r *Router, _ *discardCounter) {
 		release = make(chan struct{})
 		var running sync.WaitGroup
 		slots := r.pool(testModel).queue.stats(0).Slots
@@ -262,10 +262,10 @@
 // caller left.
 func TestDeadlineWithoutRoute(t *testing.T) {
 	engines := &fakeEngines{}
-	engines.behave = func(context.Context, engine.Target, *wire.StepRequest) (*wire.StepResponse, bool, error) {
-		return nil, false, refuse(wire.CodeLeaving)
+	engines.onStep = func(context.Context, engine.Target, *wire.StepRequest) (*wire.StepResponse, bool, error) {
+		return nil, false, refusalError(wire.CodeLeaving)
 	}
-	serve(t, engines, fleet(1, 128), func(t *testing.T, r *Router, _ *noMetrics) {
+	withRouter(t, engines, fleet(1, 128), func(t *testing.T, r *Router, _ *discardCounter) {
 		codes := make([]Code, 256)
 		var wg sync.WaitGroup
 		for i := range codes {
@@ -282,28 +282,28 @@
 
 // When the caller leaves, every replica of the route is told to forget the
 // attempt, also those that have already answered.
-func TestCallerLeaving(t *testing.T) {
+func TestClientLeaving(t *testing.T) {
 	for stage := range 3 {
 		t.Run(fmt.Sprint("stage ", stage), func(t *testing.T) {
 			engines := &fakeEngines{}
 			ctx, leave := context.WithCancel(context.Background())
-			engines.behave = func(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
+			engines.onStep = func(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
 				if r.Position == 1 && r.FirstLayer == stage*testLayers/3 {
 					leave()
-					return nil, true, silence(ctx)
+					return nil, true, blockUntilDone(ctx)
 				}
-				return honest(r), true, nil
+				return correctResponse(r), true, nil
 			}
-			serve(t, engines, fleet(3, 9), func(t *testing.T, r *Router, _ *noMetrics) {
+			withRouter(t, engines, fleet(3, 9), func(t *testing.T, r *Router, _ *discardCounter) {
 				sink := &textSink{}
 				res := r.Generate(ctx, testRequest("a", 5, time.Minute), sink)
 				require.Equal(t, CodeCancelled, res.Code)
 				require.Equal(t, execution.Ran, res.Execution)
-				require.Equal(t, wholeAnswer("a", 1), sink.texts)
+				require.Equal(t, completeResponse("a", 1), sink.texts)
 				synctest.Wait()
-				var want []cancelled
+				var want []cancelledAttempt
 				for _, id := range res.Route {
-					want = append(want, cancelled{replica: id, request: "a", attempt: 1})
+					want = append(want, cancelledAttempt{replica: id, request: "a", attempt: 1})
 				}
 				require.Len(t, want, 3)
 				require.ElementsMatch(t, want, engines.cancelled)
@@ -314,10 +314,10 @@
 
 // A caller that leaves while the last token is handed out frees everything, and
 // the result does not deny that the request ran.
-func TestCallerLeavingAtLastToken(t *testing.T) {
+func TestClientLeavingAtLastToken(t *testing.T) {
 	const tokens = 3
 	engines := &fakeEngines{}
-	serve(t, engines, fleet(2, 6), func(t *testing.T, r *Router, _ *noMetrics) {
+	withRouter(t, engines, fleet(2, 6), func(t *testing.T, r *Router, _ *discardCounter) {
 		sink := &textSink{fail: func(position int) error {
 			if position == tokens-1 {
 				return errors.New("caller left")
@@ -332,36 +332,36 @@
 	})
 }
 
-// script decides the end of each step from a seed and the step's identity, so
+// faultScript decides the end of each step from a seed and the step's identity, so
 // that it does not depend on the order in which goroutines run.
-type script struct {
+type faultScript struct {
 	seed uint64
 	// faults is the number of steps in 100 that do not end well.
 	faults int
 }
 
-func (s script) draw(parts ...any) int {
+func (s faultScript) draw(parts ...any) int {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, s.seed, parts)
 	return int(h.Sum64() >> 32)
 }
 
-func (s script) behave(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
+func (s faultScript) onStep(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
 	n := s.draw(r.RequestID, r.Attempt, r.Position, r.FirstLayer, r.Resend)
-	resp := honest(r)
+	resp := correctResponse(r)
 	if n%100 >= s.faults {
 		return resp, true, nil
 	}
 	executed := n/100%2 == 0
 	switch n / 200 % 7 {
 	case 0:
-		return nil, false, refuse(wire.CodeOverloaded)
+		return nil, false, refusalError(wire.CodeOverloaded)
 	case 1:
 		return nil, false, &engine.CallError{Proof: engine.ProofNotSent, Code: engine.CodeConnection, Err: errors.New("refused")}
 	case 2:
-		return nil, executed, lost()
+		return nil, executed, connectionLostError()
 	case 3:
-		return nil, executed, silence(ctx)
+		return nil, executed, blockUntilDone(ctx)
 	case 4:
 		resp.RequestID = "other"
 		return resp, true, nil
@@ -369,51 +369,51 @@
 		resp.Hidden, resp.Token = nil, nil
 		return resp, true, nil
 	default:
-		return nil, false, refuse(wire.CodeLeaving)
+		return nil, false, refusalError(wire.CodeLeaving)
 	}
 }
 
 // probe answers three probes in four.
-func (s script) probe(e engine.Target) error {
+func (s faultScript) probe(e engine.Target) error {
 	if s.draw("probe", e.ID, time.Now().UnixNano())%4 == 0 {
-		return lost()
+		return connectionLostError()
 	}
 	return nil
 }
 
-// drawn is one request of a random mix.
-type drawn struct {
+// randomRequest is one request of a random mix.
+type randomRequest struct {
 	id       string
 	tokens   int
 	deadline time.Duration
 	// leaveAt is the token at which the sink fails, or -1.
 	leaveAt int
-	// patience is the time after which the caller leaves, or 0.
-	patience time.Duration
+	// leaveAfter is the time after which the caller leaves, or 0.
+	leaveAfter time.Duration
 
 	res  Result
 	sink textSink
 }
 
-func drawRequests(rt *rapid.T) []*drawn {
-	out := make([]*drawn, rapid.IntRange(1, 24).Draw(rt, "requests"))
+func drawRequests(rt *rapid.T) []*randomRequest {
+	out := make([]*randomRequest, rapid.IntRange(1, 24).Draw(rt, "requests"))
 	for i := range out {
-		out[i] = &drawn{
-			id:       fmt.Sprint("r", i),
-			tokens:   rapid.IntRange(1, 6).Draw(rt, "tokens"),
-			deadline: rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 10 * time.Second, time.Minute}).Draw(rt, "deadline"),
-			leaveAt:  rapid.SampledFrom([]int{-1, -1, -1, 0, 2}).Draw(rt, "leaveAt"),
-			patience: rapid.SampledFrom([]time.Duration{0, 0, 0, 500 * time.Millisecond, 5 * time.Second}).Draw(rt, "patience"),
+		out[i] = &randomRequest{
+			id:         fmt.Sprint("r", i),
+			tokens:     rapid.IntRange(1, 6).Draw(rt, "tokens"),
+			deadline:   rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 10 * time.Second, time.Minute}).Draw(rt, "deadline"),
+			leaveAt:    rapid.SampledFrom([]int{-1, -1, -1, 0, 2}).Draw(rt, "leaveAt"),
+			leaveAfter: rapid.SampledFrom([]time.Duration{0, 0, 0, 500 * time.Millisecond, 5 * time.Second}).Draw(rt, "patience"),
 		}
 	}
 	return out
 }
 
-func (d *drawn) run(r *Router) {
+func (d *randomRequest) run(r *Router) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if d.patience > 0 {
-		stop := time.AfterFunc(d.patience, cancel)
+	if d.leaveAfter > 0 {
+		stop := time.AfterFunc(d.leaveAfter, cancel)
 		defer stop.Stop()
 	}
 	d.sink.fail = func(position int) error {
@@ -426,8 +426,8 @@
 }
 
 // check returns what is wrong with the outcome, or "".
-func (d *drawn) check(f *fakeEngines) string {
-	whole := wholeAnswer(d.id, d.tokens)
+func (d *randomRequest) check(f *fakeEngines) string {
+	whole := completeResponse(d.id, d.tokens)
 	if len(d.sink.texts) > len(whole) || fmt.Sprint(d.sink.texts) != fmt.Sprint(whole[:len(d.sink.texts)]) {
 		return fmt.Sprintf("%s got %q", d.id, d.sink.texts)
 	}
@@ -437,7 +437,7 @@
 	if !leftAtLast && d.res.Complete != (len(d.sink.texts) == len(whole)) {
 		return fmt.Sprintf("%s: complete is %v after %d of %d tokens", d.id, d.res.Complete, len(d.sink.texts), len(whole))
 	}
-	if d.res.Code == CodeCancelled && d.patience == 0 && d.leaveAt < 0 {
+	if d.res.Code == CodeCancelled && d.leaveAfter == 0 && d.leaveAt < 0 {
 		return d.id + ": its caller did not leave"
 	}
 	for _, s := range f.stepsOf(d.id) {
@@ -453,16 +453,16 @@
 func TestCapacityReturnsAfterEveryOutcome(t *testing.T) {
 	seen := map[Code]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := script{
+		s := faultScript{
 			seed:   rapid.Uint64().Draw(rt, "seed"),
 			faults: rapid.SampledFrom([]int{0, 5, 20, 60}).Draw(rt, "faults"),
 		}
 		stages := rapid.IntRange(1, 4).Draw(rt, "stages")
 		list := fleet(stages, stages*rapid.IntRange(1, 4).Draw(rt, "replicas"))
 		requests := drawRequests(rt)
-		engines := &fakeEngines{behave: s.behave, probe: s.probe, slots: rapid.IntRange(1, 4).Draw(rt, "slots")}
+		engines := &fakeEngines{onStep: s.onStep, probe: s.probe, slots: rapid.IntRange(1, 4).Draw(rt, "slots")}
 		wrong := ""
-		serve(t, engines, list, func(_ *testing.T, r *Router, _ *noMetrics) {
+		withRouter(t, engines, list, func(_ *testing.T, r *Router, _ *discardCounter) {
 			var wg sync.WaitGroup
 			for _, d := range requests {
 				wg.Go(func() { d.run(r) })
--- a/node/router/run.go
+++ b/node/router/run.go
@@ -24,8 +24,8 @@
 // backoff spreads the waits before a new route.
 var backoff = retry.Backoff{Base: 20 * time.Millisecond, Cap: 500 * time.Millisecond}
 
-// run carries one request from the queue to its outcome.
-type run struct {
+// requestRun carries one request from the queue to its outcome.
+type requestRun struct {
 	router *Router
 	pool   *pool
 	req    *Request
@@ -33,19 +33,19 @@
 	// fingerprint identifies what is asked, whoever asks it.
 	fingerprint poison.Fingerprint
 	machine     *attempt.Machine
-	hops        []route.Hop // of the current attempt
+	stages      []route.Hop // of the current attempt
 	result      Result
 	// dispatched is true while admission counts the request as running.
 	dispatched bool
 	refusal    *admission.Effect
 	lastToken  time.Time
-	// releases counts the attempts that replicas still have to forget.
-	releases sync.WaitGroup
-	// call is the step under way, or the last one; broken tells that its
+	// pendingReleases counts the attempts that replicas still have to forget.
+	pendingReleases sync.WaitGroup
+	// currentCall is the step under way, or the last one; broken tells that its
 	// connection broke, expected the estimate of the answer's length.
-	call     call
-	broken   bool
-	expected int
+	currentCall      call
+	connectionBroken bool
+	expectedTokens   int
 	// version is the model version of the current attempt.
 	version string
 	// poisoned tells that the request must not run again.
@@ -55,10 +55,10 @@
 }
 
 // serve runs the request to its end. The context ends when the caller leaves.
-func (x *run) serve(ctx context.Context) Result {
+func (x *requestRun) serve(ctx context.Context) Result {
 	ctx, cancel := context.WithDeadline(ctx, x.req.Deadline)
 	defer cancel()
-	x.expected = x.pool.expectedOutput(x.req)
+	x.expectedTokens = x.pool.expectedOutput(x.req)
 	x.result = Result{RequestID: x.req.ID, Workspace: x.req.Workspace, Rank: x.req.Rank, Model: x.req.Model}
 	effects := x.machine.Start()
 	for len(effects) > 0 {
@@ -68,8 +68,8 @@
 		if event == nil {
 			continue
 		}
-		if ends(event) {
-			effects = slices.DeleteFunc(effects, starts)
+		if endsRequest(event) {
+			effects = slices.DeleteFunc(effects, startsWork)
 		}
 		effects = append(effects, x.machine.Step(event)...)
 	}
@@ -77,8 +77,8 @@
 	return x.result
 }
 
-// ends tells whether an event makes pending effects void.
-func ends(e attempt.Event) bool {
+// endsRequest tells whether an event makes pending effects void.
+func endsRequest(e attempt.Event) bool {
 	switch e.(type) {
 	case attempt.Cancelled, attempt.Expired, attempt.Unroutable:
 		return true
@@ -87,9 +87,9 @@
 	}
 }
 
-// starts tells whether an effect begins work, which is void once the request
+// startsWork tells whether an effect begins work, which is void once the request
 // ends. Effects that end it are always carried out.
-func starts(e attempt.Effect) bool {
+func startsWork(e attempt.Effect) bool {
 	switch e.(type) {
 	case attempt.Route, attempt.Send, attempt.Probe, attempt.Emit:
 		return true
@@ -99,7 +99,7 @@
 }
 
 // perform carries out one effect and returns the event that answers it, or nil.
-func (x *run) perform(ctx context.Context, e attempt.Effect) attempt.Event {
+func (x *requestRun) perform(ctx context.Context, e attempt.Effect) attempt.Event {
 	switch e := e.(type) {
 	case attempt.Route:
 		return x.route(ctx, e)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (x *run) emit(e attempt.Emit) attempt.Event {
+func (x *requestRun) emit(e attempt.Emit) attempt.Event {
 	now := time.Now()
 	if e.Position == 0 {
 		x.result.FirstToken = now.Sub(x.req.Arrived)
@@ -137,15 +137,15 @@
 
 // release lets the replicas forget an attempt in the background; the router
 // waits for it at shutdown.
-func (x *run) release(e attempt.Release) {
-	hops := x.hops
-	x.hops = nil
-	x.pool.ended(x.call)
+func (x *requestRun) release(e attempt.Release) {
+	stages := x.stages
+	x.stages = nil
+	x.pool.discardStep(x.currentCall)
 	tokens := x.req.PromptTokens()
-	x.releases.Add(1)
+	x.pendingReleases.Add(1)
 	x.router.background(func() {
-		defer x.releases.Done()
-		x.pool.release(x.req.ID, e.Attempt, hops, tokens)
+		defer x.pendingReleases.Done()
+		x.pool.release(x.req.ID, e.Attempt, stages, tokens)
 	})
 }
 
--- a/node/router/service.go
+++ b/node/router/service.go
@@ -62,7 +62,7 @@
 	res.Rank = req.Rank
 	res.Model = req.Service
 	res.Total = time.Since(req.Arrived)
-	r.finished(res.Result)
+	r.recordResult(res.Result)
 	return res
 }
 
@@ -71,10 +71,10 @@
 	pool := r.services[req.Service]
 	r.mu.RUnlock()
 	if pool == nil {
-		return failedCall(CodeUnknownService, execution.NotRun, "unknown service "+req.Service)
+		return failedResult(CodeUnknownService, execution.NotRun, "unknown service "+req.Service)
 	}
-	if r.poisons.blocked(req.fingerprint()) {
-		return failedCall(CodePoison, execution.NotRun, poisonMessage)
+	if r.poison.blocked(req.fingerprint()) {
+		return failedResult(CodePoison, execution.NotRun, poisonMessage)
 	}
 	cfg := pool.config()
 	deadline := req.Arrived.Add(cfg.Timeout)
@@ -83,14 +83,14 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	effect, err := pool.queue.enter(ctx, admission.Request{
+	effect, err := pool.queue.admit(ctx, admission.Request{
 		ID: req.ID, Workspace: req.Workspace, Rank: req.Rank, Cost: 1, Deadline: deadline,
 	})
 	if err != nil {
-		return failedCall(contextCode(ctx), execution.NotRun, err.Error())
+		return failedResult(contextCode(ctx), execution.NotRun, err.Error())
 	}
 	if effect.Kind == admission.Refuse {
-		res := failedCall(refusalCode(effect.Reason), execution.NotRun, refusalMessage(effect))
+		res := failedResult(refusalCode(effect.Reason), execution.NotRun, refusalMessage(effect))
 		res.RetryAfter = effect.RetryAfter
 		return res
 	}
@@ -98,7 +98,7 @@
 	idempotent := slices.Contains(cfg.IdempotentMethods, req.Method)
 	switch {
 	case idempotent:
-		return r.callRepeatable(ctx, pool, req)
+		return r.callIdempotent(ctx, pool, req)
 	case req.Key != "":
 		return r.callKeyed(ctx, pool, req)
 	default:
@@ -106,13 +106,13 @@
 	}
 }
 
-// callRepeatable tries other replicas until one answers.
-func (r *Router) callRepeatable(ctx context.Context, pool *servicePool, req *ServiceRequest) ServiceResult {
+// callIdempotent tries other replicas until one answers.
+func (r *Router) callIdempotent(ctx context.Context, pool *servicePool, req *ServiceRequest) ServiceResult {
 	exclude := map[string]bool{}
-	res := failedCall(CodeNoUpstream, execution.NotRun, "no replica is available")
+	res := failedResult(CodeNoUpstream, execution.NotRun, "no replica is available")
 	worst := execution.NotRun
 	for attempt := range maxServiceAttempts {
-		if attempt > 0 && r.poisons.blocked(req.fingerprint()) {
+		if attempt > 0 && r.poison.blocked(req.fingerprint()) {
 			break
 		}
 		var id string
@@ -145,25 +145,25 @@
 // callReplica sends the call to the best replica and returns its ID, which is
 // empty when there is none.
 func (r *Router) callReplica(ctx context.Context, pool *servicePool, req *ServiceRequest, exclude map[string]bool, idempotent bool) (ServiceResult, string) {
-	c, ok := pool.begin(exclude)
+	c, ok := pool.beginCall(exclude)
 	if !ok {
-		res := failedCall(CodeNoUpstream, execution.NotRun, "no replica is available")
+		res := failedResult(CodeNoUpstream, execution.NotRun, "no replica is available")
 		res.RetryAfter = retryAfterFailure
 		return res, ""
 	}
-	defer pool.end(c)
-	answer, err := r.do(ctx, pool, c, req.fingerprint(), service.Call{
+	defer pool.endCall(c)
+	answer, err := r.sendCall(ctx, pool, c, req.fingerprint(), service.Call{
 		Method: req.Method, Path: req.Path, Header: req.Header, Body: req.Body, Idempotent: idempotent,
 	})
 	if err != nil {
-		return callFailed(ctx, err), c.id
+		return failureResult(ctx, err), c.id
 	}
-	if refusesWork(answer) {
+	if isLeavingRefusal(answer) {
 		pool.observe(c.replica, health.Leaving{Source: health.FromUpstream})
-		return failedCall(CodeUpstreamFailed, execution.NotRun, "the replica leaves"), c.id
+		return failedResult(CodeUpstreamFailed, execution.NotRun, "the replica leaves"), c.id
 	}
 	pool.observe(c.replica, health.Progress{Connection: c.number})
-	r.poisons.completed(req.fingerprint())
+	r.poison.recordCompletion(req.fingerprint())
 	res := ServiceResult{Answer: answer}
 	res.Complete = true
 	res.Execution = execution.Ran
@@ -171,28 +171,28 @@
 	return res, c.id
 }
 
-// do sends a call and tells the pool of silence and of a failed connection. A
+// sendCall sends a call and tells the pool of silence and of a failed connection. A
 // call that may be repeated ends when the replica is found not to answer; one
 // that may not waits for its answer as long as it can.
-func (r *Router) do(ctx context.Context, pool *servicePool, c serviceCall, f poison.Fingerprint, call service.Call) (*service.Answer, error) {
+func (r *Router) sendCall(ctx context.Context, pool *servicePool, c serviceCall, f poison.Fingerprint, call service.Call) (*service.Answer, error) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if call.Idempotent {
-		stop := context.AfterFunc(c.live, cancel)
+		stop := context.AfterFunc(c.attemptCtx, cancel)
 		defer stop()
 	}
-	silence := time.AfterFunc(c.patience, func() {
+	silence := time.AfterFunc(c.probeAfter, func() {
 		pool.observe(c.replica, health.Silent{Connection: c.number})
 	})
 	defer silence.Stop()
 	answer, err := r.opts.Services.Do(callCtx, c.address, call)
 	if err != nil && callCtx.Err() == nil && connectionFailed(err) {
-		pool.lost(c, f, err)
+		pool.recordConnectionLoss(c, f, err)
 	}
 	return answer, err
 }
 
-func callFailed(ctx context.Context, err error) ServiceResult {
+func failureResult(ctx context.Context, err error) ServiceResult {
 	status := execution.Unknown
 	var se *service.Error
 	if errors.As(err, &se) {
@@ -202,10 +202,10 @@
 	if ctx.Err() != nil {
 		code = contextCode(ctx)
 	}
-	return failedCall(code, status, err.Error())
+	return failedResult(code, status, err.Error())
 }
 
-func failedCall(code Code, status execution.Status, message string) ServiceResult {
+func failedResult(code Code, status execution.Status, message string) ServiceResult {
 	return ServiceResult{Result: Result{Code: code, Execution: status, Message: message}}
 }
 
--- a/node/router/servicepool.go
+++ b/node/router/servicepool.go
@@ -22,13 +22,13 @@
 // serviceOptions is what a service pool shares with its router.
 type serviceOptions struct {
 	reporter
-	client  *service.Client
-	poisons *poisons
+	client *service.Client
+	poison *poisonTracker
 	// background runs a function that the router's Close waits for.
 	background func(func())
-	// wake is called when a request has to wait.
-	wake func()
-	seed uint64
+	// onWait is called when a request has to wait.
+	onWait func()
+	seed   uint64
 }
 
 // servicePool holds the replicas and the queue of one plain service. It is
@@ -46,11 +46,11 @@
 	calls    uint64 // number of the last call
 }
 
-func newServicePool(name string, cfg config.ServiceConfig, adm admission.Admitter, o serviceOptions) *servicePool {
+func newServicePool(name string, cfg config.ServiceConfig, admitter admission.Admitter, o serviceOptions) *servicePool {
 	return &servicePool{
 		serviceOptions: o,
 		name:           name,
-		queue:          newQueue(adm, o.wake),
+		queue:          newQueue(admitter, o.onWait),
 		cfg:            cfg,
 		replicas:       map[string]*serviceReplica{},
 		group:          health.NewGroup(maxEjectedShare),
@@ -121,9 +121,9 @@
 	return out
 }
 
-// leaving records a sign that a replica leaves, and tells whether the pool
+// markLeaving records a sign that a replica leaves, and tells whether the pool
 // knows it.
-func (s *servicePool) leaving(id string, source health.Source) bool {
+func (s *servicePool) markLeaving(id string, source health.Source) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rep, ok := s.replicas[id]
@@ -151,14 +151,14 @@
 	s.step(rep, e)
 }
 
-// lost takes a call whose connection broke. It is a suspect if the replica turns out not
+// recordConnectionLoss takes a call whose connection broke. It is a suspect if the replica turns out not
 // to answer, unless nothing was sent.
-func (s *servicePool) lost(c serviceCall, f poison.Fingerprint, err error) {
+func (s *servicePool) recordConnectionLoss(c serviceCall, f poison.Fingerprint, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var failure *service.Error
 	if !errors.As(err, &failure) || failure.Execution != execution.NotRun {
-		c.replica.lost[c.number] = f
+		c.replica.lostCalls[c.number] = f
 	}
 	s.step(c.replica, health.Lost{Connection: c.number})
 }
@@ -184,15 +184,15 @@
 	replica *serviceReplica
 	id      string
 	address string
-	// live ends when the replica's open attempts are to end.
-	live context.Context
-	// patience is the time without an answer after which the call is silent.
-	patience time.Duration
+	// attemptCtx ends when the replica's open attempts are to end.
+	attemptCtx context.Context
+	// probeAfter is the time without an answer after which the call is silent.
+	probeAfter time.Duration
 }
 
-// begin counts a call on the replica with the fewest calls in flight for its
+// beginCall counts a call on the replica with the fewest calls in flight for its
 // weight, except those in exclude. It returns false when there is none.
-func (s *servicePool) begin(exclude map[string]bool) (serviceCall, bool) {
+func (s *servicePool) beginCall(exclude map[string]bool) (serviceCall, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var best *serviceReplica
@@ -200,7 +200,7 @@
 		if rep.health.Weight() == 0 || exclude[id] {
 			continue
 		}
-		if best == nil || rep.before(best) {
+		if best == nil || rep.lessLoadedThan(best) {
 			best = rep
 		}
 	}
@@ -210,16 +210,16 @@
 	best.inFlight++
 	s.calls++
 	return serviceCall{
-		number:   s.calls,
-		replica:  best,
-		id:       best.instance.ID,
-		address:  best.instance.Address,
-		live:     best.live,
-		patience: s.cfg.Timeout / 2,
+		number:     s.calls,
+		replica:    best,
+		id:         best.instance.ID,
+		address:    best.instance.Address,
+		attemptCtx: best.attemptCtx,
+		probeAfter: s.cfg.Timeout / 2,
 	}, true
 }
 
-func (s *servicePool) end(c serviceCall) {
+func (s *servicePool) endCall(c serviceCall) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.replica.inFlight--
--- a/node/router/servicepool_test.go
+++ b/node/router/servicepool_test.go
@@ -22,42 +22,42 @@
 	ways := []struct {
 		name  string
 		told  bool
-		leave func(t *testing.T, r *Router, a *replica)
+		leave func(t *testing.T, r *Router, a *fakeReplica)
 	}{
-		{"by the word of a peer", false, func(t *testing.T, r *Router, _ *replica) {
+		{"by the word of a peer", false, func(t *testing.T, r *Router, _ *fakeReplica) {
 			require.True(t, r.MarkLeaving("a"))
 		}},
-		{"by its load report", true, func(_ *testing.T, r *Router, a *replica) {
+		{"by its load report", true, func(_ *testing.T, r *Router, a *fakeReplica) {
 			a.set("", leavingReport)
 			r.readLoadOnce()
 		}},
-		{"by refusing a call that may be repeated", true, func(t *testing.T, r *Router, a *replica) {
+		{"by refusing a call that may be repeated", true, func(t *testing.T, r *Router, a *fakeReplica) {
 			a.set(wire.CodeLeaving, "")
-			require.True(t, callOf(t, r, http.MethodGet).Complete)
+			require.True(t, callService(t, r, http.MethodGet).Complete)
 			a.set("", "")
 		}},
-		{"by refusing a call that may not be repeated", true, func(t *testing.T, r *Router, a *replica) {
+		{"by refusing a call that may not be repeated", true, func(t *testing.T, r *Router, a *fakeReplica) {
 			a.set(wire.CodeLeaving, "")
-			require.True(t, callOf(t, r, http.MethodPost).Complete)
+			require.True(t, callService(t, r, http.MethodPost).Complete)
 			a.set("", "")
 		}},
 	}
 	for _, way := range ways {
 		t.Run(way.name, func(t *testing.T) {
 			r, e := newPlainRouter(t)
-			a, b := newReplica(t, "a"), newReplica(t, "b")
-			r.list(a.Instance, b.Instance)
-			callOf(t, r, http.MethodGet)
+			a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
+			r.setInstancesAndWait(a.Instance, b.Instance)
+			callService(t, r, http.MethodGet)
 			require.Equal(t, 1, a.served())
 			way.leave(t, r, a)
 			// The list lags and does not show it.
-			r.list(a.Instance, b.Instance)
+			r.setInstancesAndWait(a.Instance, b.Instance)
 			for range 4 {
-				require.True(t, callOf(t, r, http.MethodGet).Complete)
+				require.True(t, callService(t, r, http.MethodGet).Complete)
 			}
 			require.Equal(t, 1, a.served())
 			require.Equal(t, way.told, len(e.leaving) == 1)
-			require.Equal(t, serviceSlots, r.services["s"].queue.total())
+			require.Equal(t, serviceSlots, r.services["s"].queue.totalCapacity())
 		})
 	}
 }
@@ -72,15 +72,15 @@
 // share rises in steps.
 func TestServiceReplicaIsEjected(t *testing.T) {
 	r, e := newPlainRouter(t)
-	a, b := newReplica(t, "a"), newReplica(t, "b")
-	r.list(a.Instance, b.Instance)
+	a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
+	r.setInstancesAndWait(a.Instance, b.Instance)
 	a.server.Close()
-	require.True(t, callOf(t, r, http.MethodPost).Complete)
+	require.True(t, callService(t, r, http.MethodPost).Complete)
 	require.Equal(t, []string{"a"}, e.ejected)
 	s := r.services["s"]
-	require.Equal(t, serviceSlots, s.queue.total())
+	require.Equal(t, serviceSlots, s.queue.totalCapacity())
 	for range 3 {
-		c, ok := s.begin(nil)
+		c, ok := s.beginCall(nil)
 		require.True(t, ok)
 		require.Equal(t, "b", c.id)
 	}
@@ -90,7 +90,7 @@
 	rep.health.Step(at, health.Tick{})
 	rep.health.Step(at, health.ProbeAnswered{Probe: 3})
 	require.Equal(t, health.DefaultConfig().SlowStart[0], rep.health.Weight())
-	c, ok := s.begin(nil)
+	c, ok := s.beginCall(nil)
 	require.True(t, ok)
 	require.Equal(t, "b", c.id, "3 calls at b weigh less than one at a")
 }
@@ -99,54 +99,54 @@
 // weight, so that calls fail rather than wait.
 func TestServiceEjectionIsBounded(t *testing.T) {
 	r, e := newPlainRouter(t)
-	a, b := newReplica(t, "a"), newReplica(t, "b")
-	r.list(a.Instance, b.Instance)
+	a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
+	r.setInstancesAndWait(a.Instance, b.Instance)
 	a.server.Close()
 	b.server.Close()
-	res := callOf(t, r, http.MethodGet)
+	res := callService(t, r, http.MethodGet)
 	require.False(t, res.Complete)
 	require.Equal(t, execution.NotRun, res.Execution)
 	require.Len(t, e.ejected, 1)
-	require.Equal(t, serviceSlots, r.services["s"].queue.total())
+	require.Equal(t, serviceSlots, r.services["s"].queue.totalCapacity())
 }
 
 // TestServiceReplicaReturnsAtNewAddress lists a leaving replica again at a new
 // address: it begins anew, and what is still heard of the old one is void.
 func TestServiceReplicaReturnsAtNewAddress(t *testing.T) {
 	r, _ := newPlainRouter(t)
-	before, after := newReplica(t, "a"), newReplica(t, "a")
-	r.list(before.Instance)
+	before, after := newFakeReplica(t, "a"), newFakeReplica(t, "a")
+	r.setInstancesAndWait(before.Instance)
 	s := r.services["s"]
-	c, ok := s.begin(nil)
+	c, ok := s.beginCall(nil)
 	require.True(t, ok)
 	require.True(t, r.MarkLeaving("a"))
-	r.list(after.Instance)
+	r.setInstancesAndWait(after.Instance)
 	s.observe(c.replica, health.Leaving{Source: health.FromUpstream})
-	s.end(c)
-	require.True(t, callOf(t, r, http.MethodPost).Complete)
+	s.endCall(c)
+	require.True(t, callService(t, r, http.MethodPost).Complete)
 	require.Equal(t, 1, after.served())
 	// Moving while in use leaves no member behind in the group.
-	r.list(newReplica(t, "a").Instance)
+	r.setInstancesAndWait(newFakeReplica(t, "a").Instance)
 	require.Equal(t, 1, s.group.Members())
 }
 
-// TestSilentServiceReplica ends a call that may be repeated once its replica
+// TestUnresponsiveServiceReplica ends a call that may be repeated once its replica
 // was found to answer no probe, well before the call's own timeout.
-func TestSilentServiceReplica(t *testing.T) {
+func TestUnresponsiveServiceReplica(t *testing.T) {
 	r, e := newPlainRouter(t)
-	a, b := newReplica(t, "a"), newReplica(t, "b")
-	r.list(a.Instance, b.Instance)
+	a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
+	r.setInstancesAndWait(a.Instance, b.Instance)
 	a.mu.Lock() // holds back every answer
 	defer a.mu.Unlock()
 	s := r.services["s"]
-	c, ok := s.begin(nil)
+	c, ok := s.beginCall(nil)
 	require.True(t, ok)
 	require.Equal(t, "a", c.id)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
-		_, err := r.do(ctx, s, c, poison.Fingerprint{}, readCall("/x", true))
+		_, err := r.sendCall(ctx, s, c, poison.Fingerprint{}, getCall("/x", true))
 		ended <- err
 	}()
 	s.observe(c.replica, health.Silent{Connection: c.number})
@@ -165,11 +165,11 @@
 			crashes := make(chan string, 16)
 			var list []wire.Instance
 			for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-				rep := newReplica(t, id)
+				rep := newFakeReplica(t, id)
 				rep.server.Config.Handler = crashOn(rep, crashes)
 				list = append(list, rep.Instance)
 			}
-			r.list(list...)
+			r.setInstancesAndWait(list...)
 			var last ServiceResult
 			for range 6 {
 				last = r.CallService(t.Context(), crashCall(method))
@@ -178,7 +178,7 @@
 			require.LessOrEqual(t, len(crashes), 3)
 			require.Equal(t, CodePoison, last.Code)
 			require.Equal(t, execution.NotRun, last.Execution)
-			require.True(t, callOf(t, r, http.MethodGet).Complete, "other calls are served")
+			require.True(t, callService(t, r, http.MethodGet).Complete, "other calls are served")
 		})
 	}
 }
@@ -192,7 +192,7 @@
 }
 
 // crashOn ends a replica's server when a call to /crash comes.
-func crashOn(rep *replica, crashes chan<- string) http.HandlerFunc {
+func crashOn(rep *fakeReplica, crashes chan<- string) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path != "/crash" {
 			rep.ServeHTTP(w, req)
--- a/node/router/servicereplica.go
+++ b/node/router/servicereplica.go
@@ -21,29 +21,29 @@
 	instance wire.Instance
 	health   *health.Upstream
 	inFlight int
-	// lost holds the requests whose connection broke and of which it is not known yet
+	// lostCalls holds the requests whose connection broke and of which it is not known yet
 	// whether the replica answers, by call number.
-	lost map[uint64]poison.Fingerprint
-	// live ends when the open attempts on the replica are to end.
-	live context.Context
-	fail context.CancelFunc
+	lostCalls map[uint64]poison.Fingerprint
+	// attemptCtx ends when the open attempts on the replica are to end.
+	attemptCtx     context.Context
+	cancelAttempts context.CancelFunc
 }
 
 func newServiceReplica(in wire.Instance, h *health.Upstream) *serviceReplica {
-	rep := &serviceReplica{instance: in, health: h, lost: map[uint64]poison.Fingerprint{}}
-	rep.live, rep.fail = context.WithCancel(context.Background())
+	rep := &serviceReplica{instance: in, health: h, lostCalls: map[uint64]poison.Fingerprint{}}
+	rep.attemptCtx, rep.cancelAttempts = context.WithCancel(context.Background())
 	return rep
 }
 
 // failAttempts ends every open attempt on the replica.
 func (rep *serviceReplica) failAttempts() {
-	rep.fail()
-	rep.live, rep.fail = context.WithCancel(context.Background())
+	rep.cancelAttempts()
+	rep.attemptCtx, rep.cancelAttempts = context.WithCancel(context.Background())
 }
 
-// before tells whether the next call is for rep rather than for other. Both
+// lessLoadedThan tells whether the next call is for rep rather than for other. Both
 // have a weight above 0.
-func (rep *serviceReplica) before(other *serviceReplica) bool {
+func (rep *serviceReplica) lessLoadedThan(other *serviceReplica) bool {
 	a := float64(rep.inFlight+1) / rep.health.Weight()
 	b := float64(other.inFlight+1) / other.health.Weight()
 	if a != b {
@@ -66,12 +66,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 		defer cancel()
 		// A call that may not be repeated gets a new connection.
-		answer, err := a.pool.client.Do(ctx, address, readCall(wire.PathProbe, false))
+		answer, err := a.pool.client.Do(ctx, address, getCall(wire.PathProbe, false))
 		if err != nil {
 			a.pool.observe(a.replica, health.ProbeFailed{Probe: e.Number})
 			return
 		}
-		if refusesWork(answer) {
+		if isLeavingRefusal(answer) {
 			a.pool.observe(a.replica, health.Leaving{Source: health.FromUpstream})
 		}
 		a.pool.observe(a.replica, health.ProbeAnswered{Probe: e.Number})
@@ -81,7 +81,7 @@
 // replaceConnection closes the idle connections, of which any may be as silent
 // as the one that was replaced. That one ends with its call.
 func (a *serviceActions) replaceConnection(number uint64) {
-	delete(a.replica.lost, number)
+	delete(a.replica.lostCalls, number)
 	a.pool.client.Close()
 }
 
@@ -91,8 +91,8 @@
 // failAttempts ends the open calls on a replica that does not answer. When connections
 // broke before, it crashed.
 func (a *serviceActions) failAttempts() {
-	if lost := a.replica.lost; len(lost) > 0 {
-		a.pool.poisons.crashed(a.replica.instance.ID, slices.Collect(maps.Values(lost)))
+	if lost := a.replica.lostCalls; len(lost) > 0 {
+		a.pool.poison.recordCrash(a.replica.instance.ID, slices.Collect(maps.Values(lost)))
 		clear(lost)
 	}
 	a.replica.failAttempts()
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	address := rep.instance.Address
 	s.mu.Unlock()
-	answer, err := s.client.Do(ctx, address, readCall(wire.PathLoad, true))
+	answer, err := s.client.Do(ctx, address, getCall(wire.PathLoad, true))
 	if err != nil || answer.Status != http.StatusOK {
 		return
 	}
@@ -121,13 +121,13 @@
 	s.observe(rep, health.Leaving{Source: health.FromUpstream})
 }
 
-func readCall(path string, idempotent bool) service.Call {
+func getCall(path string, idempotent bool) service.Call {
 	return service.Call{Method: http.MethodGet, Path: path, Header: http.Header{}, Idempotent: idempotent}
 }
 
-// refusesWork tells whether a replica refused a call because it leaves; nothing
+// isLeavingRefusal tells whether a replica refused a call because it leaves; nothing
 // ran then.
-func refusesWork(a *service.Answer) bool {
+func isLeavingRefusal(a *service.Answer) bool {
 	if a.Status != http.StatusServiceUnavailable {
 		return false
 	}
--- a/node/router/setup_test.go
+++ b/node/router/setup_test.go
@@ -18,31 +18,31 @@
 	"masticbank.example/node/wire"
 )
 
-// events records what the router tells of upstreams.
-type events struct {
+// upstreamEvents records what the router tells of upstreams.
+type upstreamEvents struct {
 	mu      sync.Mutex
 	leaving []string
 	ejected []string
 }
 
-func (*events) Dropped(attempt.DropKind)                    {}
-func (*events) TokenGap(string, config.Rank, time.Duration) {}
-func (*events) Finished(*Result)                            {}
-func (*events) ConnectionReplaced(string)                   {}
-func (e *events) Ejected(id string)                         { e.add(&e.ejected, id) }
-func (e *events) Leaving(id string)                         { e.add(&e.leaving, id) }
-func (e *events) add(list *[]string, id string) {
+func (*upstreamEvents) Dropped(attempt.DropKind)                    {}
+func (*upstreamEvents) TokenGap(string, config.Rank, time.Duration) {}
+func (*upstreamEvents) Finished(*Result)                            {}
+func (*upstreamEvents) ConnectionReplaced(string)                   {}
+func (e *upstreamEvents) Ejected(id string)                         { e.add(&e.ejected, id) }
+func (e *upstreamEvents) Leaving(id string)                         { e.add(&e.leaving, id) }
+func (e *upstreamEvents) add(list *[]string, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	*list = append(*list, id)
 }
 
-// engines answers probes and holds no engine.
-type engines struct{ engine.Client }
+// stubEngines answers probes and holds no engine.
+type stubEngines struct{ engine.Client }
 
-func (engines) Probe(context.Context, engine.Target) error { return nil }
-func (engines) ReplaceConnections(engine.Target)           {}
-func (engines) Forget(engine.Target)                       {}
+func (stubEngines) Probe(context.Context, engine.Target) error { return nil }
+func (stubEngines) ReplaceConnections(engine.Target)           {}
+func (stubEngines) Forget(engine.Target)                       {}
 
 func plainConfig() *config.Config {
 	return &config.Config{
@@ -56,23 +56,23 @@
 
 // newPlainRouter returns a router without periodic work, with plainConfig in
 // force.
-func newPlainRouter(t *testing.T) (*Router, *events) {
+func newPlainRouter(t *testing.T) (*Router, *upstreamEvents) {
 	t.Helper()
-	e := &events{}
-	r := newRouter(Options{Engines: engines{}, Services: service.New(), Metrics: e, Logger: zap.NewNop()})
+	e := &upstreamEvents{}
+	r := newRouter(Options{Engines: stubEngines{}, Services: service.New(), Metrics: e, Logger: zap.NewNop()})
 	t.Cleanup(r.Close)
 	r.Configure(plainConfig())
 	return r, e
 }
 
-// list puts instances in force and waits until they were probed.
-func (r *Router) list(instances ...wire.Instance) {
+// setInstancesAndWait puts instances in force and waits until they were probed.
+func (r *Router) setInstancesAndWait(instances ...wire.Instance) {
 	r.SetInstances(instances)
 	r.work.Wait()
 }
 
-// replica is a service replica in this process.
-type replica struct {
+// fakeReplica is a service fakeReplica in this process.
+type fakeReplica struct {
 	wire.Instance
 	server *httptest.Server
 
@@ -84,16 +84,16 @@
 	report  string
 }
 
-func newReplica(t *testing.T, id string) *replica {
+func newFakeReplica(t *testing.T, id string) *fakeReplica {
 	t.Helper()
-	rep := &replica{report: "{}"}
+	rep := &fakeReplica{report: "{}"}
 	rep.server = httptest.NewServer(rep)
 	t.Cleanup(rep.server.Close)
 	rep.Instance = wire.Instance{ID: id, Role: wire.RoleService, Service: "s", Address: strings.TrimPrefix(rep.server.URL, "http://")}
 	return rep
 }
 
-func (rep *replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (rep *fakeReplica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	switch {
@@ -109,20 +109,20 @@
 	}
 }
 
-func (rep *replica) set(refusal, report string) {
+func (rep *fakeReplica) set(refusal, report string) {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	rep.refusal, rep.report = refusal, report
 }
 
-func (rep *replica) served() int {
+func (rep *fakeReplica) served() int {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	return rep.calls
 }
 
-// callOf makes one call to the service and waits for the probes it gave rise to.
-func callOf(t *testing.T, r *Router, method string) ServiceResult {
+// callService makes one call to the service and waits for the probes it gave rise to.
+func callService(t *testing.T, r *Router, method string) ServiceResult {
 	t.Helper()
 	now := time.Now()
 	res := r.CallService(t.Context(), &ServiceRequest{
--- a/node/router/step.go
+++ b/node/router/step.go
@@ -11,31 +11,31 @@
 )
 
 // send runs one step and translates its end.
-func (x *run) send(ctx context.Context, s attempt.Send) attempt.Event {
+func (x *requestRun) send(ctx context.Context, s attempt.Send) attempt.Event {
 	req := x.stepRequest(s)
 	prefill := 0
 	if s.Prefill {
 		prefill = req.CoveredTokens
 	}
-	c, ok := x.pool.begin(s.Hop.ReplicaID, x.fingerprint, prefill, x.router.stepTimeout())
+	c, ok := x.pool.beginStep(s.Hop.ReplicaID, x.fingerprint, prefill, x.router.stepTimeout())
 	if !ok {
 		return attempt.Refused{Asked: s.Step, Reason: "not_listed"}
 	}
-	x.call = c
+	x.currentCall = c
 	stepCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	stop := context.AfterFunc(c.live, cancel)
+	stop := context.AfterFunc(c.attemptCtx, cancel)
 	defer stop()
 	start := time.Now()
 	resp, err := x.pool.engines.Step(stepCtx, c.target, req)
 	if err != nil {
 		return x.stepFailed(ctx, s, err)
 	}
-	x.pool.progressed(c, prefill, resp.CachedTokens, time.Since(start))
-	return answered(s, resp)
+	x.pool.recordStep(c, prefill, resp.CachedTokens, time.Since(start))
+	return answeredEvent(s, resp)
 }
 
-func (x *run) stepRequest(s attempt.Send) *wire.StepRequest {
+func (x *requestRun) stepRequest(s attempt.Send) *wire.StepRequest {
 	req := &wire.StepRequest{
 		RequestID:     s.Step.RequestID,
 		Attempt:       s.Step.Attempt,
@@ -61,7 +61,7 @@
 	return req
 }
 
-func answered(s attempt.Send, resp *wire.StepResponse) attempt.Event {
+func answeredEvent(s attempt.Send, resp *wire.StepResponse) attempt.Event {
 	a := attempt.Answered{
 		Asked: s.Step,
 		Reported: attempt.Identity{
@@ -75,9 +75,9 @@
 	return a
 }
 
-func (x *run) stepFailed(ctx context.Context, s attempt.Send, err error) attempt.Event {
+func (x *requestRun) stepFailed(ctx context.Context, s attempt.Send, err error) attempt.Event {
 	if ctx.Err() != nil {
-		x.pool.ended(x.call)
+		x.pool.discardStep(x.currentCall)
 		return contextEvent(ctx)
 	}
 	var ce *engine.CallError
@@ -87,25 +87,25 @@
 	x.lastFailure = s.Hop.ReplicaID + ": " + ce.Error()
 	switch {
 	case ce.Proof != engine.ProofNone:
-		x.pool.refused(x.call, ce.Code)
+		x.pool.recordRefusal(x.currentCall, ce.Code)
 		return attempt.Refused{Asked: s.Step, Reason: ce.Code}
 	case ce.Code == engine.CodeTimeout, ce.Code == engine.CodeConnection:
-		x.broken = ce.Code == engine.CodeConnection
+		x.connectionBroken = ce.Code == engine.CodeConnection
 		return attempt.Silent{Asked: s.Step}
 	default:
-		x.pool.ended(x.call)
+		x.pool.discardStep(x.currentCall)
 		return attempt.Failed{Asked: s.Step, Reason: ce.Code}
 	}
 }
 
 // probe waits for the verdict on a replica whose step got no answer.
-func (x *run) probe(ctx context.Context, e attempt.Probe) attempt.Event {
-	alive := x.pool.suspect(ctx, x.call, x.broken)
+func (x *requestRun) probe(ctx context.Context, e attempt.Probe) attempt.Event {
+	alive := x.pool.checkAlive(ctx, x.currentCall, x.connectionBroken)
 	if ctx.Err() != nil {
 		return contextEvent(ctx)
 	}
-	if !alive && x.broken {
-		x.poisoned = x.router.poisons.verdict(e.Hop.ReplicaID, x.fingerprint)
+	if !alive && x.connectionBroken {
+		x.poisoned = x.router.poison.stopAfterCrash(e.Hop.ReplicaID, x.fingerprint)
 	}
 	return attempt.Probed{Asked: e.Step, Alive: alive}
 }
--- a/node/router/upstream.go
+++ b/node/router/upstream.go
@@ -19,60 +19,60 @@
 	pace     health.Pace
 	// limit learns how many sequences the replica takes.
 	limit *limit.Limiter
-	// inForce is the limit that the route table and the queue know.
-	inForce int
-	// cacheNext is the sequence number of the next cache event to read.
-	cacheNext uint64
-	// unreported counts the load reports in a row that did not come.
-	unreported int
+	// appliedLimit is the limit that the route table and the queue know.
+	appliedLimit int
+	// nextCacheEvent is the sequence number of the next cache event to read.
+	nextCacheEvent uint64
+	// missedReports counts the load reports in a row that did not come.
+	missedReports int
 	// retired is true while only open attempts keep the replica known.
 	retired bool
 	// inFlight counts the attempts of this instance on the replica.
 	inFlight int
-	// open holds the requests whose steps run now, by call number, and lost
-	// those whose connection broke and whose verdict is open.
-	open map[uint64]poison.Fingerprint
-	lost map[uint64]poison.Fingerprint
-	// verdicts are waited for by steps that made no progress, by call number.
-	verdicts map[uint64]chan bool
-	// live ends when the open attempts on the replica are to end.
-	live context.Context
-	fail context.CancelFunc
+	// runningSteps holds the requests whose steps run now, by call number, and lost
+	// those whose connection broke and whose verdict is runningSteps.
+	runningSteps map[uint64]poison.Fingerprint
+	lostSteps    map[uint64]poison.Fingerprint
+	// probeWaiters are waited for by steps that made no progress, by call number.
+	probeWaiters map[uint64]chan bool
+	// attemptCtx ends when the open attempts on the replica are to end.
+	attemptCtx     context.Context
+	cancelAttempts context.CancelFunc
 }
 
 func newUpstream(in wire.Instance, h *health.Upstream) *upstream {
 	u := &upstream{
-		instance: in,
-		health:   h,
-		limit:    limit.New(),
-		open:     map[uint64]poison.Fingerprint{},
-		lost:     map[uint64]poison.Fingerprint{},
-		verdicts: map[uint64]chan bool{},
+		instance:     in,
+		health:       h,
+		limit:        limit.New(),
+		runningSteps: map[uint64]poison.Fingerprint{},
+		lostSteps:    map[uint64]poison.Fingerprint{},
+		probeWaiters: map[uint64]chan bool{},
 	}
-	u.revive()
+	u.renewAttemptContext()
 	return u
 }
 
-// revive begins a new period in which attempts may run on the replica.
-func (u *upstream) revive() {
-	u.live, u.fail = context.WithCancel(context.Background())
+// renewAttemptContext begins a new period in which attempts may run on the replica.
+func (u *upstream) renewAttemptContext() {
+	u.attemptCtx, u.cancelAttempts = context.WithCancel(context.Background())
 }
 
 func (u *upstream) target() engine.Target {
 	return engine.Target{ID: u.instance.ID, Address: u.instance.Address}
 }
 
-// suspects returns the requests that were running when the replica crashed, and
+// crashCandidates returns the requests that were running when the replica crashed, and
 // forgets those whose connection broke.
-func (u *upstream) suspects() []poison.Fingerprint {
-	out := make([]poison.Fingerprint, 0, len(u.open)+len(u.lost))
-	for _, f := range u.lost {
+func (u *upstream) crashCandidates() []poison.Fingerprint {
+	out := make([]poison.Fingerprint, 0, len(u.runningSteps)+len(u.lostSteps))
+	for _, f := range u.lostSteps {
 		out = append(out, f)
 	}
-	for _, f := range u.open {
+	for _, f := range u.runningSteps {
 		out = append(out, f)
 	}
-	clear(u.lost)
+	clear(u.lostSteps)
 	return out
 }
 
@@ -81,21 +81,21 @@
 	return !u.retired && u.health.Weight() > 0
 }
 
-// decide tells the step of one call whether the replica answers.
-func (u *upstream) decide(number uint64, alive bool) {
-	if ch, ok := u.verdicts[number]; ok {
-		delete(u.verdicts, number)
+// deliverProbeResult tells the step of one call whether the replica answers.
+func (u *upstream) deliverProbeResult(number uint64, alive bool) {
+	if ch, ok := u.probeWaiters[number]; ok {
+		delete(u.probeWaiters, number)
 		ch <- alive
 	}
 }
 
 // failAttempts ends every open attempt on the replica.
 func (u *upstream) failAttempts() {
-	for number := range u.verdicts {
-		u.decide(number, false)
+	for number := range u.probeWaiters {
+		u.deliverProbeResult(number, false)
 	}
-	u.fail()
-	u.revive()
+	u.cancelAttempts()
+	u.renewAttemptContext()
 }
 
 // call is one step under way on a replica.
@@ -103,6 +103,6 @@
 	number  uint64
 	target  engine.Target
 	timeout time.Duration
-	// live ends when the replica's open attempts are to end.
-	live context.Context
+	// attemptCtx ends when the replica's open attempts are to end.
+	attemptCtx context.Context
 }
