--- a/node/router/attempts.go
+++ b/node/router/attempts.go
@@ -21,7 +21,7 @@
 	return x.nextRoute(ctx, e)
 }
 
-// firstRoute waits for admission and chooses the first chain.
+// firstRoute waits for admission and chooses the route of the first attempt.
 func (x *requestRun) firstRoute(ctx context.Context) attempt.Event {
 	effect, err := x.pool.queue.admit(ctx, admission.Request{
 		ID:        x.req.ID,
@@ -50,8 +50,8 @@
 	}
 }
 
-// nextRoute chooses a chain for a later attempt, as soon as there is one and the
-// retry budget pays for it.
+// nextRoute chooses the route of a later attempt. It retries with backoff until a
+// route exists and the retry budget admits the attempt.
 func (x *requestRun) nextRoute(ctx context.Context, e attempt.Route) attempt.Event {
 	if x.poisoned {
 		return attempt.Unroutable{Reason: string(CodePoison)}
@@ -79,7 +79,8 @@
 	}
 }
 
-// excludedReplicas adds the replicas that a suspect of a crash is to keep away from.
+// excludedReplicas returns the replicas that the next attempt must not use: those that
+// failed, and those that a request that may have caused a crash has to avoid.
 func (x *requestRun) excludedReplicas(failed []string) []string {
 	return append(slices.Clone(failed), x.router.poison.replicasToAvoid(x.fingerprint)...)
 }
--- a/node/router/bench_test.go
+++ b/node/router/bench_test.go
@@ -13,7 +13,7 @@
 	"masticbank.example/node/wire"
 )
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the processor time used by the process.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -22,12 +22,12 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// awaitProbes waits until every replica has answered its first probe.
+// awaitProbes waits until every replica has responded to its first probe.
 func awaitProbes(b *testing.B, r *Router) {
 	deadline := time.Now().Add(10 * time.Second)
 	for hasUnprobedReplica(r.pool(testModel)) {
 		if time.Now().After(deadline) {
-			b.Fatal("replicas without an answer")
+			b.Fatal("replicas did not respond to their first probe")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -44,9 +44,9 @@
 	return false
 }
 
-// BenchmarkRequest is the processor time of one request in a router in front of
-// engines that answer at once. The difference between two numbers of tokens is
-// the cost of a token.
+// BenchmarkRequest measures the processor time that a router needs for one request to
+// engines that respond at once. The cost of a token is the difference between two
+// numbers of tokens.
 func BenchmarkRequest(b *testing.B) {
 	for _, stages := range []int{2, 3, 4} {
 		for _, replicas := range []int{40, 256} {
@@ -76,9 +76,9 @@
 	b.ReportMetric(float64(cpuTime(b)-began)/float64(n), "cpu-ns/op")
 }
 
-// BenchmarkControl is the cost of what a router does without requests: one check
-// of all queues and replicas, one change of a replica's weight, and one reading of
-// all load reports, without the network.
+// BenchmarkControl measures the periodic work of a router without requests: one check
+// of all queues and replicas, one change of a replica's weight, and one read of all
+// load reports, without the network.
 func BenchmarkControl(b *testing.B) {
 	for _, replicas := range []int{40, 256, 1024} {
 		r := newTestRouter(&fakeEngines{unrecorded: true}, &discardCounter{}, fleet(4, replicas), 2000)
@@ -105,7 +105,7 @@
 	}
 }
 
-// BenchmarkConfigure is the cost of putting a new configuration in force.
+// BenchmarkConfigure measures applying a new configuration.
 func BenchmarkConfigure(b *testing.B) {
 	for _, workspaces := range []int{10, 200, 2000} {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
@@ -120,8 +120,7 @@
 	}
 }
 
-// BenchmarkSetInstances is the cost of putting a list in force that has not
-// changed.
+// BenchmarkSetInstances measures applying an unchanged instance list.
 func BenchmarkSetInstances(b *testing.B) {
 	for _, replicas := range []int{40, 256, 1024} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -137,7 +136,7 @@
 	}
 }
 
-// BenchmarkDecodeList is the cost of reading the platform's list.
+// BenchmarkDecodeList measures decoding the platform's instance list.
 func BenchmarkDecodeList(b *testing.B) {
 	for _, replicas := range []int{40, 1024, 12000} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -156,7 +155,7 @@
 	}
 }
 
-// heapBytes returns the bytes of live objects.
+// heapBytes returns the size of the live heap objects.
 func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -165,8 +164,9 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMemory is the memory of an idle router by replicas and workspaces,
-// without its connections, and of one that has served every workspace once.
+// BenchmarkMemory measures the memory of an idle router by numbers of replicas and
+// workspaces, without its connections, and that of a router that has served every
+// workspace once.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []struct{ replicas, workspaces int }{
 		{40, 10},
--- a/node/router/cache.go
+++ b/node/router/cache.go
@@ -8,8 +8,8 @@
 	"masticbank.example/node/wire"
 )
 
-// readCacheOnce asks every engine what its prefix cache stored and evicted since
-// the last time.
+// readCacheOnce reads from every engine which prefix blocks its cache stored or
+// evicted since the last call.
 func (r *Router) readCacheOnce() {
 	runParallel(r.engineTasks(r.readCacheOf))
 }
@@ -38,8 +38,8 @@
 	return u.nextCacheEvent, true
 }
 
-// applyCacheEvents takes events, which may be late and may skip numbers: what the
-// table makes of them is a hint.
+// applyCacheEvents applies cache events to the route table. Events may be late or
+// missing, so the table uses them only as hints.
 func (p *pool) applyCacheEvents(t engine.Target, events *wire.CacheEvents) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/router/configure_test.go
+++ b/node/router/configure_test.go
@@ -18,8 +18,8 @@
 
 func (discardSink) Token(attempt.Token) error { return nil }
 
-// TestReplacedPoolRefusesWaitingRequests lets a request wait for a replica while
-// a configuration replaces or removes its pool.
+// A request that waits for a replica must be refused, not left waiting, when a
+// configuration replaces or removes its pool.
 func TestReplacedPoolRefusesWaitingRequests(t *testing.T) {
 	changes := map[string]func(c *config.Config){
 		"layers changed": func(c *config.Config) { c.Models["m"] = config.ModelConfig{Layers: 9, Version: "1", MaxOutput: 16} },
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestRetryRatioOfFirstRevision pays first attempts into an empty budget.
+// A pool created by the first configuration must use that configuration's retry ratio:
+// a first attempt credits that ratio to an empty budget.
 func TestRetryRatioOfFirstRevision(t *testing.T) {
 	e := &upstreamEvents{}
 	r := newRouter(Options{Engines: stubEngines{}, Services: service.New(), Metrics: e, Logger: zap.NewNop()})
@@ -62,7 +63,7 @@
 	r.Configure(c)
 	require.InDelta(t, 0.5, r.pools["m"].ratio, 0)
 	p := r.pools["m"]
-	for p.spendRetry() { // empties the budget
+	for p.spendRetry() { // exhaust the budget
 	}
 	before := p.budget.Saved(time.Now())
 	p.recordFirstAttempt()
--- a/node/router/demand.go
+++ b/node/router/demand.go
@@ -5,7 +5,7 @@
 	"masticbank.example/node/peer/sharing"
 )
 
-// weightUnit is the weight 1 in a demand.Load.
+// weightUnit is the integer that represents a weight of 1 in demand.Load.
 const weightUnit = 1000
 
 var _ sharing.Pools = (*Router)(nil)
@@ -63,8 +63,9 @@
 	}
 }
 
-// Demand estimates the sequences that the instances together want to run of a
-// model: what this instance runs and holds in its queue, times their number.
+// Demand estimates how many sequences of a model all instances together want to run:
+// the requests that are running or queued on this instance, multiplied by the number
+// of entry instances.
 func (r *Router) Demand(model string) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/node/router/explain.go
+++ b/node/router/explain.go
@@ -7,18 +7,18 @@
 	"masticbank.example/core/route"
 )
 
-// Explanation tells what is known of one request.
+// Explanation describes the state of one request.
 type Explanation struct {
-	// Finished is set for a request that ended recently.
+	// Finished is set if the request ended recently.
 	Finished *Result
-	// Waiting is set for a request in a queue.
+	// Waiting is set if the request is in a queue.
 	Waiting *admission.Position
-	// Pool names the queue that holds the request.
+	// Pool is the name of the model or service that the request is for.
 	Pool string
 }
 
-// ExplainRequest finds a request by its ID in the queues and among the latest
-// results.
+// ExplainRequest looks up a request by its ID among the most recent results and in the
+// queues.
 func (r *Router) ExplainRequest(id string) (Explanation, bool) {
 	if res, ok := r.history.find(id); ok {
 		return Explanation{Finished: &res, Pool: res.Model}, true
@@ -38,13 +38,14 @@
 	return Explanation{}, false
 }
 
-// ExplainRoute makes the choice that a request with the given numbers of tokens
-// would get now and returns its grounds.
+// ExplainRoute returns the route that a request with the given numbers of tokens would
+// get now, and the reasons for it. It counts nothing as dispatched.
 func (r *Router) ExplainRoute(model string, promptTokens, outputTokens int) (route.Explanation, bool) {
 	return r.explain(model, route.Request{PromptTokens: promptTokens, OutputTokens: outputTokens})
 }
 
-// ExplainPrompt is ExplainRoute for a prompt, whose prefixes may be cached.
+// ExplainPrompt is ExplainRoute for a prompt, whose prefixes may be cached on
+// replicas.
 func (r *Router) ExplainPrompt(model, prompt string, outputTokens int) (route.Explanation, bool) {
 	req := Request{Prompt: prompt}
 	return r.explain(model, route.Request{
--- a/node/router/fake_test.go
+++ b/node/router/fake_test.go
@@ -19,39 +19,39 @@
 const (
 	testModel  = "m"
 	testLayers = 12
-	// testSlots is what each fake engine reports.
+	// testSlots is the number of slots that each fake engine reports by default.
 	testSlots = 8
 )
 
-// sentStep is one step that reached the fake engines.
+// sentStep is one step that a fake engine received.
 type sentStep struct {
 	replica  string
 	request  string
 	attempt  int
 	position int
 	resend   bool
-	// executed is true when the engine ran its layers.
+	// executed is true if the engine ran its layers.
 	executed bool
 }
 
-// cancelledAttempt is one attempt that the router told a replica to forget.
+// cancelledAttempt is one attempt that the router cancelled on a replica.
 type cancelledAttempt struct {
 	replica string
 	request string
 	attempt int
 }
 
-// fakeEngines implements engine.Client for a whole fleet. It is safe for
+// fakeEngines implements engine.Client for any number of engines. It is safe for
 // concurrent use.
 type fakeEngines struct {
-	// onStep answers a step in place of honest, when it is set. It tells whether
-	// the step was executed.
+	// onStep, if set, responds to steps instead of correctResponse. Its second result
+	// reports whether the step was executed.
 	onStep func(ctx context.Context, t engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error)
-	// probe answers probes; nil lets every engine answer.
+	// probe responds to probes; if it is nil, every probe succeeds.
 	probe func(t engine.Target) error
-	// slots is reported by every engine; 0 means testSlots.
+	// slots is the number of slots that every engine reports; 0 means testSlots.
 	slots int
-	// unrecorded leaves out the record of steps and cancellations.
+	// unrecorded turns off the record of steps and cancellations.
 	unrecorded bool
 
 	mu        sync.Mutex
@@ -60,7 +60,8 @@
 	replaced  []string
 }
 
-// correctResponse answers a step as an engine does that holds the range asked for.
+// correctResponse returns the response of an engine that holds the requested layer
+// range.
 func correctResponse(r *wire.StepRequest) *wire.StepResponse {
 	resp := &wire.StepResponse{RequestID: r.RequestID, Attempt: r.Attempt, Position: r.Position}
 	if r.LastLayer < testLayers-1 {
@@ -71,7 +72,7 @@
 	return resp
 }
 
-// tokenText is the text that the fake model generates.
+// tokenText returns the text that the fake model generates at a position.
 func tokenText(request string, position int) string {
 	return fmt.Sprintf("%s/%d ", request, position)
 }
@@ -146,7 +147,7 @@
 // Forget implements engine.Client.
 func (f *fakeEngines) Forget(engine.Target) {}
 
-// stepsOf returns the steps that reached engines for one request.
+// stepsOf returns the steps of one request that engines received.
 func (f *fakeEngines) stepsOf(request string) []sentStep {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,17 +160,19 @@
 	return out
 }
 
-// refusalError is the error of an engine that states that nothing ran.
+// refusalError returns the error of an engine that states that it executed nothing.
 func refusalError(code string) error {
 	return &engine.CallError{Proof: engine.ProofRefused, Code: code, Err: errors.New("refused")}
 }
 
-// connectionLostError is the error of a connection that ended after it was written to.
+// connectionLostError returns the error of a connection that broke after it was
+// written to.
 func connectionLostError() error {
 	return &engine.CallError{Code: engine.CodeConnection, Err: errors.New("reset")}
 }
 
-// blockUntilDone blocks until the step is given up.
+// blockUntilDone blocks until the step is cancelled or times out, and returns the
+// resulting error.
 func blockUntilDone(ctx context.Context) error {
 	<-ctx.Done()
 	code := engine.CodeCancelled
@@ -179,19 +182,19 @@
 	return &engine.CallError{Code: code, Err: ctx.Err()}
 }
 
-// discardCounter implements Metrics and counts the answers that were not used.
+// discardCounter implements Metrics and counts the discarded responses.
 type discardCounter struct {
-	mu      sync.Mutex
-	dropped map[attempt.DropKind]int
+	mu        sync.Mutex
+	discarded map[attempt.DropKind]int
 }
 
 func (m *discardCounter) Dropped(k attempt.DropKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dropped == nil {
-		m.dropped = map[attempt.DropKind]int{}
+	if m.discarded == nil {
+		m.discarded = map[attempt.DropKind]int{}
 	}
-	m.dropped[k]++
+	m.discarded[k]++
 }
 
 func (*discardCounter) TokenGap(string, config.Rank, time.Duration) {}
@@ -221,7 +224,7 @@
 
 func workspaceName(i int) string { return fmt.Sprintf("workspace-%d", i) }
 
-// fleet lists replicas of the model cut into stages of equal length.
+// fleet returns a list of replicas, with the model split into stages of equal length.
 func fleet(stages, replicas int) []wire.Instance {
 	per := testLayers / stages
 	out := make([]wire.Instance, 0, replicas)
@@ -242,7 +245,7 @@
 	return out
 }
 
-// newTestRouter returns a router in front of the fake engines.
+// newTestRouter returns a running router that calls the fake engines.
 func newTestRouter(f *fakeEngines, m Metrics, list []wire.Instance, workspaces int) *Router {
 	r := New(Options{Engines: f, Metrics: m, Logger: zap.NewNop(), RoutePolicy: route.PolicyCost, Seed: 1})
 	r.Configure(testConfig(workspaces))
@@ -250,10 +253,10 @@
 	return r
 }
 
-// textSink keeps the tokens in the order in which they came.
+// textSink collects the tokens in the order of their arrival.
 type textSink struct {
 	texts []string
-	// fail, when it is set, is asked before each token.
+	// fail, if set, is called before each token; an error ends the request.
 	fail func(position int) error
 }
 
--- a/node/router/health.go
+++ b/node/router/health.go
@@ -11,14 +11,16 @@
 	"masticbank.example/node/wire"
 )
 
-// maxEjectedShare is the largest part of the replicas of one layer range that
-// is ejected at once.
+// maxEjectedShare is the maximum share of the replicas of one layer range, or of one
+// service, that may be ejected at the same time.
 const maxEjectedShare = 0.5
 
-// probeResultTimeout bounds the wait for a verdict on a silent connection.
+// probeResultTimeout bounds the wait for the result of a probe after a step got no
+// response.
 const probeResultTimeout = 3 * time.Second
 
-// beginStep prepares a step of prefill tokens, 0 for a decode step, on a replica.
+// beginStep registers a step on a replica. prefill is its number of prefill tokens, or
+// 0 for a decode step.
 func (p *pool) beginStep(id string, f poison.Fingerprint, prefill int, initial time.Duration) (call, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,17 +30,18 @@
 	}
 	p.calls++
 	u.runningSteps[p.calls] = f
-	return call{number: p.calls, target: u.target(), timeout: u.pace.ProgressTimeout(prefill, initial), attemptCtx: u.attemptCtx}, true
+	return call{number: p.calls, target: u.target(), timeout: u.stepTimes.ProgressTimeout(prefill, initial), attemptCtx: u.attemptCtx}, true
 }
 
-// lookup returns the replica lookup a target; it is not known any more when the replica
-// moved to another address. The caller holds p.mu.
+// lookup returns the replica at a target. It fails if the replica was removed or has
+// moved to another address. The caller must hold p.mu.
 func (p *pool) lookup(t engine.Target) (*upstream, bool) {
 	u, ok := p.upstreams[t.ID]
 	return u, ok && u.target() == t
 }
 
-// recordStep records an answered step of prefill tokens, 0 for a decode step.
+// recordStep records a successful step. prefill is its number of prefill tokens, or 0
+// for a decode step.
 func (p *pool) recordStep(c call, prefill, cached int, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,18 +54,18 @@
 	if prefill > 0 {
 		computed := max(prefill-cached, 1)
 		p.table.Observe(c.target.ID, computed, 0, d)
-		u.pace.ObservePrefill(computed, d)
+		u.stepTimes.ObservePrefill(computed, d)
 		u.limit.Observe(now, limit.Prefill, u.inFlight, d/time.Duration(computed))
 	} else {
 		p.table.Observe(c.target.ID, 0, 1, d)
-		u.pace.ObserveDecode(d)
+		u.stepTimes.ObserveDecode(d)
 		u.limit.Observe(now, limit.Decode, u.inFlight, d)
 	}
 	p.updateLimit(u)
 	p.step(u, health.Progress{Connection: c.number})
 }
 
-// recordRefusal records a step that the replica recordRefusal or that was not sent.
+// recordRefusal records a step that the replica refused or that was not sent.
 func (p *pool) recordRefusal(c call, code string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +87,7 @@
 	}
 }
 
-// discardStep records a step that discardStep without an answer and without a verdict.
+// discardStep removes a step that ended without a response and needs no probe.
 func (p *pool) discardStep(c call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +96,7 @@
 	}
 }
 
-// updateLimit puts the learnt limit of a replica in force. The caller holds
+// updateLimit applies a changed concurrency limit of a replica. The caller must hold
 // p.mu.
 func (p *pool) updateLimit(u *upstream) {
 	l := u.limit.Limit()
@@ -105,8 +108,8 @@
 	p.scheduleCapacityUpdate()
 }
 
-// markLeaving records a sign that a replica leaves, and tells whether the pool
-// knows it.
+// markLeaving records that a replica is leaving, and reports whether the pool has the
+// replica.
 func (p *pool) markLeaving(id string, source health.Source) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,9 +120,9 @@
 	return ok
 }
 
-// checkAlive reports that a call got no answer, because it made no progress or, if
-// broken, because its connection broke. It waits until a probe on a new
-// connection has told whether the replica answers.
+// checkAlive reports whether the replica of a call without a response is alive. broken
+// is true if the connection broke, and false if the step timed out. It waits for the
+// result of a probe on a new connection.
 func (p *pool) checkAlive(ctx context.Context, c call, broken bool) bool {
 	ch := p.reportUnanswered(c, broken)
 	if ch == nil {
@@ -135,8 +138,9 @@
 	}
 }
 
-// reportUnanswered feeds the event to the replica's state machine and returns the channel
-// of the verdict, or nil when the replica is not known any more.
+// reportUnanswered passes the event to the health state machine of the replica. It
+// returns the channel that receives the result of the probe, or nil if the replica is
+// no longer known.
 func (p *pool) reportUnanswered(c call, broken bool) chan bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,12 +157,13 @@
 		return ch
 	}
 	delete(u.runningSteps, c.number)
-	u.pace.Expired()
+	u.stepTimes.Expired()
 	p.step(u, health.Silent{Connection: c.number})
 	return ch
 }
 
-// tick gives every replica whose time has come its event.
+// tick delivers a health.Tick to every replica whose timer has expired, and applies a
+// changed capacity.
 func (p *pool) tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,8 +175,8 @@
 	p.applyCapacity()
 }
 
-// step feeds one event to a replica's state machine and carries out its effects.
-// The caller holds p.mu.
+// step passes an event to the health state machine of a replica and performs the
+// resulting effects. The caller must hold p.mu.
 func (p *pool) step(u *upstream, e health.Event) {
 	if p.reporter.step(u.instance.ID, u.health, e, &engineActions{pool: p, upstream: u}) {
 		p.scheduleCapacityUpdate()
@@ -202,8 +207,9 @@
 
 func (a *engineActions) remove() { a.pool.remove(a.upstream) }
 
-// failAttempts ends the open attempts on a replica that does not answer. When
-// connections broke before, it crashed, and what it was running is suspect.
+// failAttempts cancels the open attempts on an unresponsive replica. If connections to
+// it broke before, it is taken to have crashed, and the requests that it was running
+// are recorded as possible causes.
 func (p *pool) failAttempts(u *upstream) {
 	if len(u.lostSteps) > 0 {
 		p.poison.recordCrash(u.instance.ID, u.crashCandidates())
@@ -211,7 +217,8 @@
 	u.failAttempts()
 }
 
-// probe asks a replica on a new connection in the background whether it answers.
+// probe checks in the background, on a new connection, whether a replica responds. A
+// refusal in the engine's protocol counts as a response.
 func (p *pool) probe(u *upstream, e health.Probe) {
 	t := u.target()
 	p.background(func() {
@@ -231,8 +238,8 @@
 	})
 }
 
-// remove forgets a replica that is no longer listed. Attempts still open on it
-// go on until they end or their connections fail.
+// remove deletes a replica that is no longer listed. Attempts that are open on it
+// continue until they end or their connections fail.
 func (p *pool) remove(u *upstream) {
 	for number := range u.probeWaiters {
 		u.deliverProbeResult(number, false)
--- a/node/router/history.go
+++ b/node/router/history.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// historySize is the number of finished requests kept for explanations.
+// historySize is the number of finished requests that ExplainRequest can find.
 const historySize = 1024
 
-// history keeps the results of the latest requests. It is safe for concurrent
+// history keeps the results of the most recent requests. It is safe for concurrent
 // use.
 type history struct {
 	mu   sync.Mutex
--- a/node/router/list.go
+++ b/node/router/list.go
@@ -9,7 +9,7 @@
 	"masticbank.example/node/wire"
 )
 
-// setInstances puts the platform's list in force.
+// setInstances applies the platform's instance list.
 func (p *pool) setInstances(list []wire.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -17,8 +17,8 @@
 	p.applyList()
 }
 
-// applyList takes the engines that hold the model in the version in use. The
-// caller holds p.mu.
+// applyList updates the replicas of the pool from the list. Only engines that hold the
+// active version of the model are used. The caller must hold p.mu.
 func (p *pool) applyList() {
 	engines := p.engineList()
 	p.activeVersion = p.chooseVersion(engines)
@@ -42,7 +42,7 @@
 	p.scheduleCapacityUpdate()
 }
 
-// engineList returns the engines of the list that hold the model in any version.
+// engineList returns the listed engines that hold any version of the model.
 func (p *pool) engineList() []wire.Instance {
 	var out []wire.Instance
 	for _, in := range p.list {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// chooseVersion returns the configured version, or the one in use while only that
-// has replicas of every layer.
+// chooseVersion returns the configured version. It keeps the active version as long as
+// that one covers all layers and the configured one does not.
 func (p *pool) chooseVersion(engines []wire.Instance) string {
 	if p.activeVersion == "" || p.coversAllLayers(engines, p.cfg.Version) || !p.coversAllLayers(engines, p.activeVersion) {
 		return p.cfg.Version
@@ -65,7 +65,8 @@
 	return p.activeVersion
 }
 
-// coversAllLayers tells whether the engines of a version hold every layer of the model.
+// coversAllLayers reports whether the engines of a version that are not leaving hold
+// every layer of the model.
 func (p *pool) coversAllLayers(engines []wire.Instance, version string) bool {
 	var edges []capacity.Edge
 	for _, in := range engines {
@@ -76,13 +77,13 @@
 	return capacity.Max(p.cfg.Layers, edges) > 0
 }
 
-// retire stops new work to a replica of a version that is out of use, and
-// forgets it when its attempts have ended.
+// retire stops sending new work to a replica of an inactive version, and removes it
+// when its attempts have ended.
 func (p *pool) retire(u *upstream) {
 	if u.retired {
 		return
 	}
-	// A leaving replica no longer counts in its health group.
+	// A leaving replica is not counted in its health group.
 	p.step(u, health.Leaving{Source: health.FromList})
 	u.retired = true
 	p.table.SetWeight(u.instance.ID, 0)
@@ -91,8 +92,9 @@
 	}
 }
 
-// upsert takes one entry of the list. A replica that moved to another address
-// or range begins anew.
+// upsert adds or updates the replica of one list entry. A replica that moved to
+// another address, version or layer range is replaced, and its state starts from
+// scratch.
 func (p *pool) upsert(in wire.Instance) {
 	u, ok := p.upstreams[in.ID]
 	if ok && moved(u.instance, in) {
@@ -103,7 +105,7 @@
 	}
 	r := route.Replica{ID: in.ID, First: in.FirstLayer, Last: in.LastLayer, Zone: in.Zone, Accelerator: in.Accelerator}
 	if err := p.table.Upsert(r); err != nil {
-		p.log.Warn("replica does not fit the model", zap.String("upstream", in.ID), zap.Error(err))
+		p.log.Warn("ignoring replica whose layer range does not fit the model", zap.String("upstream", in.ID), zap.Error(err))
 		return
 	}
 	if !ok {
@@ -120,7 +122,8 @@
 	return old.Address != now.Address || old.Version != now.Version || old.FirstLayer != now.FirstLayer || old.LastLayer != now.LastLayer
 }
 
-// group returns the replicas that stand in for r.
+// group returns the health group of the replicas that hold the same layer range as r
+// and can replace it.
 func (p *pool) group(r route.Replica) *health.Group {
 	key := route.Range{First: r.First, Last: r.Last}
 	g, ok := p.groups[key]
--- a/node/router/load.go
+++ b/node/router/load.go
@@ -8,7 +8,7 @@
 	"masticbank.example/node/engine"
 )
 
-// readLoadOnce asks every replica for its load report.
+// readLoadOnce reads the load reports of all replicas.
 func (r *Router) readLoadOnce() {
 	tasks := r.engineTasks(r.readLoadOf)
 	for _, s := range r.allServices() {
@@ -34,7 +34,7 @@
 	return tasks
 }
 
-// runParallel runs tasks, loadReaders at once, and waits for them.
+// runParallel runs the tasks, at most maxParallelReads at a time, and waits for them.
 func runParallel(tasks []func()) {
 	var g errgroup.Group
 	g.SetLimit(maxParallelReads)
--- a/node/router/moved_test.go
+++ b/node/router/moved_test.go
@@ -10,8 +10,8 @@
 	"masticbank.example/node/wire"
 )
 
-// TestEngineReturnsAtNewAddress lists a leaving engine again at a new address:
-// it begins anew, and what is still heard of the old one is void.
+// A leaving engine that is listed again at a new address must start from scratch, and
+// late messages about the old address must not affect it.
 func TestEngineReturnsAtNewAddress(t *testing.T) {
 	r, _ := newPlainRouter(t)
 	in := wire.Instance{ID: "a", Role: wire.RoleEngine, Model: "m", Version: "1", LastLayer: 7, Address: "127.0.0.1:1"}
@@ -20,7 +20,7 @@
 	old, ok := p.beginStep("a", poison.Fingerprint{}, 0, 0)
 	require.True(t, ok)
 	require.True(t, r.MarkLeaving("a"))
-	// Still leaving while the list shows the same address.
+	// The unchanged address does not end the leaving state.
 	r.setInstancesAndWait(in)
 	require.True(t, p.upstreams["a"].health.Leaving())
 	in.Address = "127.0.0.1:2"
@@ -29,7 +29,7 @@
 	p.recordRefusal(old, wire.CodeLeaving)
 	p.applyLoadReport(old.target, &wire.LoadReport{Leaving: true})
 	require.True(t, p.upstreams["a"].usable())
-	// Moving while in use leaves no member behind in the group.
+	// A move while in use must not leave a stale member in the health group.
 	in.Address = "127.0.0.1:3"
 	r.setInstancesAndWait(in)
 	require.Equal(t, 1, p.group(route.Replica{ID: "a", Last: 7}).Members())
--- a/node/router/orders.go
+++ b/node/router/orders.go
@@ -12,18 +12,18 @@
 	"masticbank.example/node/service"
 )
 
-// Orders makes non-idempotent calls at most once by key. Implementations are
-// safe for concurrent use.
+// Orders executes non-idempotent calls at most once per key. Implementations are safe
+// for concurrent use.
 type Orders interface {
-	// Do returns the recorded answer of the key, or claims the key and calls
-	// send at most once.
+	// Do returns the recorded response of the key, or claims the key and calls send at
+	// most once.
 	Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Answer) order.Result
 }
 
-// retryAfterLog is the hint given while the log cannot be used.
+// retryAfterLog is the Retry-After hint while the log is unavailable.
 const retryAfterLog = 5 * time.Second
 
-// callKeyed makes a non-idempotent call under its key.
+// callKeyed executes a non-idempotent call under its idempotency key.
 func (r *Router) callKeyed(ctx context.Context, pool *servicePool, req *ServiceRequest) ServiceResult {
 	if r.opts.Orders == nil {
 		return failedResult(CodeLogUnavailable, execution.NotRun, "this instance has no log, which calls with a key need")
@@ -45,7 +45,8 @@
 	return keyedResult(&res, &sent)
 }
 
-// keyFingerprint binds a key to method, path and body of its first call.
+// keyFingerprint returns a hash of method, path and body. A key may be used only for
+// calls with the same hash.
 func keyFingerprint(req *ServiceRequest) string {
 	h := sha256.New()
 	for _, part := range []string{req.Method, req.Path, string(req.Body)} {
@@ -65,8 +66,8 @@
 	return a
 }
 
-// keyedResult translates the result of Do. The service's own answer keeps all
-// its headers; a replayed one has those that were recorded.
+// keyedResult converts the result of Orders.Do. A response that the service has just
+// sent keeps all its headers; a replayed one has only the recorded ones.
 func keyedResult(res *order.Result, sent *ServiceResult) ServiceResult {
 	if res.Reason != order.ReasonNone {
 		out := failedResult(orderCode(res.Reason), res.Execution, string(res.Reason))
@@ -118,7 +119,8 @@
 	}
 }
 
-// orderRetryAfter returns when the same key may be sent again with a better chance.
+// orderRetryAfter returns the delay after which a call with the same key may succeed,
+// or 0.
 func orderRetryAfter(r order.Reason) time.Duration {
 	switch r {
 	case order.ReasonLogUnavailable, order.ReasonOverloaded, order.ReasonTooLate, order.ReasonReleased:
--- a/node/router/outcome.go
+++ b/node/router/outcome.go
@@ -9,7 +9,8 @@
 	"masticbank.example/node/engine"
 )
 
-// finish records the outcome. Admission is told when the replicas are free.
+// finish records the outcome of the request. Its slot is freed once its replicas have
+// been released.
 func (x *requestRun) finish(o attempt.Outcome) {
 	x.result.Complete = o.Complete
 	x.result.Execution = o.Execution
@@ -28,8 +29,9 @@
 	x.router.background(func() { x.leaveQueue(o) })
 }
 
-// leaveQueue gives the place in the pool back when the replicas are free. A request
-// that failed says nothing about the pace of the pool.
+// leaveQueue frees the slot of the request once its replicas have been released. A
+// request that failed is cancelled instead of completed, because its duration does not
+// reflect the throughput of the pool.
 func (x *requestRun) leaveQueue(o attempt.Outcome) {
 	x.pendingReleases.Wait()
 	if !o.Complete {
@@ -39,7 +41,7 @@
 	x.pool.queue.done(x.req.ID, float64(x.req.PromptTokens()+o.Tokens))
 }
 
-// setFailure sets code, message and retry hint of an unsuccessful result.
+// setFailure sets the code, message and retry hint of an unsuccessful result.
 func (x *requestRun) setFailure(o attempt.Outcome) {
 	x.result.Message = o.Reason
 	if x.lastFailure != "" {
@@ -80,7 +82,7 @@
 	}
 }
 
-// refused tells whether an engine refused a call in its protocol.
+// refused reports whether an engine refused a call in its protocol.
 func refused(err error) bool {
 	var ce *engine.CallError
 	return errors.As(err, &ce) && ce.Proof == engine.ProofRefused
--- a/node/router/output.go
+++ b/node/router/output.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// outputGain is the weight of a new sample in a mean output length.
+	// outputGain is the weight of a new sample in the moving average of an output
+	// length.
 	outputGain = 0.1
-	// maxOutputMeans bounds the pairs of workspace and rank remembered.
+	// maxOutputMeans bounds the number of averages that are kept, one for each pair of
+	// workspace and rank.
 	maxOutputMeans = 8192
 )
 
-// outputLengths learns how many tokens the answers of a workspace and rank have. The
-// pool's lock guards it.
+// outputLengths keeps the average output length in tokens for each workspace and rank.
+// It is guarded by the lock of its pool.
 type outputLengths struct {
 	means map[outputKey]float64
 }
@@ -24,7 +26,7 @@
 	rank      config.Rank
 }
 
-// estimate returns the expected number of tokens, at most limit.
+// estimate returns the expected number of output tokens, at most limit.
 func (o *outputLengths) estimate(key outputKey, limit int) int {
 	mean, ok := o.means[key]
 	if !ok {
--- a/node/router/poison.go
+++ b/node/router/poison.go
@@ -8,8 +8,7 @@
 	"masticbank.example/core/poison"
 )
 
-// poisonTracker holds the evidence on requests that crash replicas. It is safe for
-// concurrent use.
+// poisonTracker tracks requests that crash replicas. It is safe for concurrent use.
 type poisonTracker struct {
 	mu        sync.Mutex
 	tracker   *poison.Tracker
@@ -20,8 +19,7 @@
 	return &poisonTracker{tracker: poison.NewTracker(retention), retention: retention}
 }
 
-// configure sets the time for which evidence is kept. A change discards what
-// was known.
+// configure sets how long evidence is kept. A change discards the existing evidence.
 func (p *poisonTracker) configure(retention time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,8 +30,8 @@
 	p.tracker = poison.NewTracker(retention)
 }
 
-// fingerprintOf includes the workspace, so that no caller can have the requests of
-// another one refused.
+// fingerprintOf returns the fingerprint of a request. It includes the workspace, so
+// that no client can cause requests of other workspaces to be blocked.
 func fingerprintOf(req *Request) poison.Fingerprint {
 	return poison.FingerprintOf(req.Model, req.Prompt, strconv.Itoa(req.MaxTokens), req.Workspace)
 }
@@ -44,15 +42,15 @@
 	return p.tracker.Blocked(time.Now(), f)
 }
 
-// recordCrash records that a replica recordCrash while it ran steps of suspects.
+// recordCrash records that a replica crashed while it ran steps of the given requests.
 func (p *poisonTracker) recordCrash(replica string, suspects []poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Crash(time.Now(), replica, suspects...)
 }
 
-// stopAfterCrash tells whether a request whose step was lost with a crashed replica
-// must not run again.
+// stopAfterCrash records that a step of a request was lost in the crash of a replica.
+// It reports whether the request must not run again.
 func (p *poisonTracker) stopAfterCrash(replica string, f poison.Fingerprint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,29 +75,28 @@
 	return p.tracker.Avoid(f)
 }
 
-// PoisonBlocks returns the fingerprints to tell the peers.
+// PoisonBlocks returns the blocked fingerprints to send to peers.
 func (r *Router) PoisonBlocks() []poison.Block {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	return r.poison.tracker.Recent(time.Now())
 }
 
-// PoisonNews returns the evidence on requests that crash replicas which this instance
-// found since the last call.
+// PoisonNews returns the crash evidence that this instance found since the last call.
 func (r *Router) PoisonNews() poison.State {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	return r.poison.tracker.News()
 }
 
-// LearnPoisonEvidence takes the evidence of a peer.
+// LearnPoisonEvidence merges the crash evidence of a peer.
 func (r *Router) LearnPoisonEvidence(s poison.State) {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	r.poison.tracker.LearnEvidence(time.Now(), s)
 }
 
-// LearnPoison takes a fingerprint from a peer.
+// LearnPoison blocks a fingerprint that a peer reported, for the time ttl.
 func (r *Router) LearnPoison(f poison.Fingerprint, ttl time.Duration) {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
--- a/node/router/pool.go
+++ b/node/router/pool.go
@@ -18,16 +18,17 @@
 
 const (
 	defaultRetryRatio = 0.1
-	// savedRetriesPerSlot and minBank bound the retries saved up: the loss of several
-	// replicas ends many attempts at once, and each is to be resumed.
+	// savedRetriesPerSlot and minSavedRetries bound the retries that the budget saves
+	// up: losing several replicas ends many attempts at once, and each of them has to
+	// be resumed.
 	savedRetriesPerSlot = 4
 	minSavedRetries     = 64
-	// retryRatePerSlot is the rate of retries, per slot and second, that needs no
-	// first attempts.
+	// retryRatePerSlot is the number of retries per slot and second that are allowed
+	// regardless of the number of first attempts.
 	retryRatePerSlot = 0.1
 )
 
-// retryConfig returns the retry budget of a pool with the given slots.
+// retryConfig returns the retry budget of a pool with the given number of slots.
 func retryConfig(slots int, ratio float64) retry.BudgetConfig {
 	return retry.BudgetConfig{
 		Ratio:        ratio,
@@ -36,20 +37,19 @@
 	}
 }
 
-// poolOptions is what a pool shares with its router.
+// poolOptions holds what a pool shares with its router.
 type poolOptions struct {
 	reporter
 	engines engine.Client
-	// background runs a function that the router's Close waits for.
+	// background runs a function in a goroutine that Router.Close waits for.
 	background func(func())
 	poison     *poisonTracker
-	// onWait is called when a request has to wait.
+	// onWait is called when a request has to wait for a slot.
 	onWait func()
 	seed   uint64
 }
 
-// pool holds the replicas and the queue of one model. It is safe for
-// concurrent use.
+// pool holds the replicas and the queue of one model. It is safe for concurrent use.
 type pool struct {
 	poolOptions
 	model string
@@ -59,16 +59,16 @@
 	cfg            config.ModelConfig
 	table          *route.Table
 	upstreams      map[string]*upstream
-	list           []wire.Instance               // the platform's list
-	activeVersion  string                        // model version that requests run on
-	reportedStates map[string]reportedState      // what engines said against the list
+	list           []wire.Instance               // the platform's instance list
+	activeVersion  string                        // model version that requests are dispatched to
+	reportedStates map[string]reportedState      // states of engines that contradict the list, by ID
 	groups         map[route.Range]*health.Group // by layer range
 	random         *rand.Rand
-	calls          uint64 // number of the last call
+	calls          uint64 // number of the most recent call
 	budget         *retry.Budget
 	outputLengths  outputLengths
-	slots          int // what the replicas in use carry at once
-	// capacityChanged is true when slots is to be computed again.
+	slots          int // concurrent requests that the usable replicas can run
+	// capacityChanged is true if slots has to be recomputed.
 	capacityChanged bool
 	ratio           float64
 }
@@ -90,14 +90,14 @@
 	}
 }
 
-// scheduleCapacityUpdate asks for a new computation of the capacity at the next tick, so
-// that many changes at once cost one. The caller holds p.mu.
+// scheduleCapacityUpdate makes the next tick recompute the capacity, so that many
+// changes cost one computation. The caller must hold p.mu.
 func (p *pool) scheduleCapacityUpdate() {
 	p.capacityChanged = true
 }
 
-// applyCapacity tells the queue how many requests the replicas in use carry at
-// once. The caller holds p.mu.
+// applyCapacity recomputes the number of requests that the usable replicas can run
+// concurrently, and passes it to the queue. The caller must hold p.mu.
 func (p *pool) applyCapacity() {
 	if !p.capacityChanged {
 		return
@@ -118,12 +118,12 @@
 	p.queue.setCapacity(slots)
 }
 
-// missedReportsBeforeProbe is the number of load reports in a row that must not come before a
-// replica is asked whether it answers: one may be lost, and requests may not be sent to
-// it because it was slow.
+// missedReportsBeforeProbe is the number of consecutive load reports that have to be
+// missing before a replica is probed. One may be lost, and a replica that gets no
+// requests because it was slow is checked by nothing else.
 const missedReportsBeforeProbe = 4
 
-// recordMissedReport notes that a replica gave no load report.
+// recordMissedReport counts a missing load report of a replica.
 func (p *pool) recordMissedReport(t engine.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +139,7 @@
 	p.step(u, health.Silent{Connection: p.calls})
 }
 
-// applyLoadReport takes the load applyLoadReport of one replica.
+// applyLoadReport applies the load report of one replica.
 func (p *pool) applyLoadReport(t engine.Target, r *wire.LoadReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +162,7 @@
 	p.updateLimit(u)
 }
 
-// targets returns the replicas to ask for load reports.
+// targets returns the replicas whose load reports have to be read.
 func (p *pool) targets() []engine.Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +173,7 @@
 	return out
 }
 
-// target returns the address of a replica.
+// target returns the target for calls to a replica.
 func (p *pool) target(id string) (engine.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +184,8 @@
 	return u.target(), true
 }
 
-// choose picks a chain and counts it as dispatched.
+// choose selects a route and counts the request as in flight on its replicas. It falls
+// back to excluded replicas if no others can serve the request.
 func (p *pool) choose(req route.Request) route.Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,7 +207,7 @@
 	return d
 }
 
-// endAttempt takes back what choose counted for one replica.
+// endAttempt undoes for one replica what choose counted.
 func (p *pool) endAttempt(id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,7 +222,7 @@
 	}
 }
 
-// release ends an attempt on its replicas and then frees their places.
+// release cancels an attempt on its replicas and then frees its slots there.
 func (p *pool) release(requestID string, attemptNumber int, stages []route.Hop, tokens int) {
 	var wg sync.WaitGroup
 	for _, h := range stages {
@@ -240,12 +241,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	// The engine drops idle attempts by itself when the message is lost.
+	// If the message is lost, the engine discards the idle attempt by itself.
 	_ = p.engines.Cancel(ctx, t, &wire.CancelRequest{RequestID: requestID, Attempt: attemptNumber})
 }
 
-// configure puts a changed configuration in force; the layers stay the same.
-// A new version comes into use when its replicas hold every layer.
+// configure applies a changed configuration with the same number of layers. A new
+// model version is used once its replicas cover all layers.
 func (p *pool) configure(cfg config.ModelConfig, ratio float64, policy admission.Config, list []wire.Instance) {
 	p.mu.Lock()
 	p.cfg = cfg
@@ -256,42 +257,43 @@
 	p.setInstances(list)
 }
 
-// version returns the model version that the replicas in use hold.
+// version returns the model version that requests are dispatched to.
 func (p *pool) version() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.activeVersion
 }
 
-// recordFirstAttempt pays a recordFirstAttempt attempt into the retry budget.
+// recordFirstAttempt credits a first attempt to the retry budget.
 func (p *pool) recordFirstAttempt() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.First(time.Now())
 }
 
-// spendRetry spends one retry, or returns false when the budget is used up.
+// spendRetry takes one retry from the budget. It returns false if the budget is
+// exhausted.
 func (p *pool) spendRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.Take(time.Now())
 }
 
-// setEntryInstances names the entry instances that dispatch to the pool.
+// setEntryInstances sets the IDs of the entry instances that dispatch to the pool.
 func (p *pool) setEntryInstances(self string, live []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.SetMembers(self, live)
 }
 
-// expectedOutput estimates the number of tokens that a request generates.
+// expectedOutput estimates the number of tokens that a request will generate.
 func (p *pool) expectedOutput(r *Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.outputLengths.estimate(outputKey{workspace: r.Workspace, rank: r.Rank}, r.MaxTokens)
 }
 
-// observeOutput learns from a complete answer.
+// observeOutput records the length of a complete response for later estimates.
 func (p *pool) observeOutput(r *Request, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/router/prefix.go
+++ b/node/router/prefix.go
@@ -6,11 +6,11 @@
 	"masticbank.example/node/wire"
 )
 
-// maxPrefixBlocks bounds the prefix hashes of one prompt.
+// maxPrefixBlocks bounds the number of prefix hashes of one prompt.
 const maxPrefixBlocks = 256
 
-// prefixBlocks returns the hashes of the prompt's prefixes in steps of
-// wire.PrefixBlockBytes, as engines report them in cache events.
+// prefixBlocks returns the hashes of the prompt's prefixes whose lengths are multiples
+// of wire.PrefixBlockBytes. Engines report the same hashes in their cache events.
 func prefixBlocks(prompt string) []uint64 {
 	n := min(len(prompt)/wire.PrefixBlockBytes, maxPrefixBlocks)
 	out := make([]uint64, 0, n)
--- a/node/router/queue.go
+++ b/node/router/queue.go
@@ -9,33 +9,33 @@
 	"masticbank.example/core/admission"
 )
 
-// queue lets goroutines wait for the decisions of one admission.Admitter. It
-// is safe for concurrent use.
+// queue blocks goroutines until an admission.Admitter decides on their requests. It is
+// safe for concurrent use.
 type queue struct {
 	mu       sync.Mutex
 	admitter admission.Admitter
 	waiting  map[string]chan admission.Effect
-	// capacity is what the upstreams carry for all instances together, share
-	// what this instance may use of it.
+	// capacity is the number of slots of the upstreams for all instances together,
+	// share the number that this instance may use.
 	capacity int
 	share    int
-	// slots is the smaller of the two, as told to adm.
+	// slots is the smaller of the two, as last passed to admitter.
 	slots int
-	// onWait is called when a request has to wait.
+	// onWait is called when a request has to wait for a slot.
 	onWait func()
-	// closed tells that the pool is not in force any more.
+	// closed is true if the pool was removed or replaced.
 	closed bool
 }
 
-// unlimited is the share of an instance that runs alone.
+// unlimited is the share of an instance without peers.
 const unlimited = math.MaxInt
 
 func newQueue(admitter admission.Admitter, onWait func()) *queue {
 	return &queue{admitter: admitter, waiting: map[string]chan admission.Effect{}, share: unlimited, onWait: onWait}
 }
 
-// admit waits until the request is dispatched or refused. When ctx ends first,
-// the request leaves the queue and the error of ctx is returned.
+// admit waits until the request is dispatched or refused. If ctx ends first, the
+// request is removed from the queue and the error of ctx is returned.
 func (q *queue) admit(ctx context.Context, r admission.Request) (admission.Effect, error) {
 	q.mu.Lock()
 	if q.closed {
@@ -48,7 +48,7 @@
 	return q.await(ctx, r.ID, ch)
 }
 
-// requeue returns a dispatched request to its place and waits again.
+// requeue returns a dispatched request to its position in the queue and waits again.
 func (q *queue) requeue(ctx context.Context, id string) (admission.Effect, error) {
 	q.mu.Lock()
 	if q.closed {
@@ -61,8 +61,8 @@
 	return q.await(ctx, id, ch)
 }
 
-// close refuses the requests that wait and those that still come. The pool is
-// not in force any more, so that nothing would dispatch them.
+// close refuses all waiting and future requests. The pool was removed or replaced, so
+// nothing would dispatch them.
 func (q *queue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -73,12 +73,13 @@
 	}
 }
 
-// poolReplacedEffect refuses a request whose pool is not in force any more.
+// poolReplacedEffect returns the refusal of a request whose pool was removed or
+// replaced.
 func poolReplacedEffect(id string) admission.Effect {
 	return admission.Effect{Kind: admission.Refuse, ID: id, RetryAfter: retryAfterReplaced}
 }
 
-// refusalMessage describes a refusal to the caller.
+// refusalMessage describes a refusal for the client.
 func refusalMessage(e admission.Effect) string {
 	if e.Reason == admission.ReasonNone {
 		return "a new configuration replaced the pool in which the request waited"
@@ -108,7 +109,7 @@
 	}
 }
 
-// cancel takes a request out of the queue, whether it waits or runs.
+// cancel removes a request, whether it is waiting or running.
 func (q *queue) cancel(id string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -116,14 +117,14 @@
 	q.deliver(q.admitter.Cancel(time.Now(), id))
 }
 
-// done reports that a dispatched request ended after cost tokens.
+// done records that a dispatched request has completed with the given cost in tokens.
 func (q *queue) done(id string, cost float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.deliver(q.admitter.Done(time.Now(), id, cost))
 }
 
-// setCapacity sets what the upstreams carry for all instances together.
+// setCapacity sets the number of slots of the upstreams for all instances together.
 func (q *queue) setCapacity(slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -131,7 +132,7 @@
 	q.updateSlots()
 }
 
-// setShare sets what this instance may use of the capacity.
+// setShare sets the number of slots that this instance may use.
 func (q *queue) setShare(slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -139,7 +140,8 @@
 	q.updateSlots()
 }
 
-// updateSlots tells a change to adm. The caller holds q.mu.
+// updateSlots passes a changed number of slots to the admitter. The caller must hold
+// q.mu.
 func (q *queue) updateSlots() {
 	slots := min(q.capacity, q.share)
 	if slots == q.slots {
@@ -185,7 +187,7 @@
 	return q.admitter.Position(time.Now(), id)
 }
 
-// deliver hands effects to the goroutines that wait for them. The caller holds
+// deliver sends effects to the goroutines that wait for them. The caller must hold
 // q.mu.
 func (q *queue) deliver(effects []admission.Effect) {
 	for _, e := range effects {
--- a/node/router/held.go
+++ b/node/router/reportedstate.go
@@ -10,11 +10,11 @@
 	"masticbank.example/node/wire"
 )
 
-// stateTimeout bounds the reading of what an engine holds.
+// stateTimeout bounds one request for an engine's state.
 const stateTimeout = time.Second
 
-// reportedState is what an engine said that it holds while the platform's list showed
-// something else.
+// reportedState is the model, version and layer range that an engine reported when the
+// platform's list showed another state.
 type reportedState struct {
 	listed     wire.Instance
 	model      string
@@ -23,8 +23,8 @@
 	lastLayer  int
 }
 
-// withReportedState returns in with what the engine said that it holds, until the list
-// shows a change.
+// withReportedState returns in with the state that the engine reported, until its list
+// entry changes.
 func (p *pool) withReportedState(in wire.Instance) wire.Instance {
 	h, ok := p.reportedStates[in.ID]
 	if !ok {
@@ -38,8 +38,8 @@
 	return in
 }
 
-// readState asks an engine in the background what it holds, after it refused
-// a step because of its layers. The caller holds p.mu.
+// readState reads in the background which layers an engine holds, for example after
+// the engine refused a step because of its layer range. The caller must hold p.mu.
 func (p *pool) readState(t engine.Target) {
 	p.background(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
@@ -52,8 +52,8 @@
 	})
 }
 
-// applyState takes what an engine holds and applies the list again if that is
-// news.
+// applyState stores the state that an engine reported, and applies the list again if
+// that state is new and differs from the list.
 func (p *pool) applyState(id string, s *wire.EngineState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +66,7 @@
 			continue
 		}
 		p.reportedStates[id] = h
-		p.log.Info("engine holds other layers than listed", zap.String("upstream", id), zap.String("version", s.Version),
+		p.log.Info("engine state differs from the instance list", zap.String("upstream", id), zap.String("version", s.Version),
 			zap.Int("first", s.FirstLayer), zap.Int("last", s.LastLayer))
 		p.applyList()
 	}
@@ -77,8 +77,9 @@
 	return h.model == in.Model && h.version == in.Version && h.firstLayer == in.FirstLayer && h.lastLayer == in.LastLayer
 }
 
-// readOtherVersions asks the engines that seem to hold another version than the one in
-// use, while that lacks replicas of some layer. The caller holds p.mu.
+// readOtherVersions reads the states of the engines that are listed with a version
+// other than the active one, while the active one does not cover all layers. The
+// caller must hold p.mu.
 func (p *pool) readOtherVersions(engines []wire.Instance) {
 	if p.coversAllLayers(engines, p.activeVersion) {
 		return
--- a/node/router/reporter.go
+++ b/node/router/reporter.go
@@ -8,31 +8,31 @@
 	"masticbank.example/core/health"
 )
 
-// reporter steps the state machines of upstreams and tells the log and the
-// metrics what happens to them. It is safe for concurrent use.
+// reporter drives the health state machines of upstreams and reports their events to
+// the log and the metrics. It is safe for concurrent use.
 type reporter struct {
 	log     *zap.Logger
 	metrics Metrics
 }
 
-// actions carries out what the state machine of one upstream asks for. Its
-// methods are called under the lock that guards the state machine.
+// actions performs the effects of the health state machine of one upstream. Its
+// methods are called with the lock held that guards the state machine.
 type actions interface {
-	// probe asks the upstream in the background whether it answers.
+	// probe checks in the background whether the upstream responds.
 	probe(e health.Probe)
-	// replaceConnection closes a connection that is silent or broken.
+	// replaceConnection closes a connection that is unresponsive or broken.
 	replaceConnection(number uint64)
-	// setWeight sets the share of new work, 0 to 1.
+	// setWeight sets the share of new work, from 0 to 1.
 	setWeight(weight float64)
-	// failAttempts ends the open attempts, as the upstream does not answer.
+	// failAttempts cancels the open attempts on an unresponsive upstream.
 	failAttempts()
-	// remove forgets the upstream.
+	// remove deletes the upstream.
 	remove()
 }
 
-// step feeds one event to the state machine of the upstream id and carries out
-// its effects. It tells whether the upstream's share of work changed. The caller
-// holds the lock that guards h.
+// step passes an event to the state machine of the upstream id and performs the
+// resulting effects. It reports whether the upstream's share of work changed. The
+// caller must hold the lock that guards h.
 func (r reporter) step(id string, h *health.Upstream, e health.Event, a actions) bool {
 	changed := false
 	for _, effect := range h.Step(time.Now(), e) {
@@ -51,7 +51,7 @@
 			r.log.Warn("upstream ejected", zap.String("upstream", id), zap.Time("until", effect.Until))
 			r.metrics.Ejected(id)
 		case health.AnnounceLeaving:
-			r.log.Info("upstream leaves", zap.String("upstream", id))
+			r.log.Info("upstream is leaving", zap.String("upstream", id))
 			r.metrics.Leaving(id)
 		case health.Remove:
 			a.remove()
--- a/node/router/request.go
+++ b/node/router/request.go
@@ -8,10 +8,10 @@
 	"masticbank.example/core/execution"
 )
 
-// bytesPerToken estimates the length of prompts in tokens.
+// bytesPerToken is the assumed average number of prompt bytes per token.
 const bytesPerToken = 4
 
-// Request is one checked completion request.
+// Request is one validated completion request.
 type Request struct {
 	ID        string
 	Workspace string
@@ -19,23 +19,23 @@
 	Model     string
 	Prompt    string
 	MaxTokens int
-	// Deadline is when the answer must be complete.
+	// Deadline is the time by which the response must be complete.
 	Deadline time.Time
-	// Arrived is when the request was read.
+	// Arrived is the time at which the request was read.
 	Arrived time.Time
 }
 
-// PromptTokens estimates the tokens of the prompt.
+// PromptTokens estimates the number of tokens in the prompt from its length.
 func (r *Request) PromptTokens() int {
 	return len(r.Prompt)/bytesPerToken + 1
 }
 
-// Sink takes the tokens of one answer in order. An error ends the request.
+// Sink receives the tokens of one response in order. An error ends the request.
 type Sink interface {
 	Token(t attempt.Token) error
 }
 
-// Code classifies results that are not complete answers.
+// Code classifies why a result is not a complete response.
 type Code string
 
 // Codes of unsuccessful results.
@@ -63,14 +63,14 @@
 	CodeLogUnavailable Code = "log_unavailable"
 )
 
-// Result is the final outcome of one request.
+// Result is the final outcome of one request, with its statistics.
 type Result struct {
 	RequestID string
 	Complete  bool
 	Code      Code
 	Message   string
 	Execution execution.Status
-	// RetryAfter is positive when the request may succeed later.
+	// RetryAfter is positive if the request may succeed when it is sent again later.
 	RetryAfter time.Duration
 
 	Workspace  string
@@ -83,8 +83,8 @@
 	QueueWait  time.Duration
 	FirstToken time.Duration
 	Total      time.Duration
-	// Route names the replicas of the last attempt in order of their layers.
+	// Route holds the replica IDs of the last attempt in layer order.
 	Route []string
-	// Expected is the duration that the route choice estimated.
+	// Expected is the duration that the router estimated for the chosen route.
 	Expected time.Duration
 }
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -1,5 +1,5 @@
-// Package router carries callers' requests to upstreams: it connects the
-// decisions of core with the clients of engines and services.
+// Package router dispatches client requests to upstreams. It connects the decisions of
+// core (admission, routing, retries, health) with the clients of engines and services.
 package router
 
 import (
@@ -21,40 +21,45 @@
 )
 
 const (
-	// tickPeriod is the time between two checks of the queues' deadlines.
+	// tickPeriod is the interval at which queue deadlines and health timers are
+	// checked.
 	tickPeriod = 50 * time.Millisecond
-	// loadPeriod is the time between two load reports of one upstream.
+	// loadPeriod is the interval at which the load report of each upstream is read.
 	loadPeriod = 250 * time.Millisecond
-	// cachePeriod is the time between two readings of an engine's cache events.
+	// cachePeriod is the interval at which the cache events of each engine are read.
 	cachePeriod = time.Second
-	// loadTimeout bounds the reading of one load report.
+	// loadTimeout bounds one request for a load report or for cache events.
 	loadTimeout = time.Second
-	// maxParallelReads bounds the load reports read at once.
+	// maxParallelReads bounds the concurrent requests for load reports, and those for
+	// cache events.
 	maxParallelReads = 16
-	// poisonRetention is the time for which evidence on crashes is kept until a
-	// configuration is in force.
+	// poisonRetention is how long crash evidence is kept until a configuration sets
+	// the time.
 	poisonRetention = 10 * time.Minute
 	poisonMessage   = "requests like this one crashed several upstreams"
-	// retryAfterFailure is the hint given when upstreams failed.
+	// retryAfterFailure is the Retry-After hint when upstreams failed.
 	retryAfterFailure = 2 * time.Second
-	// retryAfterReplaced is the hint given when a new configuration replaced the
+	// retryAfterReplaced is the Retry-After hint when a new configuration replaced the
 	// pool in which a request waited.
 	retryAfterReplaced = time.Second
 )
 
-// Metrics takes measurements. Implementations are safe for concurrent use.
+// Metrics receives measurements and events. Implementations are safe for concurrent
+// use.
 type Metrics interface {
-	// Dropped counts an answer that was not used.
+	// Dropped counts an upstream response that was discarded.
 	Dropped(k attempt.DropKind)
-	// TokenGap records the time between two tokens of one answer.
+	// TokenGap records the time between two consecutive tokens of one response.
 	TokenGap(workspace string, rank config.Rank, d time.Duration)
 	// Finished records the result of a request.
 	Finished(r *Result)
-	// ConnectionReplaced counts a silent connection to an upstream.
+	// ConnectionReplaced counts an unresponsive connection to an upstream that was
+	// replaced.
 	ConnectionReplaced(upstream string)
-	// Ejected counts an upstream that was taken out of use.
+	// Ejected counts the ejection of an upstream.
 	Ejected(upstream string)
-	// Leaving tells that an upstream said that it leaves. It must not block.
+	// Leaving is called when an upstream announced that it is leaving. It must not
+	// block.
 	Leaving(upstream string)
 }
 
@@ -64,23 +69,24 @@
 	ID       string
 	Engines  engine.Client
 	Services *service.Client
-	// Orders makes calls with an idempotency key at most once on all instances
-	// together; nil refuses them.
+	// Orders executes calls that carry an idempotency key at most once across all
+	// instances. If it is nil, such calls are refused.
 	Orders  Orders
 	Metrics Metrics
 	Logger  *zap.Logger
-	// RoutePolicy and FIFO select baselines for measurement.
+	// RoutePolicy and FIFO select baselines for comparison measurements.
 	RoutePolicy route.Policy
 	FIFO        bool
-	// Wake is called when a request has to wait for a slot; nil means nothing.
-	// It must not block.
+	// Wake is called when a request has to wait for a slot; it may be nil. It must not
+	// block.
 	Wake func()
-	// Seed makes the choices among near-equal routes differ between instances.
+	// Seed seeds the random choice among routes of nearly equal cost, so that
+	// instances choose differently.
 	Seed uint64
 }
 
-// Router serves requests under the configuration in force. It is safe for
-// concurrent use.
+// Router serves requests under the current configuration. It is safe for concurrent
+// use.
 type Router struct {
 	opts    Options
 	metrics Metrics
@@ -92,7 +98,7 @@
 	pools     map[string]*pool
 	services  map[string]*servicePool
 	instances []wire.Instance
-	// entryInstances are the live entry instances, this one included.
+	// entryInstances holds the IDs of the live entry instances, including this one.
 	entryInstances []string
 
 	ctx    context.Context
@@ -100,8 +106,8 @@
 	work   sync.WaitGroup
 }
 
-// New returns a router without configuration; Configure and SetInstances make
-// it serve. Close ends it.
+// New returns a router that starts serving after the first calls of Configure and
+// SetInstances. It must be closed with Close.
 func New(o Options) *Router {
 	r := newRouter(o)
 	r.background(func() { r.runEvery(tickPeriod, r.tickOnce) })
@@ -110,7 +116,7 @@
 	return r
 }
 
-// newRouter returns a router without its periodic work.
+// newRouter returns a router without the periodic background work.
 func newRouter(o Options) *Router {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Router{
@@ -126,12 +132,12 @@
 	}
 }
 
-// Config returns the configuration in force, or nil.
+// Config returns the current configuration, or nil before the first one.
 func (r *Router) Config() *config.Config {
 	return r.cfg.Load()
 }
 
-// Configure puts a validated configuration in force.
+// Configure applies a validated configuration.
 func (r *Router) Configure(c *config.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,7 +210,7 @@
 	return admission.New(policy)
 }
 
-// SetInstances puts the platform's list of instances in force.
+// SetInstances applies the platform's instance list.
 func (r *Router) SetInstances(list []wire.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -217,7 +223,7 @@
 	}
 }
 
-// SetEntries names the live entry instances, this one included.
+// SetEntries sets the IDs of the live entry instances, including this one.
 func (r *Router) SetEntries(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,8 +233,8 @@
 	}
 }
 
-// MarkLeaving stops new work to an upstream on the word of a peer or operator,
-// and tells whether a pool knows it.
+// MarkLeaving stops sending new work to an upstream that a peer or an operator
+// reported as leaving. It reports whether any pool has the upstream.
 func (r *Router) MarkLeaving(upstream string) bool {
 	known := false
 	for _, p := range r.allPools() {
@@ -240,8 +246,8 @@
 	return known
 }
 
-// Generate serves one completion request. Tokens go to sink as they come. The
-// context ends when the caller leaves.
+// Generate serves one completion request and passes each token to sink as it arrives.
+// The context is cancelled when the client disconnects.
 func (r *Router) Generate(ctx context.Context, req *Request, sink Sink) Result {
 	p := r.pool(req.Model)
 	if p == nil {
@@ -277,7 +283,7 @@
 	}
 }
 
-// recordResult records the result of a request.
+// recordResult adds the result of a request to the history and the metrics.
 func (r *Router) recordResult(res Result) {
 	r.history.add(res)
 	r.metrics.Finished(&res)
@@ -326,7 +332,7 @@
 	return out
 }
 
-// stepTimeout bounds one step of a stage.
+// stepTimeout returns the configured timeout of one step of a stage.
 func (r *Router) stepTimeout() time.Duration {
 	return r.cfg.Load().Limits.StepTimeout
 }
@@ -336,7 +342,7 @@
 	r.work.Go(f)
 }
 
-// Close ends background work. Requests must have ended before.
+// Close stops the background work and waits for it. All requests must have ended.
 func (r *Router) Close() {
 	r.cancel()
 	r.work.Wait()
@@ -355,7 +361,7 @@
 	}
 }
 
-// runEvery calls f at each period until Close.
+// runEvery calls f once per period until the router is closed.
 func (r *Router) runEvery(period time.Duration, f func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -26,9 +26,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// withRouter runs f against a router whose replicas have answered their first probe
-// and whose queue has heard of their capacity, which the next tick computes.
-// Time in f is that of the bubble. When f returns, all capacity must be back.
+// withRouter runs f with a router whose replicas have responded to their first probe
+// and whose queue knows their capacity, which the next tick computes. f runs in a
+// synctest bubble with its fake clock. When f returns, no capacity may be left in use.
 func withRouter(t *testing.T, engines *fakeEngines, list []wire.Instance, f func(t *testing.T, r *Router, m *discardCounter)) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &discardCounter{}
@@ -50,7 +50,7 @@
 		return fmt.Sprintf("queue: %d in flight, %d queued", s.InFlight, s.Queued)
 	}
 	if n := len(p.queue.waiting); n != 0 {
-		return fmt.Sprintf("queue: %d goroutines expected", n)
+		return fmt.Sprintf("queue: %d goroutines waiting", n)
 	}
 	for _, u := range p.status().Upstreams {
 		if u.InFlight != 0 {
@@ -59,7 +59,7 @@
 	}
 	for id, u := range p.upstreams {
 		if len(u.probeWaiters) != 0 || len(u.runningSteps) != 0 || u.inFlight != 0 {
-			return fmt.Sprintf("%s: %d open verdicts, %d steps, %d attempts", id, len(u.probeWaiters), len(u.runningSteps), u.inFlight)
+			return fmt.Sprintf("%s: %d pending probe results, %d steps, %d attempts", id, len(u.probeWaiters), len(u.runningSteps), u.inFlight)
 		}
 	}
 	return ""
@@ -81,8 +81,9 @@
 	return out
 }
 
-// Answers to another request, attempt or position, and answers without the output
-// of their stage, are dropped; the caller gets its own answer whole and in order.
+// Responses to another request, attempt or position, and responses without the output
+// of their stage, must be discarded; the client gets its own response complete and in
+// order.
 func TestMismatchedResponsesAreDropped(t *testing.T) {
 	cases := map[string]struct {
 		kind  attempt.DropKind
@@ -93,7 +94,7 @@
 		"duplicate position": {attempt.DropForeign, func(r *wire.StepResponse) { r.Position-- }},
 		"position ahead":     {attempt.DropForeign, func(r *wire.StepResponse) { r.Position++ }},
 		"no output":          {attempt.DropMalformed, func(r *wire.StepResponse) { r.Hidden, r.Token = nil, nil }},
-		"output of the last stage and of an inner one": {attempt.DropMalformed, func(r *wire.StepResponse) {
+		"output of both a last and an inner stage": {attempt.DropMalformed, func(r *wire.StepResponse) {
 			r.Hidden, r.Token = []byte{1}, &wire.Token{Text: "wrong"}
 		}},
 	}
@@ -114,29 +115,30 @@
 					require.True(t, res.Complete)
 					require.Equal(t, completeResponse("a", 5), sink.texts)
 					require.Equal(t, 2, res.Attempts)
-					require.Equal(t, map[attempt.DropKind]int{c.kind: 1}, m.dropped)
+					require.Equal(t, map[attempt.DropKind]int{c.kind: 1}, m.discarded)
 				})
 			})
 		}
 	}
 }
 
-// A connection that lost track of its engine is replaced: the step is sent again
-// on the same attempt. An engine that does not answer the probe loses the attempt.
+// After a step times out, its replica is probed on a new connection. If the probe
+// succeeds, the connections are replaced and the step is sent again in the same
+// attempt. If it fails, the attempt is given up.
 func TestUnansweredStepIsProbed(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		t.Run(fmt.Sprint("alive=", alive), func(t *testing.T) {
 			engines := &fakeEngines{}
-			silent := ""
+			unresponsive := ""
 			engines.onStep = func(ctx context.Context, e engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
 				if r.Position == 1 && r.FirstLayer > 0 && r.Attempt == 1 && !r.Resend {
-					silent = e.ID
+					unresponsive = e.ID
 					return nil, true, blockUntilDone(ctx)
 				}
 				return correctResponse(r), true, nil
 			}
 			engines.probe = func(e engine.Target) error {
-				if e.ID == silent && !alive {
+				if e.ID == unresponsive && !alive {
 					return connectionLostError()
 				}
 				return nil
@@ -148,18 +150,18 @@
 				require.Equal(t, completeResponse("a", 3), sink.texts)
 				if alive {
 					require.Equal(t, 1, res.Attempts)
-					require.Equal(t, []string{silent}, engines.replaced)
+					require.Equal(t, []string{unresponsive}, engines.replaced)
 					return
 				}
 				require.Equal(t, 2, res.Attempts)
-				require.NotContains(t, res.Route, silent)
+				require.NotContains(t, res.Route, unresponsive)
 			})
 		})
 	}
 }
 
-// A step that stays silent on every connection, although the replica answers
-// probes, ends the attempt, and the replica is not charged with it later.
+// A step that times out on every connection while its replica responds to probes ends
+// the attempt. The replica must not be left with open calls.
 func TestStepUnansweredAfterResend(t *testing.T) {
 	engines := &fakeEngines{}
 	engines.onStep = func(ctx context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error) {
@@ -177,8 +179,7 @@
 	})
 }
 
-// The caller is told not_run only where every engine that was written to has
-// refused.
+// The client may be told not_run only if every engine that was written to has refused.
 func TestExecutionStatusIsProven(t *testing.T) {
 	steps := func(outcomes ...string) func(context.Context, engine.Target, *wire.StepRequest) (*wire.StepResponse, bool, error) {
 		n := 0
@@ -192,8 +193,8 @@
 				return nil, false, &engine.CallError{Proof: engine.ProofNotSent, Code: engine.CodeConnection, Err: errors.New("refused")}
 			case "lost":
 				return nil, false, connectionLostError()
-			case "garbled":
-				return nil, true, &engine.CallError{Code: engine.CodeProtocol, Err: errors.New("no JSON")}
+			case "malformed":
+				return nil, true, &engine.CallError{Code: engine.CodeProtocol, Err: errors.New("not JSON")}
 			default:
 				return correctResponse(r), true, nil
 			}
@@ -208,7 +209,7 @@
 		{[]string{"unsent", "refused"}, execution.NotRun},
 		{[]string{"lost", "refused"}, execution.Unknown},
 		{[]string{"refused", "lost", "refused"}, execution.Unknown},
-		{[]string{"garbled", "refused"}, execution.Unknown},
+		{[]string{"malformed", "refused"}, execution.Unknown},
 		{[]string{"answered", "refused"}, execution.Ran},
 	}
 	for _, c := range cases {
@@ -224,8 +225,8 @@
 	}
 }
 
-// A request whose deadline passes in the queue is told that it was not run, and
-// no engine has seen it.
+// A request whose deadline passes in the queue must be reported as not run, and no
+// engine may receive it.
 func TestDeadlineInQueue(t *testing.T) {
 	engines := &fakeEngines{slots: limit.New().Limit()}
 	var release chan struct{}
@@ -258,8 +259,8 @@
 	})
 }
 
-// Requests whose replicas all leave end at their deadline, and are told so: no
-// caller left.
+// If all replicas are leaving, requests must fail with the code for the deadline, not
+// with the code for a client that disconnected.
 func TestDeadlineWithoutRoute(t *testing.T) {
 	engines := &fakeEngines{}
 	engines.onStep = func(context.Context, engine.Target, *wire.StepRequest) (*wire.StepResponse, bool, error) {
@@ -280,8 +281,8 @@
 	})
 }
 
-// When the caller leaves, every replica of the route is told to forget the
-// attempt, also those that have already answered.
+// When the client disconnects, the attempt must be cancelled on every replica of the
+// route, including those that have already responded.
 func TestClientLeaving(t *testing.T) {
 	for stage := range 3 {
 		t.Run(fmt.Sprint("stage ", stage), func(t *testing.T) {
@@ -312,15 +313,15 @@
 	}
 }
 
-// A caller that leaves while the last token is handed out frees everything, and
-// the result does not deny that the request ran.
+// When the client disconnects during the last token, all capacity must be freed, and
+// the result must report that the request ran.
 func TestClientLeavingAtLastToken(t *testing.T) {
 	const tokens = 3
 	engines := &fakeEngines{}
 	withRouter(t, engines, fleet(2, 6), func(t *testing.T, r *Router, _ *discardCounter) {
 		sink := &textSink{fail: func(position int) error {
 			if position == tokens-1 {
-				return errors.New("caller left")
+				return errors.New("client disconnected")
 			}
 			return nil
 		}}
@@ -332,11 +333,11 @@
 	})
 }
 
-// faultScript decides the end of each step from a seed and the step's identity, so
-// that it does not depend on the order in which goroutines run.
+// faultScript chooses the outcome of each step from a seed and the step's identity, so
+// that it does not depend on the scheduling of goroutines.
 type faultScript struct {
 	seed uint64
-	// faults is the number of steps in 100 that do not end well.
+	// faults is the percentage of steps that fail.
 	faults int
 }
 
@@ -373,7 +374,7 @@
 	}
 }
 
-// probe answers three probes in four.
+// probe succeeds for three probes in four.
 func (s faultScript) probe(e engine.Target) error {
 	if s.draw("probe", e.ID, time.Now().UnixNano())%4 == 0 {
 		return connectionLostError()
@@ -381,14 +382,14 @@
 	return nil
 }
 
-// randomRequest is one request of a random mix.
+// randomRequest is one randomly generated request and its outcome.
 type randomRequest struct {
 	id       string
 	tokens   int
 	deadline time.Duration
-	// leaveAt is the token at which the sink fails, or -1.
+	// leaveAt is the position of the token at which the sink fails, or -1.
 	leaveAt int
-	// leaveAfter is the time after which the caller leaves, or 0.
+	// leaveAfter is the time after which the client disconnects, or 0.
 	leaveAfter time.Duration
 
 	res  Result
@@ -403,7 +404,7 @@
 			tokens:     rapid.IntRange(1, 6).Draw(rt, "tokens"),
 			deadline:   rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 10 * time.Second, time.Minute}).Draw(rt, "deadline"),
 			leaveAt:    rapid.SampledFrom([]int{-1, -1, -1, 0, 2}).Draw(rt, "leaveAt"),
-			leaveAfter: rapid.SampledFrom([]time.Duration{0, 0, 0, 500 * time.Millisecond, 5 * time.Second}).Draw(rt, "patience"),
+			leaveAfter: rapid.SampledFrom([]time.Duration{0, 0, 0, 500 * time.Millisecond, 5 * time.Second}).Draw(rt, "leaveAfter"),
 		}
 	}
 	return out
@@ -418,27 +419,26 @@
 	}
 	d.sink.fail = func(position int) error {
 		if position == d.leaveAt {
-			return errors.New("caller left")
+			return errors.New("client disconnected")
 		}
 		return nil
 	}
 	d.res = r.Generate(ctx, testRequest(d.id, d.tokens, d.deadline), &d.sink)
 }
 
-// check returns what is wrong with the outcome, or "".
+// check returns a description of what is wrong with the outcome, or "".
 func (d *randomRequest) check(f *fakeEngines) string {
 	whole := completeResponse(d.id, d.tokens)
 	if len(d.sink.texts) > len(whole) || fmt.Sprint(d.sink.texts) != fmt.Sprint(whole[:len(d.sink.texts)]) {
 		return fmt.Sprintf("%s got %q", d.id, d.sink.texts)
 	}
-	// Whether an answer is complete whose last token the caller did not take is
-	// left open.
+	// If the sink fails at the last token, either value of Complete is accepted.
 	leftAtLast := d.leaveAt == d.tokens-1
 	if !leftAtLast && d.res.Complete != (len(d.sink.texts) == len(whole)) {
 		return fmt.Sprintf("%s: complete is %v after %d of %d tokens", d.id, d.res.Complete, len(d.sink.texts), len(whole))
 	}
 	if d.res.Code == CodeCancelled && d.leaveAfter == 0 && d.leaveAt < 0 {
-		return d.id + ": its caller did not leave"
+		return d.id + ": cancelled although its client did not disconnect"
 	}
 	for _, s := range f.stepsOf(d.id) {
 		if s.executed && d.res.Execution == execution.NotRun {
@@ -448,8 +448,9 @@
 	return ""
 }
 
-// Whatever becomes of requests, each ends once, no caller gets a part of another's
-// answer or is told not_run wrongly, and all capacity comes back.
+// With random faults and disconnects, each request must end exactly once, no client
+// may get a part of another's response or a wrong not_run, and all capacity must be
+// freed.
 func TestCapacityReturnsAfterEveryOutcome(t *testing.T) {
 	seen := map[Code]int{}
 	rapid.Check(t, func(rt *rapid.T) {
--- a/node/router/run.go
+++ b/node/router/run.go
@@ -15,22 +15,22 @@
 
 const (
 	cancelTimeout = time.Second
-	// maxFailures bounds the attempts of one request that fail, maxRefusals those
-	// that an upstream refuses.
+	// maxFailures bounds the failed attempts of one request, maxRefusals the attempts
+	// that an upstream refused.
 	maxFailures = 6
 	maxRefusals = 32
 )
 
-// backoff spreads the waits before a new route.
+// backoff spaces the attempts to find a new route.
 var backoff = retry.Backoff{Base: 20 * time.Millisecond, Cap: 500 * time.Millisecond}
 
-// requestRun carries one request from the queue to its outcome.
+// requestRun executes one request from admission to its outcome.
 type requestRun struct {
 	router *Router
 	pool   *pool
 	req    *Request
 	sink   Sink
-	// fingerprint identifies what is asked, whoever asks it.
+	// fingerprint identifies the content of the request regardless of its ID.
 	fingerprint poison.Fingerprint
 	machine     *attempt.Machine
 	stages      []route.Hop // of the current attempt
@@ -39,22 +39,24 @@
 	dispatched bool
 	refusal    *admission.Effect
 	lastToken  time.Time
-	// pendingReleases counts the attempts that replicas still have to forget.
+	// pendingReleases counts the attempts that still have to be cancelled on their
+	// replicas.
 	pendingReleases sync.WaitGroup
-	// currentCall is the step under way, or the last one; broken tells that its
-	// connection broke, expected the estimate of the answer's length.
+	// currentCall is the step in progress, or the last one. connectionBroken is true
+	// if its connection broke. expectedTokens is the estimated length of the response.
 	currentCall      call
 	connectionBroken bool
 	expectedTokens   int
 	// version is the model version of the current attempt.
 	version string
-	// poisoned tells that the request must not run again.
+	// poisoned is true if the request crashed replicas and must not run again.
 	poisoned bool
-	// lastFailure describes the last step that failed.
+	// lastFailure describes the most recent step that failed.
 	lastFailure string
 }
 
-// serve runs the request to its end. The context ends when the caller leaves.
+// serve executes the request until it ends. The context is cancelled when the client
+// disconnects.
 func (x *requestRun) serve(ctx context.Context) Result {
 	ctx, cancel := context.WithDeadline(ctx, x.req.Deadline)
 	defer cancel()
@@ -77,7 +79,8 @@
 	return x.result
 }
 
-// endsRequest tells whether an event makes pending effects void.
+// endsRequest reports whether an event ends the request, so that pending effects that
+// start work are discarded.
 func endsRequest(e attempt.Event) bool {
 	switch e.(type) {
 	case attempt.Cancelled, attempt.Expired, attempt.Unroutable:
@@ -87,8 +90,8 @@
 	}
 }
 
-// startsWork tells whether an effect begins work, which is void once the request
-// ends. Effects that end it are always carried out.
+// startsWork reports whether an effect starts work. Such effects are discarded when
+// the request ends; all others are always performed.
 func startsWork(e attempt.Effect) bool {
 	switch e.(type) {
 	case attempt.Route, attempt.Send, attempt.Probe, attempt.Emit:
@@ -98,7 +101,7 @@
 	}
 }
 
-// perform carries out one effect and returns the event that answers it, or nil.
+// perform performs one effect and returns the resulting event, or nil.
 func (x *requestRun) perform(ctx context.Context, e attempt.Effect) attempt.Event {
 	switch e := e.(type) {
 	case attempt.Route:
@@ -135,8 +138,8 @@
 	return nil
 }
 
-// release lets the replicas forget an attempt in the background; the router
-// waits for it at shutdown.
+// release cancels an attempt on its replicas in the background. Router.Close waits for
+// it.
 func (x *requestRun) release(e attempt.Release) {
 	stages := x.stages
 	x.stages = nil
@@ -149,7 +152,7 @@
 	})
 }
 
-// sleep waits for d and returns false when ctx ends first.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/node/router/service.go
+++ b/node/router/service.go
@@ -15,46 +15,46 @@
 	"masticbank.example/node/service"
 )
 
-// maxServiceAttempts bounds the replicas tried for one idempotent call.
+// maxServiceAttempts bounds the replicas that are tried for one idempotent call.
 const maxServiceAttempts = 3
 
-// ServiceRequest is one call to a plain service.
+// ServiceRequest is one client call to a plain service.
 type ServiceRequest struct {
 	ID        string
 	Workspace string
 	Rank      config.Rank
 	Service   string
 	Method    string
-	// Path is the path and query below the service.
+	// Path is the path and query relative to the service.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Key is the idempotency key, KeyDate when the caller made it, or zero.
+	// Key is the idempotency key, or empty. KeyDate is the time at which the client
+	// created it, or zero.
 	Key     string
 	KeyDate time.Time
-	// FirstUse is true when the caller vouches that it has not sent Key before.
+	// FirstUse is true if the client asserts that it has not sent Key before.
 	FirstUse bool
 	Deadline time.Time
 	Arrived  time.Time
 }
 
-// fingerprint identifies the call, whatever its ID and key.
+// fingerprint identifies the content of the call regardless of its ID and key.
 func (r *ServiceRequest) fingerprint() poison.Fingerprint {
 	return poison.FingerprintOf("service "+r.Service, string(r.Body), r.Method, r.Path, r.Workspace)
 }
 
-// ServiceResult is the outcome of a call to a plain service. Answer is nil
-// unless the service answered.
+// ServiceResult is the outcome of a call to a plain service. Answer is nil if the
+// service did not respond.
 type ServiceResult struct {
 	Result
 	Answer *service.Answer
-	// Replayed is true when the answer was recorded by an earlier call with
-	// the same key.
+	// Replayed is true if the response was recorded by an earlier call with the same
+	// key.
 	Replayed bool
 }
 
-// CallService serves one call. Calls that may not be repeated are sent at most
-// once.
+// CallService serves one call. Non-idempotent calls are sent at most once.
 func (r *Router) CallService(ctx context.Context, req *ServiceRequest) ServiceResult {
 	res := r.callService(ctx, req)
 	res.RequestID = req.ID
@@ -106,7 +106,7 @@
 	}
 }
 
-// callIdempotent tries other replicas until one answers.
+// callIdempotent sends the call to one replica after another until one responds.
 func (r *Router) callIdempotent(ctx context.Context, pool *servicePool, req *ServiceRequest) ServiceResult {
 	exclude := map[string]bool{}
 	res := failedResult(CodeNoUpstream, execution.NotRun, "no replica is available")
@@ -129,8 +129,8 @@
 	return res
 }
 
-// callOnce sends the call to one replica. Another replica is tried only when
-// nothing was written to the first one.
+// callOnce sends the call to one replica. It tries another replica only if nothing was
+// executed by the previous one.
 func (r *Router) callOnce(ctx context.Context, pool *servicePool, req *ServiceRequest) ServiceResult {
 	exclude := map[string]bool{}
 	for {
@@ -142,8 +142,8 @@
 	}
 }
 
-// callReplica sends the call to the best replica and returns its ID, which is
-// empty when there is none.
+// callReplica sends the call to the least loaded replica and returns the replica's ID,
+// or an empty ID if none is available.
 func (r *Router) callReplica(ctx context.Context, pool *servicePool, req *ServiceRequest, exclude map[string]bool, idempotent bool) (ServiceResult, string) {
 	c, ok := pool.beginCall(exclude)
 	if !ok {
@@ -152,28 +152,28 @@
 		return res, ""
 	}
 	defer pool.endCall(c)
-	answer, err := r.sendCall(ctx, pool, c, req.fingerprint(), service.Call{
+	response, err := r.sendCall(ctx, pool, c, req.fingerprint(), service.Call{
 		Method: req.Method, Path: req.Path, Header: req.Header, Body: req.Body, Idempotent: idempotent,
 	})
 	if err != nil {
 		return failureResult(ctx, err), c.id
 	}
-	if isLeavingRefusal(answer) {
+	if isLeavingRefusal(response) {
 		pool.observe(c.replica, health.Leaving{Source: health.FromUpstream})
 		return failedResult(CodeUpstreamFailed, execution.NotRun, "the replica leaves"), c.id
 	}
 	pool.observe(c.replica, health.Progress{Connection: c.number})
 	r.poison.recordCompletion(req.fingerprint())
-	res := ServiceResult{Answer: answer}
+	res := ServiceResult{Answer: response}
 	res.Complete = true
 	res.Execution = execution.Ran
 	res.Attempts = len(exclude) + 1
 	return res, c.id
 }
 
-// sendCall sends a call and tells the pool of silence and of a failed connection. A
-// call that may be repeated ends when the replica is found not to answer; one
-// that may not waits for its answer as long as it can.
+// sendCall sends a call and reports a missing response or a broken connection to the
+// pool. An idempotent call ends as soon as the replica is found unresponsive; any
+// other call waits for its response until the deadline, because it cannot be repeated.
 func (r *Router) sendCall(ctx context.Context, pool *servicePool, c serviceCall, f poison.Fingerprint, call service.Call) (*service.Answer, error) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -181,15 +181,15 @@
 		stop := context.AfterFunc(c.attemptCtx, cancel)
 		defer stop()
 	}
-	silence := time.AfterFunc(c.probeAfter, func() {
+	probeTimer := time.AfterFunc(c.probeAfter, func() {
 		pool.observe(c.replica, health.Silent{Connection: c.number})
 	})
-	defer silence.Stop()
-	answer, err := r.opts.Services.Do(callCtx, c.address, call)
+	defer probeTimer.Stop()
+	response, err := r.opts.Services.Do(callCtx, c.address, call)
 	if err != nil && callCtx.Err() == nil && connectionFailed(err) {
 		pool.recordConnectionLoss(c, f, err)
 	}
-	return answer, err
+	return response, err
 }
 
 func failureResult(ctx context.Context, err error) ServiceResult {
--- a/node/router/servicepool.go
+++ b/node/router/servicepool.go
@@ -16,23 +16,23 @@
 	"masticbank.example/node/wire"
 )
 
-// serviceSlots is the number of calls that one service replica takes at once.
+// serviceSlots is the number of concurrent calls to one service replica.
 const serviceSlots = 32
 
-// serviceOptions is what a service pool shares with its router.
+// serviceOptions holds what a service pool shares with its router.
 type serviceOptions struct {
 	reporter
 	client *service.Client
 	poison *poisonTracker
-	// background runs a function that the router's Close waits for.
+	// background runs a function in a goroutine that Router.Close waits for.
 	background func(func())
-	// onWait is called when a request has to wait.
+	// onWait is called when a request has to wait for a slot.
 	onWait func()
 	seed   uint64
 }
 
-// servicePool holds the replicas and the queue of one plain service. It is
-// safe for concurrent use.
+// servicePool holds the replicas and the queue of one plain service. It is safe for
+// concurrent use.
 type servicePool struct {
 	serviceOptions
 	name  string
@@ -43,7 +43,7 @@
 	replicas map[string]*serviceReplica
 	group    *health.Group
 	random   *rand.Rand
-	calls    uint64 // number of the last call
+	calls    uint64 // number of the most recent call
 }
 
 func newServicePool(name string, cfg config.ServiceConfig, admitter admission.Admitter, o serviceOptions) *servicePool {
@@ -71,7 +71,7 @@
 	return s.cfg
 }
 
-// setInstances puts the platform's list in force.
+// setInstances applies the platform's instance list.
 func (s *servicePool) setInstances(list []wire.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +90,8 @@
 	}
 }
 
-// upsert takes one entry of the list. A replica that moved to another address
-// begins anew.
+// upsert adds or updates the replica of one list entry. A replica that moved to
+// another address is replaced, and its state starts from scratch.
 func (s *servicePool) upsert(in wire.Instance) {
 	rep, ok := s.replicas[in.ID]
 	if ok && rep.instance.Address != in.Address {
@@ -108,7 +108,8 @@
 	s.step(rep, health.Listed{Leaving: in.Leaving})
 }
 
-// listed returns the replicas to ask for load reports.
+// listed returns the replicas that are not leaving. Their load reports have to be
+// read.
 func (s *servicePool) listed() []*serviceReplica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +122,8 @@
 	return out
 }
 
-// markLeaving records a sign that a replica leaves, and tells whether the pool
-// knows it.
+// markLeaving records that a replica is leaving, and reports whether the pool has the
+// replica.
 func (s *servicePool) markLeaving(id string, source health.Source) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +134,7 @@
 	return ok
 }
 
-// tick gives every replica whose time has come its event.
+// tick delivers a health.Tick to every replica whose timer has expired.
 func (s *servicePool) tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,15 +145,16 @@
 	}
 }
 
-// observe feeds one event to a replica's state machine.
+// observe passes an event to the health state machine of a replica.
 func (s *servicePool) observe(rep *serviceReplica, e health.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.step(rep, e)
 }
 
-// recordConnectionLoss takes a call whose connection broke. It is a suspect if the replica turns out not
-// to answer, unless nothing was sent.
+// recordConnectionLoss handles a call whose connection broke. Unless nothing was sent,
+// the request is kept as a possible cause in case the replica turns out to have
+// crashed.
 func (s *servicePool) recordConnectionLoss(c serviceCall, f poison.Fingerprint, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,8 +165,8 @@
 	s.step(c.replica, health.Lost{Connection: c.number})
 }
 
-// step feeds one event to a replica's state machine and carries out its effects.
-// The caller holds s.mu.
+// step passes an event to the health state machine of a replica and performs the
+// resulting effects. The caller must hold s.mu.
 func (s *servicePool) step(rep *serviceReplica, e health.Event) {
 	if !s.reporter.step(rep.instance.ID, rep.health, e, &serviceActions{pool: s, replica: rep}) {
 		return
@@ -178,20 +180,20 @@
 	s.queue.setCapacity(usable * serviceSlots)
 }
 
-// serviceCall is one call on a replica.
+// serviceCall is one call to a replica.
 type serviceCall struct {
 	number  uint64
 	replica *serviceReplica
 	id      string
 	address string
-	// attemptCtx ends when the replica's open attempts are to end.
+	// attemptCtx is cancelled to end all open calls to the replica.
 	attemptCtx context.Context
-	// probeAfter is the time without an answer after which the call is silent.
+	// probeAfter is the time without a response after which the replica is probed.
 	probeAfter time.Duration
 }
 
-// beginCall counts a call on the replica with the fewest calls in flight for its
-// weight, except those in exclude. It returns false when there is none.
+// beginCall starts a call on the replica with the fewest calls in flight relative to
+// its weight, skipping those in exclude. It returns false if there is none.
 func (s *servicePool) beginCall(exclude map[string]bool) (serviceCall, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/router/servicepool_test.go
+++ b/node/router/servicepool_test.go
@@ -14,49 +14,49 @@
 	"masticbank.example/node/wire"
 )
 
-const leavingReport = `{"leaving":true}`
+const leavingLoadReport = `{"leaving":true}`
 
-// TestServiceReplicaLeaves lets replica a leave, one way at a time: it gets no
-// call from then on, and the peers are told when a said so itself.
+// A service replica must get no further calls once it is known to be leaving, whatever
+// the source. The peers are notified only if the replica announced it itself.
 func TestServiceReplicaLeaves(t *testing.T) {
-	ways := []struct {
-		name  string
-		told  bool
-		leave func(t *testing.T, r *Router, a *fakeReplica)
+	signals := []struct {
+		name      string
+		announced bool
+		leave     func(t *testing.T, r *Router, a *fakeReplica)
 	}{
-		{"by the word of a peer", false, func(t *testing.T, r *Router, _ *fakeReplica) {
+		{"reported by a peer", false, func(t *testing.T, r *Router, _ *fakeReplica) {
 			require.True(t, r.MarkLeaving("a"))
 		}},
-		{"by its load report", true, func(_ *testing.T, r *Router, a *fakeReplica) {
-			a.set("", leavingReport)
+		{"announced in its load report", true, func(_ *testing.T, r *Router, a *fakeReplica) {
+			a.set("", leavingLoadReport)
 			r.readLoadOnce()
 		}},
-		{"by refusing a call that may be repeated", true, func(t *testing.T, r *Router, a *fakeReplica) {
+		{"announced by refusing an idempotent call", true, func(t *testing.T, r *Router, a *fakeReplica) {
 			a.set(wire.CodeLeaving, "")
 			require.True(t, callService(t, r, http.MethodGet).Complete)
 			a.set("", "")
 		}},
-		{"by refusing a call that may not be repeated", true, func(t *testing.T, r *Router, a *fakeReplica) {
+		{"announced by refusing a non-idempotent call", true, func(t *testing.T, r *Router, a *fakeReplica) {
 			a.set(wire.CodeLeaving, "")
 			require.True(t, callService(t, r, http.MethodPost).Complete)
 			a.set("", "")
 		}},
 	}
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
+	for _, signal := range signals {
+		t.Run(signal.name, func(t *testing.T) {
 			r, e := newPlainRouter(t)
 			a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
 			r.setInstancesAndWait(a.Instance, b.Instance)
 			callService(t, r, http.MethodGet)
 			require.Equal(t, 1, a.served())
-			way.leave(t, r, a)
-			// The list lags and does not show it.
+			signal.leave(t, r, a)
+			// The list is out of date and does not show that a is leaving.
 			r.setInstancesAndWait(a.Instance, b.Instance)
 			for range 4 {
 				require.True(t, callService(t, r, http.MethodGet).Complete)
 			}
 			require.Equal(t, 1, a.served())
-			require.Equal(t, way.told, len(e.leaving) == 1)
+			require.Equal(t, signal.announced, len(e.leaving) == 1)
 			require.Equal(t, serviceSlots, r.services["s"].queue.totalCapacity())
 		})
 	}
@@ -67,9 +67,8 @@
 	require.False(t, r.MarkLeaving("nobody"))
 }
 
-// TestServiceReplicaIsEjected ends the server of replica a. The first call that
-// meets it goes on to b, and a gets no call until a probe is answered; then its
-// share rises in steps.
+// When the server of replica a is down, the first call to it must move on to b and a
+// must be ejected. After a successful probe, its share of work rises in steps.
 func TestServiceReplicaIsEjected(t *testing.T) {
 	r, e := newPlainRouter(t)
 	a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
@@ -92,11 +91,11 @@
 	require.Equal(t, health.DefaultConfig().SlowStart[0], rep.health.Weight())
 	c, ok := s.beginCall(nil)
 	require.True(t, ok)
-	require.Equal(t, "b", c.id, "3 calls at b weigh less than one at a")
+	require.Equal(t, "b", c.id, "b with 3 calls is less loaded than a with one at its reduced weight")
 }
 
-// TestServiceEjectionIsBounded ends both servers: one stays in use at a low
-// weight, so that calls fail rather than wait.
+// When both servers are down, one replica must stay in use at a low weight, so that
+// calls fail instead of waiting.
 func TestServiceEjectionIsBounded(t *testing.T) {
 	r, e := newPlainRouter(t)
 	a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
@@ -110,8 +109,8 @@
 	require.Equal(t, serviceSlots, r.services["s"].queue.totalCapacity())
 }
 
-// TestServiceReplicaReturnsAtNewAddress lists a leaving replica again at a new
-// address: it begins anew, and what is still heard of the old one is void.
+// A leaving replica that is listed again at a new address must start from scratch, and
+// late messages about the old address must not affect it.
 func TestServiceReplicaReturnsAtNewAddress(t *testing.T) {
 	r, _ := newPlainRouter(t)
 	before, after := newFakeReplica(t, "a"), newFakeReplica(t, "a")
@@ -125,18 +124,18 @@
 	s.endCall(c)
 	require.True(t, callService(t, r, http.MethodPost).Complete)
 	require.Equal(t, 1, after.served())
-	// Moving while in use leaves no member behind in the group.
+	// A move while in use must not leave a stale member in the health group.
 	r.setInstancesAndWait(newFakeReplica(t, "a").Instance)
 	require.Equal(t, 1, s.group.Members())
 }
 
-// TestUnresponsiveServiceReplica ends a call that may be repeated once its replica
-// was found to answer no probe, well before the call's own timeout.
+// An idempotent call must end once its replica has failed a probe, well before the
+// call's own timeout.
 func TestUnresponsiveServiceReplica(t *testing.T) {
 	r, e := newPlainRouter(t)
 	a, b := newFakeReplica(t, "a"), newFakeReplica(t, "b")
 	r.setInstancesAndWait(a.Instance, b.Instance)
-	a.mu.Lock() // holds back every answer
+	a.mu.Lock() // blocks all responses
 	defer a.mu.Unlock()
 	s := r.services["s"]
 	c, ok := s.beginCall(nil)
@@ -156,8 +155,8 @@
 	require.Equal(t, []string{"a"}, e.ejected)
 }
 
-// TestCallThatCrashesServiceReplicasIsStopped sends a call that crashes each replica that
-// runs it, with four replicas.
+// A call that crashes each replica that runs it must be blocked before it has crashed
+// more than three of six replicas.
 func TestCallThatCrashesServiceReplicasIsStopped(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -178,7 +177,7 @@
 			require.LessOrEqual(t, len(crashes), 3)
 			require.Equal(t, CodePoison, last.Code)
 			require.Equal(t, execution.NotRun, last.Execution)
-			require.True(t, callService(t, r, http.MethodGet).Complete, "other calls are served")
+			require.True(t, callService(t, r, http.MethodGet).Complete, "other calls must be served")
 		})
 	}
 }
@@ -191,7 +190,7 @@
 	}
 }
 
-// crashOn ends a replica's server when a call to /crash comes.
+// crashOn returns a handler that closes the replica's server on a call to /crash.
 func crashOn(rep *fakeReplica, crashes chan<- string) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path != "/crash" {
--- a/node/router/servicereplica.go
+++ b/node/router/servicereplica.go
@@ -16,15 +16,16 @@
 	"masticbank.example/node/wire"
 )
 
-// serviceReplica is one replica of a plain service. The pool's lock guards it.
+// serviceReplica is the state of one replica of a plain service. It is guarded by the
+// lock of its pool.
 type serviceReplica struct {
 	instance wire.Instance
 	health   *health.Upstream
 	inFlight int
-	// lostCalls holds the requests whose connection broke and of which it is not known yet
-	// whether the replica answers, by call number.
+	// lostCalls holds, by call number, the requests whose connections broke while it
+	// is undecided whether the replica still responds.
 	lostCalls map[uint64]poison.Fingerprint
-	// attemptCtx ends when the open attempts on the replica are to end.
+	// attemptCtx is cancelled to end all open calls to the replica.
 	attemptCtx     context.Context
 	cancelAttempts context.CancelFunc
 }
@@ -35,14 +36,14 @@
 	return rep
 }
 
-// failAttempts ends every open attempt on the replica.
+// failAttempts cancels all open calls to the replica.
 func (rep *serviceReplica) failAttempts() {
 	rep.cancelAttempts()
 	rep.attemptCtx, rep.cancelAttempts = context.WithCancel(context.Background())
 }
 
-// lessLoadedThan tells whether the next call is for rep rather than for other. Both
-// have a weight above 0.
+// lessLoadedThan reports whether the next call should go to rep rather than to other.
+// Both must have a weight above 0.
 func (rep *serviceReplica) lessLoadedThan(other *serviceReplica) bool {
 	a := float64(rep.inFlight+1) / rep.health.Weight()
 	b := float64(other.inFlight+1) / other.health.Weight()
@@ -58,38 +59,39 @@
 	replica *serviceReplica
 }
 
-// probe counts every answer in HTTP, as plain services need not serve
+// probe counts any HTTP response as success, because plain services need not implement
 // wire.PathProbe.
 func (a *serviceActions) probe(e health.Probe) {
 	address := a.replica.instance.Address
 	a.pool.background(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 		defer cancel()
-		// A call that may not be repeated gets a new connection.
-		answer, err := a.pool.client.Do(ctx, address, getCall(wire.PathProbe, false))
+		// A non-idempotent call always opens a new connection.
+		response, err := a.pool.client.Do(ctx, address, getCall(wire.PathProbe, false))
 		if err != nil {
 			a.pool.observe(a.replica, health.ProbeFailed{Probe: e.Number})
 			return
 		}
-		if isLeavingRefusal(answer) {
+		if isLeavingRefusal(response) {
 			a.pool.observe(a.replica, health.Leaving{Source: health.FromUpstream})
 		}
 		a.pool.observe(a.replica, health.ProbeAnswered{Probe: e.Number})
 	})
 }
 
-// replaceConnection closes the idle connections, of which any may be as silent
-// as the one that was replaced. That one ends with its call.
+// replaceConnection closes all idle connections, because any of them may be as
+// unresponsive as the reported one. That one is closed when its call ends.
 func (a *serviceActions) replaceConnection(number uint64) {
 	delete(a.replica.lostCalls, number)
 	a.pool.client.Close()
 }
 
-// setWeight does nothing: the state machine holds the weight.
+// setWeight does nothing: beginCall reads the weight from the state machine.
 func (a *serviceActions) setWeight(float64) {}
 
-// failAttempts ends the open calls on a replica that does not answer. When connections
-// broke before, it crashed.
+// failAttempts cancels the open calls to an unresponsive replica. If connections to it
+// broke before, it is taken to have crashed, and their requests are recorded as
+// possible causes.
 func (a *serviceActions) failAttempts() {
 	if lost := a.replica.lostCalls; len(lost) > 0 {
 		a.pool.poison.recordCrash(a.replica.instance.ID, slices.Collect(maps.Values(lost)))
@@ -104,18 +106,18 @@
 	}
 }
 
-// readLoad asks a replica for its load report. Replicas that serve none are
-// taken as staying.
+// readLoad reads the load report of a replica to detect that it is leaving. A replica
+// that serves no load report is taken as not leaving.
 func (s *servicePool) readLoad(ctx context.Context, rep *serviceReplica) {
 	s.mu.Lock()
 	address := rep.instance.Address
 	s.mu.Unlock()
-	answer, err := s.client.Do(ctx, address, getCall(wire.PathLoad, true))
-	if err != nil || answer.Status != http.StatusOK {
+	response, err := s.client.Do(ctx, address, getCall(wire.PathLoad, true))
+	if err != nil || response.Status != http.StatusOK {
 		return
 	}
 	var report wire.LoadReport
-	if err := json.Unmarshal(answer.Body, &report); err != nil || !report.Leaving {
+	if err := json.Unmarshal(response.Body, &report); err != nil || !report.Leaving {
 		return
 	}
 	s.observe(rep, health.Leaving{Source: health.FromUpstream})
@@ -125,8 +127,8 @@
 	return service.Call{Method: http.MethodGet, Path: path, Header: http.Header{}, Idempotent: idempotent}
 }
 
-// isLeavingRefusal tells whether a replica refused a call because it leaves; nothing
-// ran then.
+// isLeavingRefusal reports whether the replica refused the call because it is leaving.
+// Such a call was not executed.
 func isLeavingRefusal(a *service.Answer) bool {
 	if a.Status != http.StatusServiceUnavailable {
 		return false
@@ -135,8 +137,8 @@
 	return json.Unmarshal(a.Body, &body) == nil && body.Code == wire.CodeLeaving
 }
 
-// connectionFailed tells whether a call failed by its connection. Calls that a
-// caller made malformed say nothing about the replica.
+// connectionFailed reports whether a call failed because of its connection. Other
+// errors, such as a malformed client request, do not indicate a fault of the replica.
 func connectionFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
--- a/node/router/setup_test.go
+++ b/node/router/setup_test.go
@@ -18,7 +18,7 @@
 	"masticbank.example/node/wire"
 )
 
-// upstreamEvents records what the router tells of upstreams.
+// upstreamEvents records the ejections and departures that the router reports.
 type upstreamEvents struct {
 	mu      sync.Mutex
 	leaving []string
@@ -37,7 +37,7 @@
 	*list = append(*list, id)
 }
 
-// stubEngines answers probes and holds no engine.
+// stubEngines succeeds at probes and implements no other calls to engines.
 type stubEngines struct{ engine.Client }
 
 func (stubEngines) Probe(context.Context, engine.Target) error { return nil }
@@ -54,8 +54,7 @@
 	}
 }
 
-// newPlainRouter returns a router without periodic work, with plainConfig in
-// force.
+// newPlainRouter returns a router without periodic work, configured with plainConfig.
 func newPlainRouter(t *testing.T) (*Router, *upstreamEvents) {
 	t.Helper()
 	e := &upstreamEvents{}
@@ -65,21 +64,22 @@
 	return r, e
 }
 
-// setInstancesAndWait puts instances in force and waits until they were probed.
+// setInstancesAndWait applies the instance list and waits until its upstreams were
+// probed.
 func (r *Router) setInstancesAndWait(instances ...wire.Instance) {
 	r.SetInstances(instances)
 	r.work.Wait()
 }
 
-// fakeReplica is a service fakeReplica in this process.
+// fakeReplica is a service replica that runs in this process.
 type fakeReplica struct {
 	wire.Instance
 	server *httptest.Server
 
 	mu    sync.Mutex
 	calls int
-	// refusal, if set, is the code with which calls are refused, and report the
-	// load report.
+	// refusal, if set, is the error code with which calls are refused. report is the
+	// body of the load report.
 	refusal string
 	report  string
 }
@@ -121,7 +121,8 @@
 	return rep.calls
 }
 
-// callService makes one call to the service and waits for the probes it gave rise to.
+// callService makes one call to the service and waits for the probes that it
+// triggered.
 func callService(t *testing.T, r *Router, method string) ServiceResult {
 	t.Helper()
 	now := time.Now()
--- a/node/router/status.go
+++ b/node/router/status.go
@@ -10,7 +10,7 @@
 	"masticbank.example/core/route"
 )
 
-// topWorkspaces bounds the workspaces listed for one pool.
+// topWorkspaces bounds the workspaces listed for each pool.
 const topWorkspaces = 10
 
 // Kinds of pools.
@@ -32,19 +32,18 @@
 	ID      string
 	Address string
 	Zone    string
-	// Layers is empty for services.
+	// Layers is the layer range, or empty for services.
 	Layers  string
 	Leaving bool
-	// Ejected is true while the upstream gets no work because it does not
-	// answer.
+	// Ejected is true while the upstream gets no work because it is unresponsive.
 	Ejected  bool
 	Slots    int
 	InFlight int
-	// Weight is the share of work the upstream gets, 0 to 1.
+	// Weight is the upstream's share of new work, from 0 to 1.
 	Weight float64
 }
 
-// Status describes every pool, in order of kind and name.
+// Status returns the status of every pool, sorted by kind and name.
 func (r *Router) Status() []PoolStatus {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/node/router/step.go
+++ b/node/router/step.go
@@ -10,7 +10,7 @@
 	"masticbank.example/node/wire"
 )
 
-// send runs one step and translates its end.
+// send runs one step and returns the event that describes its outcome.
 func (x *requestRun) send(ctx context.Context, s attempt.Send) attempt.Event {
 	req := x.stepRequest(s)
 	prefill := 0
@@ -98,7 +98,7 @@
 	}
 }
 
-// probe waits for the verdict on a replica whose step got no answer.
+// probe waits for the result of the probe of a replica whose step got no response.
 func (x *requestRun) probe(ctx context.Context, e attempt.Probe) attempt.Event {
 	alive := x.pool.checkAlive(ctx, x.currentCall, x.connectionBroken)
 	if ctx.Err() != nil {
--- a/node/router/upstream.go
+++ b/node/router/upstream.go
@@ -11,31 +11,33 @@
 	"masticbank.example/node/wire"
 )
 
-// upstream is one engine replica as its pool knows it. The pool's lock guards
-// it.
+// upstream is the state of one engine replica. It is guarded by the lock of its pool.
 type upstream struct {
-	instance wire.Instance
-	health   *health.Upstream
-	pace     health.Pace
-	// limit learns how many sequences the replica takes.
+	instance  wire.Instance
+	health    *health.Upstream
+	stepTimes health.Pace
+	// limit estimates how many sequences the replica can run concurrently.
 	limit *limit.Limiter
-	// appliedLimit is the limit that the route table and the queue know.
+	// appliedLimit is the limit last passed to the route table.
 	appliedLimit int
 	// nextCacheEvent is the sequence number of the next cache event to read.
 	nextCacheEvent uint64
-	// missedReports counts the load reports in a row that did not come.
+	// missedReports counts consecutive missing load reports.
 	missedReports int
-	// retired is true while only open attempts keep the replica known.
+	// retired is true if the replica gets no new work and is kept only until its open
+	// attempts have ended.
 	retired bool
-	// inFlight counts the attempts of this instance on the replica.
+	// inFlight counts the attempts of this instance that use the replica.
 	inFlight int
-	// runningSteps holds the requests whose steps run now, by call number, and lost
-	// those whose connection broke and whose verdict is runningSteps.
+	// runningSteps holds the requests of the steps in progress, by call number.
+	// lostSteps holds those whose connection broke while the result of the probe is
+	// pending.
 	runningSteps map[uint64]poison.Fingerprint
 	lostSteps    map[uint64]poison.Fingerprint
-	// probeWaiters are waited for by steps that made no progress, by call number.
+	// probeWaiters holds the result channels of steps that wait for a probe, by call
+	// number.
 	probeWaiters map[uint64]chan bool
-	// attemptCtx ends when the open attempts on the replica are to end.
+	// attemptCtx is cancelled to end all open attempts on the replica.
 	attemptCtx     context.Context
 	cancelAttempts context.CancelFunc
 }
@@ -53,7 +55,8 @@
 	return u
 }
 
-// renewAttemptContext begins a new period in which attempts may run on the replica.
+// renewAttemptContext creates the context of the next attempts, after the previous one
+// was cancelled.
 func (u *upstream) renewAttemptContext() {
 	u.attemptCtx, u.cancelAttempts = context.WithCancel(context.Background())
 }
@@ -62,8 +65,8 @@
 	return engine.Target{ID: u.instance.ID, Address: u.instance.Address}
 }
 
-// crashCandidates returns the requests that were running when the replica crashed, and
-// forgets those whose connection broke.
+// crashCandidates returns the requests that may have caused a crash of the replica:
+// those that were running and those whose connection broke. It clears the latter.
 func (u *upstream) crashCandidates() []poison.Fingerprint {
 	out := make([]poison.Fingerprint, 0, len(u.runningSteps)+len(u.lostSteps))
 	for _, f := range u.lostSteps {
@@ -76,12 +79,13 @@
 	return out
 }
 
-// usable tells whether the replica gets new work.
+// usable reports whether the replica gets new work.
 func (u *upstream) usable() bool {
 	return !u.retired && u.health.Weight() > 0
 }
 
-// deliverProbeResult tells the step of one call whether the replica answers.
+// deliverProbeResult sends the result of the probe to the step that waits for it under
+// the given call number.
 func (u *upstream) deliverProbeResult(number uint64, alive bool) {
 	if ch, ok := u.probeWaiters[number]; ok {
 		delete(u.probeWaiters, number)
@@ -89,7 +93,7 @@
 	}
 }
 
-// failAttempts ends every open attempt on the replica.
+// failAttempts cancels all open attempts on the replica.
 func (u *upstream) failAttempts() {
 	for number := range u.probeWaiters {
 		u.deliverProbeResult(number, false)
@@ -98,11 +102,11 @@
 	u.renewAttemptContext()
 }
 
-// call is one step under way on a replica.
+// call is one step in progress on a replica.
 type call struct {
 	number  uint64
 	target  engine.Target
 	timeout time.Duration
-	// attemptCtx ends when the replica's open attempts are to end.
+	// attemptCtx is cancelled to end all open attempts on the replica.
 	attemptCtx context.Context
 }
