--- a/node/engine/httpjson/bench_test.go
+++ b/node/engine/httpjson/bench_test.go
@@ -27,15 +27,15 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// canned answers every request on a connection with the same bytes, and counts
-// the bytes in both directions. It reads requests without decoding them.
-type canned struct {
+// cannedServer sends the same response to every request and counts the bytes in both
+// directions. It does not decode request bodies.
+type cannedServer struct {
 	listener net.Listener
-	answer   []byte
+	response []byte
 	bytes    atomic.Int64
 }
 
-func serveCanned(b *testing.B, body any) *canned {
+func startCannedServer(b *testing.B, body any) *cannedServer {
 	data, err := json.Marshal(body)
 	if err != nil {
 		b.Fatal(err)
@@ -45,12 +45,12 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = l.Close() })
-	s := &canned{listener: l, answer: fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(data), data)}
+	s := &cannedServer{listener: l, response: fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(data), data)}
 	go s.accept()
 	return s
 }
 
-func (s *canned) accept() {
+func (s *cannedServer) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
@@ -60,21 +60,21 @@
 	}
 }
 
-// counted counts what it reads.
-type counted struct {
+// countingReader adds the number of bytes read to n.
+type countingReader struct {
 	io.Reader
 	n *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingReader) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
 	c.n.Add(int64(n))
 	return n, err
 }
 
-func (s *canned) serve(c net.Conn) {
+func (s *cannedServer) serve(c net.Conn) {
 	defer c.Close()
-	r := bufio.NewReaderSize(counted{c, &s.bytes}, 64<<10)
+	r := bufio.NewReaderSize(countingReader{c, &s.bytes}, 64<<10)
 	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -83,7 +83,7 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		n, err := c.Write(s.answer)
+		n, err := c.Write(s.response)
 		if err != nil {
 			return
 		}
@@ -91,13 +91,14 @@
 	}
 }
 
-func (s *canned) target() engine.Target {
+func (s *cannedServer) target() engine.Target {
 	return engine.Target{ID: "e", Address: s.listener.Addr().String()}
 }
 
-// measure reports processor time and bytes of one call. Both ends run in this
-// process; the far end neither decodes nor encodes.
-func measure(b *testing.B, s *canned, call func() error) {
+// measureCalls reports the processor time and the bytes on the wire of one call. The
+// processor time includes the server in this process, which neither decodes nor
+// encodes bodies.
+func measureCalls(b *testing.B, s *cannedServer, call func() error) {
 	if err := call(); err != nil {
 		b.Fatal(err)
 	}
@@ -115,17 +116,17 @@
 	b.ReportMetric(float64(s.bytes.Load()-sent)/float64(n), "wire-B/op")
 }
 
-// BenchmarkStep is the cost of one decode step of an inner stage by the size of
-// the hidden state that goes in and comes out.
+// BenchmarkStep measures one decode step of an inner stage by the size of the hidden
+// state, which is both sent and received.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []int{16, 1 << 10, 4 << 10, 16 << 10, 64 << 10} {
 		b.Run(fmt.Sprintf("hidden=%d", size), func(b *testing.B) {
 			hidden := bytes.Repeat([]byte{7}, size)
-			s := serveCanned(b, wire.StepResponse{RequestID: "r", Attempt: 1, Position: 1, Hidden: hidden})
+			s := startCannedServer(b, wire.StepResponse{RequestID: "r", Attempt: 1, Position: 1, Hidden: hidden})
 			c := httpjson.New()
 			defer c.Forget(s.target())
 			req := &wire.StepRequest{RequestID: "r", Attempt: 1, Position: 1, Model: "m", Version: "1", FirstLayer: 10, LastLayer: 19, Hidden: hidden, CoveredTokens: 1, MaxTokens: 100}
-			measure(b, s, func() error {
+			measureCalls(b, s, func() error {
 				_, err := c.Step(context.Background(), s.target(), req)
 				return err
 			})
@@ -133,12 +134,12 @@
 	}
 }
 
-// BenchmarkLoad is the cost of one load report.
+// BenchmarkLoad measures reading one load report.
 func BenchmarkLoad(b *testing.B) {
-	s := serveCanned(b, wire.LoadReport{Running: 3, Waiting: 1, Slots: 16, StepMillis: 21.5, PrefillTokensPerSecond: 8123.4})
+	s := startCannedServer(b, wire.LoadReport{Running: 3, Waiting: 1, Slots: 16, StepMillis: 21.5, PrefillTokensPerSecond: 8123.4})
 	c := httpjson.New()
 	defer c.Forget(s.target())
-	measure(b, s, func() error {
+	measureCalls(b, s, func() error {
 		_, err := c.Load(context.Background(), s.target())
 		return err
 	})
--- a/node/engine/httpjson/client.go
+++ b/node/engine/httpjson/client.go
@@ -1,5 +1,5 @@
-// Package httpjson calls model engines that speak the JSON messages of package
-// wire over HTTP/1.1.
+// Package httpjson implements engine.Client for model engines that speak the JSON
+// messages of package wire over HTTP/1.1.
 package httpjson
 
 import (
@@ -23,10 +23,10 @@
 const (
 	dialTimeout = 500 * time.Millisecond
 	idleTimeout = 90 * time.Second
-	// idlePerEngine bounds the idle connections kept to one engine.
+	// idlePerEngine bounds the idle connections kept open to one engine.
 	idlePerEngine = 64
-	// maxAnswerBytes bounds one answer.
-	maxAnswerBytes = 16 << 20
+	// maxResponseBytes bounds the size of one response body.
+	maxResponseBytes = 16 << 20
 )
 
 // Client implements engine.Client.
@@ -37,7 +37,7 @@
 
 var _ engine.Client = (*Client)(nil)
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New() *Client {
 	return &Client{transports: map[string]*http.Transport{}}
 }
@@ -61,9 +61,9 @@
 
 // Probe implements engine.Client.
 func (c *Client) Probe(ctx context.Context, t engine.Target) error {
-	fresh := &http.Transport{DialContext: dial, DisableKeepAlives: true, MaxResponseHeaderBytes: bounded.HeadBytes}
-	defer fresh.CloseIdleConnections()
-	return c.call(ctx, fresh, http.MethodGet, t, wire.PathProbe, nil, nil)
+	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true, MaxResponseHeaderBytes: bounded.HeadBytes}
+	defer transport.CloseIdleConnections()
+	return c.call(ctx, transport, http.MethodGet, t, wire.PathProbe, nil, nil)
 }
 
 // CacheEvents implements engine.Client.
@@ -124,8 +124,8 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// call sends one request and decodes its answer. The body is not replayable,
-// so that the transport never sends a call twice on its own.
+// call sends one request and decodes its response. Requests with a body are not
+// replayable, so the transport never sends one twice by itself.
 func (c *Client) call(ctx context.Context, tr *http.Transport, method string, t engine.Target, path string, in, out any) error {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -137,14 +137,14 @@
 	}
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
-		return failure(ctx, err, connected.Load())
+		return newCallError(ctx, err, connected.Load())
 	}
 	defer resp.Body.Close()
-	data, err := bounded.ReadAll(resp.Body, maxAnswerBytes)
+	data, err := bounded.ReadAll(resp.Body, maxResponseBytes)
 	if err != nil {
-		return failure(ctx, err, true)
+		return newCallError(ctx, err, true)
 	}
-	return decode(resp.StatusCode, data, out)
+	return decodeResponse(resp.StatusCode, data, out)
 }
 
 func newRequest(ctx context.Context, method, url string, in any) (*http.Request, error) {
@@ -164,7 +164,7 @@
 	return req, nil
 }
 
-func failure(ctx context.Context, err error, connected bool) error {
+func newCallError(ctx context.Context, err error, connected bool) error {
 	ce := &engine.CallError{Proof: engine.ProofNone, Code: engine.CodeConnection, Err: err}
 	if !connected {
 		ce.Proof = engine.ProofNotSent
@@ -178,8 +178,9 @@
 	return ce
 }
 
-// refusals are the codes by which an engine states that nothing ran.
-var refusals = map[string]bool{
+// refusalCodes holds the error codes with which an engine states that it did not
+// execute the call.
+var refusalCodes = map[string]bool{
 	wire.CodeLeaving:        true,
 	wire.CodeOverloaded:     true,
 	wire.CodeWrongRange:     true,
@@ -188,7 +189,7 @@
 	wire.CodeMalformed:      true,
 }
 
-func decode(status int, data []byte, out any) error {
+func decodeResponse(status int, data []byte, out any) error {
 	if status < http.StatusBadRequest {
 		if out == nil {
 			return nil
@@ -203,7 +204,7 @@
 		return &engine.CallError{Code: engine.CodeProtocol, Err: fmt.Errorf("status %d: %w", status, err)}
 	}
 	ce := &engine.CallError{Code: body.Code, Err: errors.New(body.Message)}
-	if refusals[body.Code] {
+	if refusalCodes[body.Code] {
 		ce.Proof = engine.ProofRefused
 	}
 	return ce
