--- a/node/service/endless_test.go
+++ b/node/service/endless_test.go
@@ -12,12 +12,13 @@
 	"masticbank.example/node/service"
 )
 
-// TestAnswersWithoutEndAreErrors has no deadline: only a bound ends the call.
-func TestAnswersWithoutEndAreErrors(t *testing.T) {
+// An endless response header or body must end the call with an error. The call has no
+// deadline, so that only the size limit can end it.
+func TestEndlessResponsesAreErrors(t *testing.T) {
 	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
-		for name, answer := range kind {
+		for name, response := range kind {
 			t.Run(name, func(t *testing.T) {
-				s := boundedtest.Start(t, answer)
+				s := boundedtest.Start(t, response)
 				c := service.New()
 				defer c.Close()
 				_, err := c.Do(context.Background(), s.Address(), service.Call{Method: "GET", Path: "/", Header: http.Header{}, Idempotent: true})
--- a/node/service/service.go
+++ b/node/service/service.go
@@ -1,5 +1,5 @@
-// Package service calls plain services beside the model engines. A call that
-// may not be repeated is sent at most once.
+// Package service is an HTTP client for plain services, which run beside the model
+// engines. It sends non-idempotent calls at most once.
 package service
 
 import (
@@ -16,33 +16,33 @@
 )
 
 const (
-	dialTimeout    = 500 * time.Millisecond
-	idleTimeout    = 90 * time.Second
-	idlePerHost    = 64
-	maxAnswerBytes = 16 << 20
+	dialTimeout      = 500 * time.Millisecond
+	idleTimeout      = 90 * time.Second
+	idlePerHost      = 64
+	maxResponseBytes = 16 << 20
 )
 
 // Call is one request to a service.
 type Call struct {
 	Method string
-	// Path is the path and query that the service sees.
+	// Path is the path and query sent to the service.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Idempotent is true when the call may be repeated.
+	// Idempotent is true if the call may be sent more than once.
 	Idempotent bool
 }
 
-// Answer is the service's answer.
+// Answer is the response of a service.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Error is a call without an answer.
+// Error describes a call that got no complete response.
 type Error struct {
-	// Execution is NotRun only when nothing was written to the service.
+	// Execution is NotRun only if nothing was written to the service.
 	Execution execution.Status
 	Err       error
 }
@@ -53,15 +53,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Client calls services by HTTP/1.1. It is safe for concurrent use.
+// Client calls services over HTTP/1.1. It is safe for concurrent use.
 type Client struct {
 	pooled *http.Transport
-	// single opens a connection for each call: a transport resends a call by
-	// itself only on a connection that was used before.
-	single *http.Transport
+	// unpooled opens a new connection for each call. A transport resends a request by
+	// itself only on a reused connection.
+	unpooled *http.Transport
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New() *Client {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
@@ -72,7 +72,7 @@
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: bounded.HeadBytes,
 		},
-		single: &http.Transport{
+		unpooled: &http.Transport{
 			DialContext:            d.DialContext,
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
@@ -81,8 +81,7 @@
 	}
 }
 
-// Do sends the call to the service at address (host:port). The error is an
-// *Error.
+// Do sends the call to the service at address (host:port). Errors are of type *Error.
 func (c *Client) Do(ctx context.Context, address string, call Call) (*Answer, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -95,29 +94,29 @@
 	req.Header = call.Header.Clone()
 	tr := c.pooled
 	if !call.Idempotent {
-		tr = c.single
+		tr = c.unpooled
 		// Without GetBody the transport cannot send the body again.
 		req.GetBody = nil
 	}
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
-		return nil, callError(err, connected.Load())
+		return nil, newError(err, connected.Load())
 	}
 	defer resp.Body.Close()
-	body, err := bounded.ReadAll(resp.Body, maxAnswerBytes)
+	body, err := bounded.ReadAll(resp.Body, maxResponseBytes)
 	if err != nil {
-		return nil, callError(err, true)
+		return nil, newError(err, true)
 	}
 	return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-func callError(err error, connected bool) error {
+func newError(err error, connected bool) error {
 	status := execution.NotRun
 	if connected {
 		status = execution.Unknown
--- a/node/service/service_test.go
+++ b/node/service/service_test.go
@@ -14,9 +14,10 @@
 	"masticbank.example/core/execution"
 )
 
-// closingServer answers the first request of each connection and closes the
-// connection on the second one without an answer. It counts requests.
-func closingServer(t *testing.T, answerFirst bool) (string, *atomic.Int64) {
+// closingServer starts a server that closes each connection on its second request
+// without a response. With respondFirst false, it does so on the first request. It
+// returns its address and a count of the requests.
+func closingServer(t *testing.T, respondFirst bool) (string, *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,16 +29,16 @@
 			if err != nil {
 				return
 			}
-			go serveClosing(conn, answerFirst, &count)
+			go serveClosingConn(conn, respondFirst, &count)
 		}
 	}()
 	return ln.Addr().String(), &count
 }
 
-func serveClosing(conn net.Conn, answerFirst bool, count *atomic.Int64) {
+func serveClosingConn(conn net.Conn, respondFirst bool, count *atomic.Int64) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	for first := answerFirst; ; first = false {
+	for first := respondFirst; ; first = false {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestNonIdempotentCallIsSentOnce guards against the transport's own resending:
-// it treats a POST with an Idempotency-Key as repeatable.
+// The transport treats a POST with an Idempotency-Key as replayable and sends it again
+// when the connection is closed. The client must prevent this.
 func TestNonIdempotentCallIsSentOnce(t *testing.T) {
 	for _, body := range [][]byte{nil, []byte("{}")} {
 		address, count := closingServer(t, false)
@@ -67,8 +68,9 @@
 	}
 }
 
-// TestNonIdempotentCallAfterIdleConnection repeats it on a server that keeps
-// the first connection open and closes it on its second request.
+// The transport resends a request when a reused idle connection turns out to be
+// closed. A non-idempotent call must not use one: here the server closes a connection
+// on its second request.
 func TestNonIdempotentCallAfterIdleConnection(t *testing.T) {
 	address, count := closingServer(t, true)
 	c := New()
@@ -81,7 +83,7 @@
 	require.EqualValues(t, 2, count.Load())
 }
 
-func TestNothingWrittenIsNotRun(t *testing.T) {
+func TestRefusedConnectionIsNotRun(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, ln.Close())
