--- a/node/router/attempts.go
+++ b/node/router/attempts.go
@@ -79,16 +79,17 @@
 	}
 }
 
-// excludedReplicas returns the replicas that the next attempt must not use: those that
-// failed, and those that a request that may have caused a crash has to avoid.
+// excludedReplicas returns the replicas that the next attempt should avoid: those that
+// failed and, if the request may have caused a crash, those that crashed or that run
+// other possible causes of the same crash.
 func (x *requestRun) excludedReplicas(failed []string) []string {
 	return append(slices.Clone(failed), x.router.poison.replicasToAvoid(x.fingerprint)...)
 }
 
 func replicaIDs(stages []route.Hop) []string {
 	out := make([]string, 0, len(stages))
-	for _, h := range stages {
-		out = append(out, h.ReplicaID)
+	for _, stage := range stages {
+		out = append(out, stage.ReplicaID)
 	}
 	return out
 }
@@ -99,8 +100,8 @@
 	x.result.Expected = c.Expected
 	x.result.Route = replicaIDs(c.Hops)
 	stages := make([]attempt.Hop, 0, len(c.Hops))
-	for _, h := range c.Hops {
-		stages = append(stages, attempt.Hop{ReplicaID: h.ReplicaID, FirstLayer: h.First, LastLayer: h.Last})
+	for _, stage := range c.Hops {
+		stages = append(stages, attempt.Hop{ReplicaID: stage.ReplicaID, FirstLayer: stage.First, LastLayer: stage.Last})
 	}
 	return attempt.Routed{Hops: stages}
 }
--- a/node/router/fake_test.go
+++ b/node/router/fake_test.go
@@ -224,12 +224,13 @@
 
 func workspaceName(i int) string { return fmt.Sprintf("workspace-%d", i) }
 
-// fleet returns a list of replicas, with the model split into stages of equal length.
+// fleet returns a list of replicas that hold one stage each. The model is split into
+// stages of equal length.
 func fleet(stages, replicas int) []wire.Instance {
-	per := testLayers / stages
+	layersPerStage := testLayers / stages
 	out := make([]wire.Instance, 0, replicas)
 	for i := range replicas {
-		first := i % stages * per
+		first := i % stages * layersPerStage
 		out = append(out, wire.Instance{
 			ID:          fmt.Sprintf("replica-%d", i),
 			Role:        wire.RoleEngine,
@@ -238,7 +239,7 @@
 			Model:       testModel,
 			Version:     "1",
 			FirstLayer:  first,
-			LastLayer:   first + per - 1,
+			LastLayer:   first + layersPerStage - 1,
 			Accelerator: fmt.Sprintf("kind-%d", i%6),
 		})
 	}
--- a/node/router/load.go
+++ b/node/router/load.go
@@ -11,7 +11,7 @@
 // readLoadOnce reads the load reports of all replicas.
 func (r *Router) readLoadOnce() {
 	tasks := r.engineTasks(r.readLoadOf)
-	for _, s := range r.allServices() {
+	for _, s := range r.allServicePools() {
 		for _, rep := range s.listed() {
 			tasks = append(tasks, func() {
 				ctx, cancel := context.WithTimeout(r.ctx, loadTimeout)
--- a/node/router/poison.go
+++ b/node/router/poison.go
@@ -43,10 +43,10 @@
 }
 
 // recordCrash records that a replica crashed while it ran steps of the given requests.
-func (p *poisonTracker) recordCrash(replica string, suspects []poison.Fingerprint) {
+func (p *poisonTracker) recordCrash(replica string, candidates []poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Crash(time.Now(), replica, suspects...)
+	p.tracker.Crash(time.Now(), replica, candidates...)
 }
 
 // stopAfterCrash records that a step of a request was lost in the crash of a replica.
--- a/node/router/pool.go
+++ b/node/router/pool.go
@@ -198,9 +198,9 @@
 	if d.Outcome != route.Chosen {
 		return d
 	}
-	for _, h := range d.Chain.Hops {
-		p.table.Begin(h.ReplicaID, req.PromptTokens)
-		if u, ok := p.upstreams[h.ReplicaID]; ok {
+	for _, stage := range d.Chain.Hops {
+		p.table.Begin(stage.ReplicaID, req.PromptTokens)
+		if u, ok := p.upstreams[stage.ReplicaID]; ok {
 			u.inFlight++
 		}
 	}
@@ -225,10 +225,10 @@
 // release cancels an attempt on its replicas and then frees its slots there.
 func (p *pool) release(requestID string, attemptNumber int, stages []route.Hop, tokens int) {
 	var wg sync.WaitGroup
-	for _, h := range stages {
+	for _, stage := range stages {
 		wg.Go(func() {
-			p.cancelAttempt(requestID, attemptNumber, h.ReplicaID)
-			p.endAttempt(h.ReplicaID, tokens)
+			p.cancelAttempt(requestID, attemptNumber, stage.ReplicaID)
+			p.endAttempt(stage.ReplicaID, tokens)
 		})
 	}
 	wg.Wait()
--- a/node/router/reportedstate.go
+++ b/node/router/reportedstate.go
@@ -26,15 +26,15 @@
 // withReportedState returns in with the state that the engine reported, until its list
 // entry changes.
 func (p *pool) withReportedState(in wire.Instance) wire.Instance {
-	h, ok := p.reportedStates[in.ID]
+	reported, ok := p.reportedStates[in.ID]
 	if !ok {
 		return in
 	}
-	if h.listed != in {
+	if reported.listed != in {
 		delete(p.reportedStates, in.ID)
 		return in
 	}
-	in.Model, in.Version, in.FirstLayer, in.LastLayer = h.model, h.version, h.firstLayer, h.lastLayer
+	in.Model, in.Version, in.FirstLayer, in.LastLayer = reported.model, reported.version, reported.firstLayer, reported.lastLayer
 	return in
 }
 
@@ -61,20 +61,20 @@
 		if in.ID != id {
 			continue
 		}
-		h := reportedState{listed: in, model: s.Model, version: s.Version, firstLayer: s.FirstLayer, lastLayer: s.LastLayer}
-		if p.reportedStates[id] == h || matchesList(h) {
+		reported := reportedState{listed: in, model: s.Model, version: s.Version, firstLayer: s.FirstLayer, lastLayer: s.LastLayer}
+		if p.reportedStates[id] == reported || matchesList(reported) {
 			continue
 		}
-		p.reportedStates[id] = h
+		p.reportedStates[id] = reported
 		p.log.Info("engine state differs from the instance list", zap.String("upstream", id), zap.String("version", s.Version),
 			zap.Int("first", s.FirstLayer), zap.Int("last", s.LastLayer))
 		p.applyList()
 	}
 }
 
-func matchesList(h reportedState) bool {
-	in := h.listed
-	return h.model == in.Model && h.version == in.Version && h.firstLayer == in.FirstLayer && h.lastLayer == in.LastLayer
+func matchesList(reported reportedState) bool {
+	in := reported.listed
+	return reported.model == in.Model && reported.version == in.Version && reported.firstLayer == in.FirstLayer && reported.lastLayer == in.LastLayer
 }
 
 // readOtherVersions reads the states of the engines that are listed with a version
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -240,7 +240,7 @@
 	for _, p := range r.allPools() {
 		known = p.markLeaving(upstream, health.FromPeer) || known
 	}
-	for _, s := range r.allServices() {
+	for _, s := range r.allServicePools() {
 		known = s.markLeaving(upstream, health.FromPeer) || known
 	}
 	return known
@@ -305,7 +305,7 @@
 	return out
 }
 
-func (r *Router) allServices() []*servicePool {
+func (r *Router) allServicePools() []*servicePool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	out := make([]*servicePool, 0, len(r.services))
@@ -356,7 +356,7 @@
 	for _, p := range r.allPools() {
 		p.tick(now)
 	}
-	for _, s := range r.allServices() {
+	for _, s := range r.allServicePools() {
 		s.tick(now)
 	}
 }
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -26,9 +26,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// withRouter runs f with a router whose replicas have responded to their first probe
-// and whose queue knows their capacity, which the next tick computes. f runs in a
-// synctest bubble with its fake clock. When f returns, no capacity may be left in use.
+// withRouter runs f with a router whose replicas have responded to their first probe,
+// after the tick that computes the capacity of its queue. f runs in a synctest bubble
+// with its fake clock. When f returns, no capacity may be left in use.
 func withRouter(t *testing.T, engines *fakeEngines, list []wire.Instance, f func(t *testing.T, r *Router, m *discardCounter)) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &discardCounter{}
@@ -84,7 +84,7 @@
 // Responses to another request, attempt or position, and responses without the output
 // of their stage, must be discarded; the client gets its own response complete and in
 // order.
-func TestMismatchedResponsesAreDropped(t *testing.T) {
+func TestMismatchedResponsesAreDiscarded(t *testing.T) {
 	cases := map[string]struct {
 		kind  attempt.DropKind
 		alter func(*wire.StepResponse)
@@ -428,14 +428,14 @@
 
 // check returns a description of what is wrong with the outcome, or "".
 func (d *randomRequest) check(f *fakeEngines) string {
-	whole := completeResponse(d.id, d.tokens)
-	if len(d.sink.texts) > len(whole) || fmt.Sprint(d.sink.texts) != fmt.Sprint(whole[:len(d.sink.texts)]) {
+	want := completeResponse(d.id, d.tokens)
+	if len(d.sink.texts) > len(want) || fmt.Sprint(d.sink.texts) != fmt.Sprint(want[:len(d.sink.texts)]) {
 		return fmt.Sprintf("%s got %q", d.id, d.sink.texts)
 	}
 	// If the sink fails at the last token, either value of Complete is accepted.
 	leftAtLast := d.leaveAt == d.tokens-1
-	if !leftAtLast && d.res.Complete != (len(d.sink.texts) == len(whole)) {
-		return fmt.Sprintf("%s: complete is %v after %d of %d tokens", d.id, d.res.Complete, len(d.sink.texts), len(whole))
+	if !leftAtLast && d.res.Complete != (len(d.sink.texts) == len(want)) {
+		return fmt.Sprintf("%s: complete is %v after %d of %d tokens", d.id, d.res.Complete, len(d.sink.texts), len(want))
 	}
 	if d.res.Code == CodeCancelled && d.leaveAfter == 0 && d.leaveAt < 0 {
 		return d.id + ": cancelled although its client did not disconnect"
