--- a/node/router/cache.go
+++ b/node/router/cache.go
@@ -8,10 +8,10 @@
 	"masticbank.example/node/wire"
 )
 
-// readCacheOnce asks every engine what its prefix cache stored and evicted since
-// the last time.
+// readCacheOnce reads from every engine which prefix blocks its cache stored or
+// evicted since the last call.
 func (r *Router) readCacheOnce() {
-	inParallel(r.engineTasks(r.readCacheOf))
+	runParallel(r.engineTasks(r.readCacheOf))
 }
 
 func (r *Router) readCacheOf(p *pool, t engine.Target) {
@@ -35,15 +35,15 @@
 	if !ok || !u.usable() {
 		return 0, false
 	}
-	return u.cacheNext, true
+	return u.nextCacheEvent, true
 }
 
-// applyCacheEvents takes events, which may be late and may skip numbers: what the
-// table makes of them is a hint.
+// applyCacheEvents applies cache events to the route table. Events may be late or
+// missing, so the table uses them only as hints.
 func (p *pool) applyCacheEvents(t engine.Target, events *wire.CacheEvents) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(t)
+	u, ok := p.lookup(t)
 	if !ok {
 		return
 	}
@@ -51,5 +51,5 @@
 	for _, e := range events.Events {
 		p.table.CacheEvent(now, t.ID, e.Block, e.Evicted)
 	}
-	u.cacheNext = max(u.cacheNext, events.Next)
+	u.nextCacheEvent = max(u.nextCacheEvent, events.Next)
 }
--- a/node/router/fake_test.go
+++ b/node/router/fake_test.go
@@ -19,49 +19,50 @@
 const (
 	testModel  = "m"
 	testLayers = 12
-	// testSlots is what each fake engine reports.
+	// testSlots is the number of slots that each fake engine reports by default.
 	testSlots = 8
 )
 
-// sent is one step that reached the fake engines.
-type sent struct {
+// sentStep is one step that a fake engine received.
+type sentStep struct {
 	replica  string
 	request  string
 	attempt  int
 	position int
 	resend   bool
-	// executed is true when the engine ran its layers.
+	// executed is true if the engine ran its layers.
 	executed bool
 }
 
-// cancelled is one attempt that the router told a replica to forget.
-type cancelled struct {
+// cancelledAttempt is one attempt that the router cancelled on a replica.
+type cancelledAttempt struct {
 	replica string
 	request string
 	attempt int
 }
 
-// fakeEngines implements engine.Client for a whole fleet. It is safe for
+// fakeEngines implements engine.Client for any number of engines. It is safe for
 // concurrent use.
 type fakeEngines struct {
-	// behave answers a step in place of honest, when it is set. It tells whether
-	// the step was executed.
-	behave func(ctx context.Context, t engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error)
-	// probe answers probes; nil lets every engine answer.
+	// onStep, if set, responds to steps instead of correctResponse. Its second result
+	// reports whether the step was executed.
+	onStep func(ctx context.Context, t engine.Target, r *wire.StepRequest) (*wire.StepResponse, bool, error)
+	// probe responds to probes; if it is nil, every probe succeeds.
 	probe func(t engine.Target) error
-	// slots is reported by every engine; 0 means testSlots.
+	// slots is the number of slots that every engine reports; 0 means testSlots.
 	slots int
-	// quiet leaves out the record of steps and cancellations.
-	quiet bool
+	// unrecorded turns off the record of steps and cancellations.
+	unrecorded bool
 
 	mu        sync.Mutex
-	steps     []sent
-	cancelled []cancelled
+	steps     []sentStep
+	cancelled []cancelledAttempt
 	replaced  []string
 }
 
-// honest answers a step as an engine does that holds the range asked for.
-func honest(r *wire.StepRequest) *wire.StepResponse {
+// correctResponse returns the response of an engine that holds the requested layer
+// range.
+func correctResponse(r *wire.StepRequest) *wire.StepResponse {
 	resp := &wire.StepResponse{RequestID: r.RequestID, Attempt: r.Attempt, Position: r.Position}
 	if r.LastLayer < testLayers-1 {
 		resp.Hidden = []byte{1}
@@ -71,23 +72,23 @@
 	return resp
 }
 
-// tokenText is the text that the fake model generates.
+// tokenText returns the text that the fake model generates at a position.
 func tokenText(request string, position int) string {
 	return fmt.Sprintf("%s/%d ", request, position)
 }
 
 // Step implements engine.Client.
 func (f *fakeEngines) Step(ctx context.Context, t engine.Target, r *wire.StepRequest) (*wire.StepResponse, error) {
-	if f.quiet {
-		return honest(r), nil
+	if f.unrecorded {
+		return correctResponse(r), nil
 	}
-	resp, executed, err := honest(r), true, error(nil)
-	if f.behave != nil {
-		resp, executed, err = f.behave(ctx, t, r)
+	resp, executed, err := correctResponse(r), true, error(nil)
+	if f.onStep != nil {
+		resp, executed, err = f.onStep(ctx, t, r)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.steps = append(f.steps, sent{
+	f.steps = append(f.steps, sentStep{
 		replica: t.ID, request: r.RequestID, attempt: r.Attempt, position: r.Position, resend: r.Resend, executed: executed,
 	})
 	return resp, err
@@ -95,12 +96,12 @@
 
 // Cancel implements engine.Client.
 func (f *fakeEngines) Cancel(_ context.Context, t engine.Target, r *wire.CancelRequest) error {
-	if f.quiet {
+	if f.unrecorded {
 		return nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cancelled = append(f.cancelled, cancelled{replica: t.ID, request: r.RequestID, attempt: r.Attempt})
+	f.cancelled = append(f.cancelled, cancelledAttempt{replica: t.ID, request: r.RequestID, attempt: r.Attempt})
 	return nil
 }
 
@@ -146,11 +147,11 @@
 // Forget implements engine.Client.
 func (f *fakeEngines) Forget(engine.Target) {}
 
-// stepsOf returns the steps that reached engines for one request.
-func (f *fakeEngines) stepsOf(request string) []sent {
+// stepsOf returns the steps of one request that engines received.
+func (f *fakeEngines) stepsOf(request string) []sentStep {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []sent
+	var out []sentStep
 	for _, s := range f.steps {
 		if s.request == request {
 			out = append(out, s)
@@ -159,18 +160,20 @@
 	return out
 }
 
-// refuse is the error of an engine that states that nothing ran.
-func refuse(code string) error {
+// refusalError returns the error of an engine that states that it executed nothing.
+func refusalError(code string) error {
 	return &engine.CallError{Proof: engine.ProofRefused, Code: code, Err: errors.New("refused")}
 }
 
-// lost is the error of a connection that ended after it was written to.
-func lost() error {
+// connectionLostError returns the error of a connection that broke after it was
+// written to.
+func connectionLostError() error {
 	return &engine.CallError{Code: engine.CodeConnection, Err: errors.New("reset")}
 }
 
-// silence blocks until the step is given up.
-func silence(ctx context.Context) error {
+// blockUntilDone blocks until the step is cancelled or times out, and returns the
+// resulting error.
+func blockUntilDone(ctx context.Context) error {
 	<-ctx.Done()
 	code := engine.CodeCancelled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -179,26 +182,26 @@
 	return &engine.CallError{Code: code, Err: ctx.Err()}
 }
 
-// noMetrics implements Metrics and counts the answers that were not used.
-type noMetrics struct {
-	mu      sync.Mutex
-	dropped map[attempt.DropKind]int
+// discardCounter implements Metrics and counts the discarded responses.
+type discardCounter struct {
+	mu        sync.Mutex
+	discarded map[attempt.DropKind]int
 }
 
-func (m *noMetrics) Dropped(k attempt.DropKind) {
+func (m *discardCounter) Dropped(k attempt.DropKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dropped == nil {
-		m.dropped = map[attempt.DropKind]int{}
+	if m.discarded == nil {
+		m.discarded = map[attempt.DropKind]int{}
 	}
-	m.dropped[k]++
+	m.discarded[k]++
 }
 
-func (*noMetrics) TokenGap(string, config.Rank, time.Duration) {}
-func (*noMetrics) Finished(*Result)                            {}
-func (*noMetrics) ConnectionReplaced(string)                   {}
-func (*noMetrics) Ejected(string)                              {}
-func (*noMetrics) Leaving(string)                              {}
+func (*discardCounter) TokenGap(string, config.Rank, time.Duration) {}
+func (*discardCounter) Finished(*Result)                            {}
+func (*discardCounter) ConnectionReplaced(string)                   {}
+func (*discardCounter) Ejected(string)                              {}
+func (*discardCounter) Leaving(string)                              {}
 
 // testConfig returns a configuration with the given number of workspaces.
 func testConfig(workspaces int) *config.Config {
@@ -221,12 +224,13 @@
 
 func workspaceName(i int) string { return fmt.Sprintf("workspace-%d", i) }
 
-// fleet lists replicas of the model cut into stages of equal length.
+// fleet returns a list of replicas that hold one stage each. The model is split into
+// stages of equal length.
 func fleet(stages, replicas int) []wire.Instance {
-	per := testLayers / stages
+	layersPerStage := testLayers / stages
 	out := make([]wire.Instance, 0, replicas)
 	for i := range replicas {
-		first := i % stages * per
+		first := i % stages * layersPerStage
 		out = append(out, wire.Instance{
 			ID:          fmt.Sprintf("replica-%d", i),
 			Role:        wire.RoleEngine,
@@ -235,14 +239,14 @@
 			Model:       testModel,
 			Version:     "1",
 			FirstLayer:  first,
-			LastLayer:   first + per - 1,
+			LastLayer:   first + layersPerStage - 1,
 			Accelerator: fmt.Sprintf("kind-%d", i%6),
 		})
 	}
 	return out
 }
 
-// newTestRouter returns a router in front of the fake engines.
+// newTestRouter returns a running router that calls the fake engines.
 func newTestRouter(f *fakeEngines, m Metrics, list []wire.Instance, workspaces int) *Router {
 	r := New(Options{Engines: f, Metrics: m, Logger: zap.NewNop(), RoutePolicy: route.PolicyCost, Seed: 1})
 	r.Configure(testConfig(workspaces))
@@ -250,10 +254,10 @@
 	return r
 }
 
-// textSink keeps the tokens in the order in which they came.
+// textSink collects the tokens in the order of their arrival.
 type textSink struct {
 	texts []string
-	// fail, when it is set, is asked before each token.
+	// fail, if set, is called before each token; an error ends the request.
 	fail func(position int) error
 }
 
--- a/node/router/outcome.go
+++ b/node/router/outcome.go
@@ -9,13 +9,14 @@
 	"masticbank.example/node/engine"
 )
 
-// finish records the outcome. Admission is told when the replicas are free.
-func (x *run) finish(o attempt.Outcome) {
+// finish records the outcome of the request. Its slot is freed once its replicas have
+// been released.
+func (x *requestRun) finish(o attempt.Outcome) {
 	x.result.Complete = o.Complete
 	x.result.Execution = o.Execution
 	x.result.Attempts = o.Attempts
 	if !o.Complete {
-		x.explain(o)
+		x.setFailure(o)
 	}
 	if !x.dispatched {
 		return
@@ -23,15 +24,16 @@
 	x.dispatched = false
 	if o.Complete {
 		x.pool.observeOutput(x.req, o.Tokens)
-		x.router.poisons.completed(x.fingerprint)
+		x.router.poison.recordCompletion(x.fingerprint)
 	}
-	x.router.background(func() { x.leave(o) })
+	x.router.background(func() { x.leaveQueue(o) })
 }
 
-// leave gives the place in the pool back when the replicas are free. A request
-// that failed says nothing about the pace of the pool.
-func (x *run) leave(o attempt.Outcome) {
-	x.releases.Wait()
+// leaveQueue frees the slot of the request once its replicas have been released. A
+// request that failed is cancelled instead of completed, because its duration does not
+// reflect the throughput of the pool.
+func (x *requestRun) leaveQueue(o attempt.Outcome) {
+	x.pendingReleases.Wait()
 	if !o.Complete {
 		x.pool.queue.cancel(x.req.ID)
 		return
@@ -39,8 +41,8 @@
 	x.pool.queue.done(x.req.ID, float64(x.req.PromptTokens()+o.Tokens))
 }
 
-// explain sets code, message and retry hint of an unsuccessful result.
-func (x *run) explain(o attempt.Outcome) {
+// setFailure sets the code, message and retry hint of an unsuccessful result.
+func (x *requestRun) setFailure(o attempt.Outcome) {
 	x.result.Message = o.Reason
 	if x.lastFailure != "" {
 		x.result.Message += " (last failure at " + x.lastFailure + ")"
@@ -80,7 +82,7 @@
 	}
 }
 
-// refused tells whether an engine refused a call in its protocol.
+// refused reports whether an engine refused a call in its protocol.
 func refused(err error) bool {
 	var ce *engine.CallError
 	return errors.As(err, &ce) && ce.Proof == engine.ProofRefused
--- a/node/router/pool.go
+++ b/node/router/pool.go
@@ -18,91 +18,91 @@
 
 const (
 	defaultRetryRatio = 0.1
-	// banksPerSlot and minBank bound the retries saved up: the loss of several
-	// replicas ends many attempts at once, and each is to be resumed.
-	banksPerSlot = 4
-	minBank      = 64
-	// retriesPerSlot is the rate of retries, per slot and second, that needs no
-	// first attempts.
-	retriesPerSlot = 0.1
+	// savedRetriesPerSlot and minSavedRetries bound the retries that the budget saves
+	// up: losing several replicas ends many attempts at once, and each of them has to
+	// be resumed.
+	savedRetriesPerSlot = 4
+	minSavedRetries     = 64
+	// retryRatePerSlot is the number of retries per slot and second that are allowed
+	// regardless of the number of first attempts.
+	retryRatePerSlot = 0.1
 )
 
-// retryConfig returns the retry budget of a pool with the given slots.
+// retryConfig returns the retry budget of a pool with the given number of slots.
 func retryConfig(slots int, ratio float64) retry.BudgetConfig {
 	return retry.BudgetConfig{
 		Ratio:        ratio,
-		MinPerSecond: max(1, retriesPerSlot*float64(slots)),
-		Bank:         float64(max(minBank, banksPerSlot*slots)),
+		MinPerSecond: max(1, retryRatePerSlot*float64(slots)),
+		Bank:         float64(max(minSavedRetries, savedRetriesPerSlot*slots)),
 	}
 }
 
-// poolOptions is what a pool shares with its router.
+// poolOptions holds what a pool shares with its router.
 type poolOptions struct {
 	reporter
 	engines engine.Client
-	// background runs a function that the router's Close waits for.
+	// background runs a function in a goroutine that Router.Close waits for.
 	background func(func())
-	poisons    *poisons
-	// wake is called when a request has to wait.
-	wake func()
-	seed uint64
+	poison     *poisonTracker
+	// onWait is called when a request has to wait for a slot.
+	onWait func()
+	seed   uint64
 }
 
-// pool holds the replicas and the queue of one model. It is safe for
-// concurrent use.
+// pool holds the replicas and the queue of one model. It is safe for concurrent use.
 type pool struct {
 	poolOptions
 	model string
 	queue *queue
 
-	mu        sync.Mutex
-	cfg       config.ModelConfig
-	table     *route.Table
-	upstreams map[string]*upstream
-	list      []wire.Instance               // the platform's list
-	inUse     string                        // model version that requests run on
-	held      map[string]holding            // what engines said against the list
-	groups    map[route.Range]*health.Group // by layer range
-	random    *rand.Rand
-	calls     uint64 // number of the last call
-	budget    *retry.Budget
-	outputs   outputs
-	slots     int // what the replicas in use carry at once
-	// changed is true when slots is to be computed again.
-	changed bool
-	ratio   float64
+	mu             sync.Mutex
+	cfg            config.ModelConfig
+	table          *route.Table
+	upstreams      map[string]*upstream
+	list           []wire.Instance               // the platform's instance list
+	activeVersion  string                        // model version that requests are dispatched to
+	reportedStates map[string]reportedState      // states of engines that contradict the list, by ID
+	groups         map[route.Range]*health.Group // by layer range
+	random         *rand.Rand
+	calls          uint64 // number of the most recent call
+	budget         *retry.Budget
+	outputLengths  outputLengths
+	slots          int // concurrent requests that the usable replicas can run
+	// capacityChanged is true if slots has to be recomputed.
+	capacityChanged bool
+	ratio           float64
 }
 
-func newPool(model string, cfg config.ModelConfig, policy route.Policy, adm admission.Admitter, o poolOptions) *pool {
+func newPool(model string, cfg config.ModelConfig, policy route.Policy, admitter admission.Admitter, o poolOptions) *pool {
 	return &pool{
-		poolOptions: o,
-		model:       model,
-		queue:       newQueue(adm, o.wake),
-		cfg:         cfg,
-		table:       route.NewTable(cfg.Layers, policy),
-		upstreams:   map[string]*upstream{},
-		held:        map[string]holding{},
-		groups:      map[route.Range]*health.Group{},
-		random:      rand.New(rand.NewPCG(o.seed, uint64(len(model)))),
-		budget:      retry.NewBudget(retryConfig(0, defaultRetryRatio)),
-		ratio:       defaultRetryRatio,
-		outputs:     outputs{means: map[outputKey]float64{}},
+		poolOptions:    o,
+		model:          model,
+		queue:          newQueue(admitter, o.onWait),
+		cfg:            cfg,
+		table:          route.NewTable(cfg.Layers, policy),
+		upstreams:      map[string]*upstream{},
+		reportedStates: map[string]reportedState{},
+		groups:         map[route.Range]*health.Group{},
+		random:         rand.New(rand.NewPCG(o.seed, uint64(len(model)))),
+		budget:         retry.NewBudget(retryConfig(0, defaultRetryRatio)),
+		ratio:          defaultRetryRatio,
+		outputLengths:  outputLengths{means: map[outputKey]float64{}},
 	}
 }
 
-// updateCapacity asks for a new computation of the capacity at the next tick, so
-// that many changes at once cost one. The caller holds p.mu.
-func (p *pool) updateCapacity() {
-	p.changed = true
+// scheduleCapacityUpdate makes the next tick recompute the capacity, so that many
+// changes cost one computation. The caller must hold p.mu.
+func (p *pool) scheduleCapacityUpdate() {
+	p.capacityChanged = true
 }
 
-// applyCapacity tells the queue how many requests the replicas in use carry at
-// once. The caller holds p.mu.
+// applyCapacity recomputes the number of requests that the usable replicas can run
+// concurrently, and passes it to the queue. The caller must hold p.mu.
 func (p *pool) applyCapacity() {
-	if !p.changed {
+	if !p.capacityChanged {
 		return
 	}
-	p.changed = false
+	p.capacityChanged = false
 	edges := make([]capacity.Edge, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
 		if u.usable() {
@@ -118,36 +118,36 @@
 	p.queue.setCapacity(slots)
 }
 
-// silentReports is the number of load reports in a row that must not come before a
-// replica is asked whether it answers: one may be lost, and requests may not be sent to
-// it because it was slow.
-const silentReports = 4
+// missedReportsBeforeProbe is the number of consecutive load reports that have to be
+// missing before a replica is probed. One may be lost, and a replica that gets no
+// requests because it was slow is checked by nothing else.
+const missedReportsBeforeProbe = 4
 
-// noReport notes that a replica gave no load report.
-func (p *pool) noReport(t engine.Target) {
+// recordMissedReport counts a missing load report of a replica.
+func (p *pool) recordMissedReport(t engine.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(t)
+	u, ok := p.lookup(t)
 	if !ok {
 		return
 	}
-	if u.unreported++; u.unreported < silentReports {
+	if u.missedReports++; u.missedReports < missedReportsBeforeProbe {
 		return
 	}
-	u.unreported = 0
+	u.missedReports = 0
 	p.calls++
 	p.step(u, health.Silent{Connection: p.calls})
 }
 
-// report takes the load report of one replica.
-func (p *pool) report(t engine.Target, r *wire.LoadReport) {
+// applyLoadReport applies the load report of one replica.
+func (p *pool) applyLoadReport(t engine.Target, r *wire.LoadReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(t)
+	u, ok := p.lookup(t)
 	if !ok {
 		return
 	}
-	u.unreported = 0
+	u.missedReports = 0
 	p.table.Report(time.Now(), t.ID, route.Load{
 		Running:                r.Running,
 		Waiting:                r.Waiting,
@@ -162,7 +162,7 @@
 	p.updateLimit(u)
 }
 
-// targets returns the replicas to ask for load reports.
+// targets returns the replicas whose load reports have to be read.
 func (p *pool) targets() []engine.Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +173,7 @@
 	return out
 }
 
-// target returns the address of a replica.
+// target returns the target for calls to a replica.
 func (p *pool) target(id string) (engine.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +184,8 @@
 	return u.target(), true
 }
 
-// choose picks a chain and counts it as dispatched.
+// choose selects a route and counts the request as in flight on its replicas. It falls
+// back to excluded replicas if no others can serve the request.
 func (p *pool) choose(req route.Request) route.Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,17 +198,17 @@
 	if d.Outcome != route.Chosen {
 		return d
 	}
-	for _, h := range d.Chain.Hops {
-		p.table.Begin(h.ReplicaID, req.PromptTokens)
-		if u, ok := p.upstreams[h.ReplicaID]; ok {
+	for _, stage := range d.Chain.Hops {
+		p.table.Begin(stage.ReplicaID, req.PromptTokens)
+		if u, ok := p.upstreams[stage.ReplicaID]; ok {
 			u.inFlight++
 		}
 	}
 	return d
 }
 
-// end takes back what choose counted for one replica.
-func (p *pool) end(id string, tokens int) {
+// endAttempt undoes for one replica what choose counted.
+func (p *pool) endAttempt(id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.End(id, tokens)
@@ -221,13 +222,13 @@
 	}
 }
 
-// release ends an attempt on its replicas and then frees their places.
-func (p *pool) release(requestID string, attemptNumber int, hops []route.Hop, tokens int) {
+// release cancels an attempt on its replicas and then frees its slots there.
+func (p *pool) release(requestID string, attemptNumber int, stages []route.Hop, tokens int) {
 	var wg sync.WaitGroup
-	for _, h := range hops {
+	for _, stage := range stages {
 		wg.Go(func() {
-			p.cancelAttempt(requestID, attemptNumber, h.ReplicaID)
-			p.end(h.ReplicaID, tokens)
+			p.cancelAttempt(requestID, attemptNumber, stage.ReplicaID)
+			p.endAttempt(stage.ReplicaID, tokens)
 		})
 	}
 	wg.Wait()
@@ -240,12 +241,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	// The engine drops idle attempts by itself when the message is lost.
+	// If the message is lost, the engine discards the idle attempt by itself.
 	_ = p.engines.Cancel(ctx, t, &wire.CancelRequest{RequestID: requestID, Attempt: attemptNumber})
 }
 
-// configure puts a changed configuration in force; the layers stay the same.
-// A new version comes into use when its replicas hold every layer.
+// configure applies a changed configuration with the same number of layers. A new
+// model version is used once its replicas cover all layers.
 func (p *pool) configure(cfg config.ModelConfig, ratio float64, policy admission.Config, list []wire.Instance) {
 	p.mu.Lock()
 	p.cfg = cfg
@@ -256,44 +257,45 @@
 	p.setInstances(list)
 }
 
-// version returns the model version that the replicas in use hold.
+// version returns the model version that requests are dispatched to.
 func (p *pool) version() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.inUse
+	return p.activeVersion
 }
 
-// first pays a first attempt into the retry budget.
-func (p *pool) first() {
+// recordFirstAttempt credits a first attempt to the retry budget.
+func (p *pool) recordFirstAttempt() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.First(time.Now())
 }
 
-// mayRetry spends one retry, or returns false when the budget is used up.
-func (p *pool) mayRetry() bool {
+// spendRetry takes one retry from the budget. It returns false if the budget is
+// exhausted.
+func (p *pool) spendRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.Take(time.Now())
 }
 
-// setMembers names the entry instances that dispatch to the pool.
-func (p *pool) setMembers(self string, live []string) {
+// setEntryInstances sets the IDs of the entry instances that dispatch to the pool.
+func (p *pool) setEntryInstances(self string, live []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.SetMembers(self, live)
 }
 
-// expectedOutput estimates the number of tokens that a request generates.
+// expectedOutput estimates the number of tokens that a request will generate.
 func (p *pool) expectedOutput(r *Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.outputs.expect(outputKey{workspace: r.Workspace, rank: r.Rank}, r.MaxTokens)
+	return p.outputLengths.estimate(outputKey{workspace: r.Workspace, rank: r.Rank}, r.MaxTokens)
 }
 
-// observeOutput learns from a complete answer.
+// observeOutput records the length of a complete response for later estimates.
 func (p *pool) observeOutput(r *Request, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.outputs.observe(outputKey{workspace: r.Workspace, rank: r.Rank}, tokens)
+	p.outputLengths.observe(outputKey{workspace: r.Workspace, rank: r.Rank}, tokens)
 }
--- a/node/router/run.go
+++ b/node/router/run.go
@@ -15,50 +15,52 @@
 
 const (
 	cancelTimeout = time.Second
-	// maxFailures bounds the attempts of one request that fail, maxRefusals those
-	// that an upstream refuses.
+	// maxFailures bounds the failed attempts of one request, maxRefusals the attempts
+	// that an upstream refused.
 	maxFailures = 6
 	maxRefusals = 32
 )
 
-// backoff spreads the waits before a new route.
+// backoff spaces the attempts to find a new route.
 var backoff = retry.Backoff{Base: 20 * time.Millisecond, Cap: 500 * time.Millisecond}
 
-// run carries one request from the queue to its outcome.
-type run struct {
+// requestRun executes one request from admission to its outcome.
+type requestRun struct {
 	router *Router
 	pool   *pool
 	req    *Request
 	sink   Sink
-	// fingerprint identifies what is asked, whoever asks it.
+	// fingerprint identifies the content of the request regardless of its ID.
 	fingerprint poison.Fingerprint
 	machine     *attempt.Machine
-	hops        []route.Hop // of the current attempt
+	stages      []route.Hop // of the current attempt
 	result      Result
 	// dispatched is true while admission counts the request as running.
 	dispatched bool
 	refusal    *admission.Effect
 	lastToken  time.Time
-	// releases counts the attempts that replicas still have to forget.
-	releases sync.WaitGroup
-	// call is the step under way, or the last one; broken tells that its
-	// connection broke, expected the estimate of the answer's length.
-	call     call
-	broken   bool
-	expected int
+	// pendingReleases counts the attempts that still have to be cancelled on their
+	// replicas.
+	pendingReleases sync.WaitGroup
+	// currentCall is the step in progress, or the last one. connectionBroken is true
+	// if its connection broke. expectedTokens is the estimated length of the response.
+	currentCall      call
+	connectionBroken bool
+	expectedTokens   int
 	// version is the model version of the current attempt.
 	version string
-	// poisoned tells that the request must not run again.
+	// poisoned is true if the request crashed replicas and must not run again.
 	poisoned bool
-	// lastFailure describes the last step that failed.
+	// lastFailure describes the most recent step that failed.
 	lastFailure string
 }
 
-// serve runs the request to its end. The context ends when the caller leaves.
-func (x *run) serve(ctx context.Context) Result {
+// serve executes the request until it ends. The context is cancelled when the client
+// disconnects.
+func (x *requestRun) serve(ctx context.Context) Result {
 	ctx, cancel := context.WithDeadline(ctx, x.req.Deadline)
 	defer cancel()
-	x.expected = x.pool.expectedOutput(x.req)
+	x.expectedTokens = x.pool.expectedOutput(x.req)
 	x.result = Result{RequestID: x.req.ID, Workspace: x.req.Workspace, Rank: x.req.Rank, Model: x.req.Model}
 	effects := x.machine.Start()
 	for len(effects) > 0 {
@@ -68,8 +70,8 @@
 		if event == nil {
 			continue
 		}
-		if ends(event) {
-			effects = slices.DeleteFunc(effects, starts)
+		if endsRequest(event) {
+			effects = slices.DeleteFunc(effects, startsWork)
 		}
 		effects = append(effects, x.machine.Step(event)...)
 	}
@@ -77,8 +79,9 @@
 	return x.result
 }
 
-// ends tells whether an event makes pending effects void.
-func ends(e attempt.Event) bool {
+// endsRequest reports whether an event ends the request, so that pending effects that
+// start work are discarded.
+func endsRequest(e attempt.Event) bool {
 	switch e.(type) {
 	case attempt.Cancelled, attempt.Expired, attempt.Unroutable:
 		return true
@@ -87,9 +90,9 @@
 	}
 }
 
-// starts tells whether an effect begins work, which is void once the request
-// ends. Effects that end it are always carried out.
-func starts(e attempt.Effect) bool {
+// startsWork reports whether an effect starts work. Such effects are discarded when
+// the request ends; all others are always performed.
+func startsWork(e attempt.Effect) bool {
 	switch e.(type) {
 	case attempt.Route, attempt.Send, attempt.Probe, attempt.Emit:
 		return true
@@ -98,8 +101,8 @@
 	}
 }
 
-// perform carries out one effect and returns the event that answers it, or nil.
-func (x *run) perform(ctx context.Context, e attempt.Effect) attempt.Event {
+// perform performs one effect and returns the resulting event, or nil.
+func (x *requestRun) perform(ctx context.Context, e attempt.Effect) attempt.Event {
 	switch e := e.(type) {
 	case attempt.Route:
 		return x.route(ctx, e)
@@ -120,7 +123,7 @@
 	return nil
 }
 
-func (x *run) emit(e attempt.Emit) attempt.Event {
+func (x *requestRun) emit(e attempt.Emit) attempt.Event {
 	now := time.Now()
 	if e.Position == 0 {
 		x.result.FirstToken = now.Sub(x.req.Arrived)
@@ -135,21 +138,21 @@
 	return nil
 }
 
-// release lets the replicas forget an attempt in the background; the router
-// waits for it at shutdown.
-func (x *run) release(e attempt.Release) {
-	hops := x.hops
-	x.hops = nil
-	x.pool.ended(x.call)
+// release cancels an attempt on its replicas in the background. Router.Close waits for
+// it.
+func (x *requestRun) release(e attempt.Release) {
+	stages := x.stages
+	x.stages = nil
+	x.pool.discardStep(x.currentCall)
 	tokens := x.req.PromptTokens()
-	x.releases.Add(1)
+	x.pendingReleases.Add(1)
 	x.router.background(func() {
-		defer x.releases.Done()
-		x.pool.release(x.req.ID, e.Attempt, hops, tokens)
+		defer x.pendingReleases.Done()
+		x.pool.release(x.req.ID, e.Attempt, stages, tokens)
 	})
 }
 
-// sleep waits for d and returns false when ctx ends first.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
