--- a/node/router/demand.go
+++ b/node/router/demand.go
@@ -5,7 +5,7 @@
 	"masticbank.example/node/peer/sharing"
 )
 
-// weightUnit is the weight 1 in a demand.Load.
+// weightUnit is the integer that represents a weight of 1 in demand.Load.
 const weightUnit = 1000
 
 var _ sharing.Pools = (*Router)(nil)
@@ -33,7 +33,7 @@
 }
 
 func sharedPool(name string, shares []float64, q *queue) sharing.Pool {
-	p := sharing.Pool{Pool: demand.Pool{Name: name, Capacity: q.total(), MinShares: shares}}
+	p := sharing.Pool{Pool: demand.Pool{Name: name, Capacity: q.totalCapacity(), MinShares: shares}}
 	for _, l := range q.loads() {
 		p.Loads = append(p.Loads, demand.Load{
 			Workspace: l.Workspace,
@@ -63,8 +63,9 @@
 	}
 }
 
-// Demand estimates the sequences that the instances together want to run of a
-// model: what this instance runs and holds in its queue, times their number.
+// Demand estimates how many sequences of a model all instances together want to run:
+// the requests that are running or queued on this instance, multiplied by the number
+// of entry instances.
 func (r *Router) Demand(model string) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -73,5 +74,5 @@
 		return 0
 	}
 	s := p.queue.stats(0)
-	return max(1, (s.InFlight+s.Queued)*max(len(r.entries), 1))
+	return max(1, (s.InFlight+s.Queued)*max(len(r.entryInstances), 1))
 }
--- a/node/router/health.go
+++ b/node/router/health.go
@@ -11,15 +11,17 @@
 	"masticbank.example/node/wire"
 )
 
-// maxEjectedShare is the largest part of the replicas of one layer range that
-// is ejected at once.
+// maxEjectedShare is the maximum share of the replicas of one layer range, or of one
+// service, that may be ejected at the same time.
 const maxEjectedShare = 0.5
 
-// verdictTimeout bounds the wait for a verdict on a silent connection.
-const verdictTimeout = 3 * time.Second
+// probeResultTimeout bounds the wait for the result of a probe after a step got no
+// response.
+const probeResultTimeout = 3 * time.Second
 
-// begin prepares a step of prefill tokens, 0 for a decode step, on a replica.
-func (p *pool) begin(id string, f poison.Fingerprint, prefill int, initial time.Duration) (call, bool) {
+// beginStep registers a step on a replica. prefill is its number of prefill tokens, or
+// 0 for a decode step.
+func (p *pool) beginStep(id string, f poison.Fingerprint, prefill int, initial time.Duration) (call, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	u, ok := p.upstreams[id]
@@ -27,55 +29,56 @@
 		return call{}, false
 	}
 	p.calls++
-	u.open[p.calls] = f
-	return call{number: p.calls, target: u.target(), timeout: u.pace.ProgressTimeout(prefill, initial), live: u.live}, true
+	u.runningSteps[p.calls] = f
+	return call{number: p.calls, target: u.target(), timeout: u.stepTimes.ProgressTimeout(prefill, initial), attemptCtx: u.attemptCtx}, true
 }
 
-// at returns the replica at a target; it is not known any more when the replica
-// moved to another address. The caller holds p.mu.
-func (p *pool) at(t engine.Target) (*upstream, bool) {
+// lookup returns the replica at a target. It fails if the replica was removed or has
+// moved to another address. The caller must hold p.mu.
+func (p *pool) lookup(t engine.Target) (*upstream, bool) {
 	u, ok := p.upstreams[t.ID]
 	return u, ok && u.target() == t
 }
 
-// progressed records an answered step of prefill tokens, 0 for a decode step.
-func (p *pool) progressed(c call, prefill, cached int, d time.Duration) {
+// recordStep records a successful step. prefill is its number of prefill tokens, or 0
+// for a decode step.
+func (p *pool) recordStep(c call, prefill, cached int, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(c.target)
+	u, ok := p.lookup(c.target)
 	if !ok {
 		return
 	}
-	delete(u.open, c.number)
+	delete(u.runningSteps, c.number)
 	now := time.Now()
 	if prefill > 0 {
 		computed := max(prefill-cached, 1)
 		p.table.Observe(c.target.ID, computed, 0, d)
-		u.pace.ObservePrefill(computed, d)
+		u.stepTimes.ObservePrefill(computed, d)
 		u.limit.Observe(now, limit.Prefill, u.inFlight, d/time.Duration(computed))
 	} else {
 		p.table.Observe(c.target.ID, 0, 1, d)
-		u.pace.ObserveDecode(d)
+		u.stepTimes.ObserveDecode(d)
 		u.limit.Observe(now, limit.Decode, u.inFlight, d)
 	}
 	p.updateLimit(u)
 	p.step(u, health.Progress{Connection: c.number})
 }
 
-// refused records a step that the replica refused or that was not sent.
-func (p *pool) refused(c call, code string) {
+// recordRefusal records a step that the replica refused or that was not sent.
+func (p *pool) recordRefusal(c call, code string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(c.target)
+	u, ok := p.lookup(c.target)
 	if !ok {
 		return
 	}
-	delete(u.open, c.number)
+	delete(u.runningSteps, c.number)
 	switch code {
 	case wire.CodeLeaving:
 		p.step(u, health.Leaving{Source: health.FromUpstream})
 	case wire.CodeWrongRange:
-		p.readHolding(c.target)
+		p.readState(c.target)
 	case wire.CodeOverloaded:
 		u.limit.Refused(time.Now())
 		p.updateLimit(u)
@@ -84,30 +87,30 @@
 	}
 }
 
-// ended records a step that ended without an answer and without a verdict.
-func (p *pool) ended(c call) {
+// discardStep removes a step that ended without a response and needs no probe.
+func (p *pool) discardStep(c call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if u, ok := p.at(c.target); ok {
-		delete(u.open, c.number)
+	if u, ok := p.lookup(c.target); ok {
+		delete(u.runningSteps, c.number)
 	}
 }
 
-// updateLimit puts the learnt limit of a replica in force. The caller holds
+// updateLimit applies a changed concurrency limit of a replica. The caller must hold
 // p.mu.
 func (p *pool) updateLimit(u *upstream) {
 	l := u.limit.Limit()
-	if l == u.inForce {
+	if l == u.appliedLimit {
 		return
 	}
-	u.inForce = l
+	u.appliedLimit = l
 	p.table.SetLimit(u.instance.ID, l)
-	p.updateCapacity()
+	p.scheduleCapacityUpdate()
 }
 
-// leaving records a sign that a replica leaves, and tells whether the pool
-// knows it.
-func (p *pool) leaving(id string, source health.Source) bool {
+// markLeaving records that a replica is leaving, and reports whether the pool has the
+// replica.
+func (p *pool) markLeaving(id string, source health.Source) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	u, ok := p.upstreams[id]
@@ -117,15 +120,15 @@
 	return ok
 }
 
-// suspect reports that a call got no answer, because it made no progress or, if
-// broken, because its connection broke. It waits until a probe on a new
-// connection has told whether the replica answers.
-func (p *pool) suspect(ctx context.Context, c call, broken bool) bool {
-	ch := p.accuse(c, broken)
+// checkAlive reports whether the replica of a call without a response is alive. broken
+// is true if the connection broke, and false if the step timed out. It waits for the
+// result of a probe on a new connection.
+func (p *pool) checkAlive(ctx context.Context, c call, broken bool) bool {
+	ch := p.reportUnanswered(c, broken)
 	if ch == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeResultTimeout)
 	defer cancel()
 	select {
 	case alive := <-ch:
@@ -135,30 +138,32 @@
 	}
 }
 
-// accuse feeds the event to the replica's state machine and returns the channel
-// of the verdict, or nil when the replica is not known any more.
-func (p *pool) accuse(c call, broken bool) chan bool {
+// reportUnanswered passes the event to the health state machine of the replica. It
+// returns the channel that receives the result of the probe, or nil if the replica is
+// no longer known.
+func (p *pool) reportUnanswered(c call, broken bool) chan bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u, ok := p.at(c.target)
+	u, ok := p.lookup(c.target)
 	if !ok {
 		return nil
 	}
 	ch := make(chan bool, 1)
-	u.verdicts[c.number] = ch
+	u.probeWaiters[c.number] = ch
 	if broken {
-		u.lost[c.number] = u.open[c.number]
-		delete(u.open, c.number)
+		u.lostSteps[c.number] = u.runningSteps[c.number]
+		delete(u.runningSteps, c.number)
 		p.step(u, health.Lost{Connection: c.number})
 		return ch
 	}
-	delete(u.open, c.number)
-	u.pace.Expired()
+	delete(u.runningSteps, c.number)
+	u.stepTimes.Expired()
 	p.step(u, health.Silent{Connection: c.number})
 	return ch
 }
 
-// tick gives every replica whose time has come its event.
+// tick delivers a health.Tick to every replica whose timer has expired, and applies a
+// changed capacity.
 func (p *pool) tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,11 +175,11 @@
 	p.applyCapacity()
 }
 
-// step feeds one event to a replica's state machine and carries out its effects.
-// The caller holds p.mu.
+// step passes an event to the health state machine of a replica and performs the
+// resulting effects. The caller must hold p.mu.
 func (p *pool) step(u *upstream, e health.Event) {
 	if p.reporter.step(u.instance.ID, u.health, e, &engineActions{pool: p, upstream: u}) {
-		p.updateCapacity()
+		p.scheduleCapacityUpdate()
 	}
 }
 
@@ -188,8 +193,8 @@
 
 func (a *engineActions) replaceConnection(number uint64) {
 	a.pool.engines.ReplaceConnections(a.upstream.target())
-	delete(a.upstream.lost, number)
-	a.upstream.decide(number, true)
+	delete(a.upstream.lostSteps, number)
+	a.upstream.deliverProbeResult(number, true)
 }
 
 func (a *engineActions) setWeight(weight float64) {
@@ -202,16 +207,18 @@
 
 func (a *engineActions) remove() { a.pool.remove(a.upstream) }
 
-// failAttempts ends the open attempts on a replica that does not answer. When
-// connections broke before, it crashed, and what it was running is suspect.
+// failAttempts cancels the open attempts on an unresponsive replica. If connections to
+// it broke before, it is taken to have crashed, and the requests that it was running
+// are recorded as possible causes.
 func (p *pool) failAttempts(u *upstream) {
-	if len(u.lost) > 0 {
-		p.poisons.crashed(u.instance.ID, u.suspects())
+	if len(u.lostSteps) > 0 {
+		p.poison.recordCrash(u.instance.ID, u.crashCandidates())
 	}
 	u.failAttempts()
 }
 
-// probe asks a replica on a new connection in the background whether it answers.
+// probe checks in the background, on a new connection, whether a replica responds. A
+// refusal in the engine's protocol counts as a response.
 func (p *pool) probe(u *upstream, e health.Probe) {
 	t := u.target()
 	p.background(func() {
@@ -231,11 +238,11 @@
 	})
 }
 
-// remove forgets a replica that is no longer listed. Attempts still open on it
-// go on until they end or their connections fail.
+// remove deletes a replica that is no longer listed. Attempts that are open on it
+// continue until they end or their connections fail.
 func (p *pool) remove(u *upstream) {
-	for number := range u.verdicts {
-		u.decide(number, false)
+	for number := range u.probeWaiters {
+		u.deliverProbeResult(number, false)
 	}
 	p.table.Remove(u.instance.ID)
 	p.engines.Forget(u.target())
--- a/node/router/orders.go
+++ b/node/router/orders.go
@@ -12,21 +12,21 @@
 	"masticbank.example/node/service"
 )
 
-// Orders makes non-idempotent calls at most once by key. Implementations are
-// safe for concurrent use.
+// Orders executes non-idempotent calls at most once per key. Implementations are safe
+// for concurrent use.
 type Orders interface {
-	// Do returns the recorded answer of the key, or claims the key and calls
-	// send at most once.
+	// Do returns the recorded response of the key, or claims the key and calls send at
+	// most once.
 	Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Answer) order.Result
 }
 
-// retryAfterLog is the hint given while the log cannot be used.
+// retryAfterLog is the Retry-After hint while the log is unavailable.
 const retryAfterLog = 5 * time.Second
 
-// callKeyed makes a non-idempotent call under its key.
+// callKeyed executes a non-idempotent call under its idempotency key.
 func (r *Router) callKeyed(ctx context.Context, pool *servicePool, req *ServiceRequest) ServiceResult {
 	if r.opts.Orders == nil {
-		return failedCall(CodeLogUnavailable, execution.NotRun, "this instance has no log, which calls with a key need")
+		return failedResult(CodeLogUnavailable, execution.NotRun, "this instance has no log, which calls with a key need")
 	}
 	deadline, _ := ctx.Deadline()
 	var sent ServiceResult
@@ -34,19 +34,20 @@
 		Workspace:   req.Workspace,
 		Service:     req.Service,
 		Key:         req.Key,
-		Fingerprint: fingerprint(req),
+		Fingerprint: keyFingerprint(req),
 		Date:        req.KeyDate,
 		First:       req.FirstUse,
 		Deadline:    deadline,
 	}, func(ctx context.Context) order.Answer {
 		sent = r.callOnce(ctx, pool, req)
-		return orderAnswer(&sent)
+		return newOrderAnswer(&sent)
 	})
 	return keyedResult(&res, &sent)
 }
 
-// fingerprint binds a key to method, path and body of its first call.
-func fingerprint(req *ServiceRequest) string {
+// keyFingerprint returns a hash of method, path and body. A key may be used only for
+// calls with the same hash.
+func keyFingerprint(req *ServiceRequest) string {
 	h := sha256.New()
 	for _, part := range []string{req.Method, req.Path, string(req.Body)} {
 		_, _ = h.Write([]byte(part))
@@ -55,7 +56,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func orderAnswer(res *ServiceResult) order.Answer {
+func newOrderAnswer(res *ServiceResult) order.Answer {
 	a := order.Answer{Execution: res.Execution}
 	if res.Answer != nil {
 		a.Status = res.Answer.Status
@@ -65,12 +66,12 @@
 	return a
 }
 
-// keyedResult translates the result of Do. The service's own answer keeps all
-// its headers; a replayed one has those that were recorded.
+// keyedResult converts the result of Orders.Do. A response that the service has just
+// sent keeps all its headers; a replayed one has only the recorded ones.
 func keyedResult(res *order.Result, sent *ServiceResult) ServiceResult {
 	if res.Reason != order.ReasonNone {
-		out := failedCall(orderCode(res.Reason), res.Execution, string(res.Reason))
-		out.RetryAfter = orderRetry(res.Reason)
+		out := failedResult(orderCode(res.Reason), res.Execution, string(res.Reason))
+		out.RetryAfter = orderRetryAfter(res.Reason)
 		return out
 	}
 	if sent.Answer != nil && !res.Replayed {
@@ -118,8 +119,9 @@
 	}
 }
 
-// orderRetry returns when the same key may be sent again with a better chance.
-func orderRetry(r order.Reason) time.Duration {
+// orderRetryAfter returns the delay after which a call with the same key may succeed,
+// or 0.
+func orderRetryAfter(r order.Reason) time.Duration {
 	switch r {
 	case order.ReasonLogUnavailable, order.ReasonOverloaded, order.ReasonTooLate, order.ReasonReleased:
 		return retryAfterLog
--- a/node/router/output.go
+++ b/node/router/output.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	// outputGain is the weight of a new sample in a mean output length.
+	// outputGain is the weight of a new sample in the moving average of an output
+	// length.
 	outputGain = 0.1
-	// maxOutputMeans bounds the pairs of workspace and rank remembered.
+	// maxOutputMeans bounds the number of averages that are kept, one for each pair of
+	// workspace and rank.
 	maxOutputMeans = 8192
 )
 
-// outputs learns how many tokens the answers of a workspace and rank have. The
-// pool's lock guards it.
-type outputs struct {
+// outputLengths keeps the average output length in tokens for each workspace and rank.
+// It is guarded by the lock of its pool.
+type outputLengths struct {
 	means map[outputKey]float64
 }
 
@@ -24,8 +26,8 @@
 	rank      config.Rank
 }
 
-// expect returns the expected number of tokens, at most limit.
-func (o *outputs) expect(key outputKey, limit int) int {
+// estimate returns the expected number of output tokens, at most limit.
+func (o *outputLengths) estimate(key outputKey, limit int) int {
 	mean, ok := o.means[key]
 	if !ok {
 		return limit
@@ -33,7 +35,7 @@
 	return min(limit, int(math.Ceil(mean)))
 }
 
-func (o *outputs) observe(key outputKey, tokens int) {
+func (o *outputLengths) observe(key outputKey, tokens int) {
 	mean, ok := o.means[key]
 	switch {
 	case ok:
--- a/node/router/poison.go
+++ b/node/router/poison.go
@@ -8,21 +8,19 @@
 	"masticbank.example/core/poison"
 )
 
-// poisons holds the evidence on requests that crash replicas. It is safe for
-// concurrent use.
-type poisons struct {
+// poisonTracker tracks requests that crash replicas. It is safe for concurrent use.
+type poisonTracker struct {
 	mu        sync.Mutex
 	tracker   *poison.Tracker
 	retention time.Duration
 }
 
-func newPoisons(retention time.Duration) *poisons {
-	return &poisons{tracker: poison.NewTracker(retention), retention: retention}
+func newPoisonTracker(retention time.Duration) *poisonTracker {
+	return &poisonTracker{tracker: poison.NewTracker(retention), retention: retention}
 }
 
-// configure sets the time for which evidence is kept. A change discards what
-// was known.
-func (p *poisons) configure(retention time.Duration) {
+// configure sets how long evidence is kept. A change discards the existing evidence.
+func (p *poisonTracker) configure(retention time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if retention == p.retention {
@@ -32,77 +30,76 @@
 	p.tracker = poison.NewTracker(retention)
 }
 
-// fingerprintOf includes the workspace, so that no caller can have the requests of
-// another one refused.
+// fingerprintOf returns the fingerprint of a request. It includes the workspace, so
+// that no client can cause requests of other workspaces to be blocked.
 func fingerprintOf(req *Request) poison.Fingerprint {
 	return poison.FingerprintOf(req.Model, req.Prompt, strconv.Itoa(req.MaxTokens), req.Workspace)
 }
 
-func (p *poisons) blocked(f poison.Fingerprint) bool {
+func (p *poisonTracker) blocked(f poison.Fingerprint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Blocked(time.Now(), f)
 }
 
-// crashed records that a replica crashed while it ran steps of suspects.
-func (p *poisons) crashed(replica string, suspects []poison.Fingerprint) {
+// recordCrash records that a replica crashed while it ran steps of the given requests.
+func (p *poisonTracker) recordCrash(replica string, candidates []poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Crash(time.Now(), replica, suspects...)
+	p.tracker.Crash(time.Now(), replica, candidates...)
 }
 
-// verdict tells whether a request whose step was lost with a crashed replica
-// must not run again.
-func (p *poisons) verdict(replica string, f poison.Fingerprint) bool {
+// stopAfterCrash records that a step of a request was lost in the crash of a replica.
+// It reports whether the request must not run again.
+func (p *poisonTracker) stopAfterCrash(replica string, f poison.Fingerprint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Crash(time.Now(), replica, f)[0] == poison.Stop
 }
 
-func (p *poisons) completed(f poison.Fingerprint) {
+func (p *poisonTracker) recordCompletion(f poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Completed(time.Now(), f)
 }
 
-func (p *poisons) place(f poison.Fingerprint, replicas []string) {
+func (p *poisonTracker) recordPlacement(f poison.Fingerprint, replicas []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Place(f, replicas)
 }
 
-func (p *poisons) avoid(f poison.Fingerprint) []string {
+func (p *poisonTracker) replicasToAvoid(f poison.Fingerprint) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Avoid(f)
 }
 
-// PoisonBlocks returns the fingerprints to tell the peers.
+// PoisonBlocks returns the blocked fingerprints to send to peers.
 func (r *Router) PoisonBlocks() []poison.Block {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
-	return r.poisons.tracker.Recent(time.Now())
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
+	return r.poison.tracker.Recent(time.Now())
 }
 
-// PoisonNews returns the evidence on requests that crash replicas which this instance
-// found since the last call.
+// PoisonNews returns the crash evidence that this instance found since the last call.
 func (r *Router) PoisonNews() poison.State {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
-	return r.poisons.tracker.News()
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
+	return r.poison.tracker.News()
 }
 
-// LearnPoisonEvidence takes the evidence of a peer.
+// LearnPoisonEvidence merges the crash evidence of a peer.
 func (r *Router) LearnPoisonEvidence(s poison.State) {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
-	r.poisons.tracker.LearnEvidence(time.Now(), s)
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
+	r.poison.tracker.LearnEvidence(time.Now(), s)
 }
 
-// LearnPoison takes a fingerprint from a peer.
+// LearnPoison blocks a fingerprint that a peer reported, for the time ttl.
 func (r *Router) LearnPoison(f poison.Fingerprint, ttl time.Duration) {
-	r.poisons.mu.Lock()
-	defer r.poisons.mu.Unlock()
+	r.poison.mu.Lock()
+	defer r.poison.mu.Unlock()
 	now := time.Now()
-	r.poisons.tracker.Learn(now, f, now.Add(ttl))
+	r.poison.tracker.Learn(now, f, now.Add(ttl))
 }
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -1,5 +1,5 @@
-// Package router carries callers' requests to upstreams: it connects the
-// decisions of core with the clients of engines and services.
+// Package router dispatches client requests to upstreams. It connects the decisions of
+// core (admission, routing, retries, health) with the clients of engines and services.
 package router
 
 import (
@@ -21,40 +21,45 @@
 )
 
 const (
-	// tickPeriod is the time between two checks of the queues' deadlines.
+	// tickPeriod is the interval at which queue deadlines and health timers are
+	// checked.
 	tickPeriod = 50 * time.Millisecond
-	// loadPeriod is the time between two load reports of one upstream.
+	// loadPeriod is the interval at which the load report of each upstream is read.
 	loadPeriod = 250 * time.Millisecond
-	// cachePeriod is the time between two readings of an engine's cache events.
+	// cachePeriod is the interval at which the cache events of each engine are read.
 	cachePeriod = time.Second
-	// loadTimeout bounds the reading of one load report.
+	// loadTimeout bounds one request for a load report or for cache events.
 	loadTimeout = time.Second
-	// loadReaders bounds the load reports read at once.
-	loadReaders = 16
-	// poisonRetention is the time for which evidence on crashes is kept until a
-	// configuration is in force.
+	// maxParallelReads bounds the concurrent requests for load reports, and those for
+	// cache events.
+	maxParallelReads = 16
+	// poisonRetention is how long crash evidence is kept until a configuration sets
+	// the time.
 	poisonRetention = 10 * time.Minute
 	poisonMessage   = "requests like this one crashed several upstreams"
-	// retryAfterFailure is the hint given when upstreams failed.
+	// retryAfterFailure is the Retry-After hint when upstreams failed.
 	retryAfterFailure = 2 * time.Second
-	// retryAfterReplaced is the hint given when a new configuration replaced the
+	// retryAfterReplaced is the Retry-After hint when a new configuration replaced the
 	// pool in which a request waited.
 	retryAfterReplaced = time.Second
 )
 
-// Metrics takes measurements. Implementations are safe for concurrent use.
+// Metrics receives measurements and events. Implementations are safe for concurrent
+// use.
 type Metrics interface {
-	// Dropped counts an answer that was not used.
+	// Dropped counts an upstream response that was discarded.
 	Dropped(k attempt.DropKind)
-	// TokenGap records the time between two tokens of one answer.
+	// TokenGap records the time between two consecutive tokens of one response.
 	TokenGap(workspace string, rank config.Rank, d time.Duration)
 	// Finished records the result of a request.
 	Finished(r *Result)
-	// ConnectionReplaced counts a silent connection to an upstream.
+	// ConnectionReplaced counts an unresponsive connection to an upstream that was
+	// replaced.
 	ConnectionReplaced(upstream string)
-	// Ejected counts an upstream that was taken out of use.
+	// Ejected counts the ejection of an upstream.
 	Ejected(upstream string)
-	// Leaving tells that an upstream said that it leaves. It must not block.
+	// Leaving is called when an upstream announced that it is leaving. It must not
+	// block.
 	Leaving(upstream string)
 }
 
@@ -64,79 +69,80 @@
 	ID       string
 	Engines  engine.Client
 	Services *service.Client
-	// Orders makes calls with an idempotency key at most once on all instances
-	// together; nil refuses them.
+	// Orders executes calls that carry an idempotency key at most once across all
+	// instances. If it is nil, such calls are refused.
 	Orders  Orders
 	Metrics Metrics
 	Logger  *zap.Logger
-	// RoutePolicy and FIFO select baselines for measurement.
+	// RoutePolicy and FIFO select baselines for comparison measurements.
 	RoutePolicy route.Policy
 	FIFO        bool
-	// Wake is called when a request has to wait for a slot; nil means nothing.
-	// It must not block.
+	// Wake is called when a request has to wait for a slot; it may be nil. It must not
+	// block.
 	Wake func()
-	// Seed makes the choices among near-equal routes differ between instances.
+	// Seed seeds the random choice among routes of nearly equal cost, so that
+	// instances choose differently.
 	Seed uint64
 }
 
-// Router serves requests under the configuration in force. It is safe for
-// concurrent use.
+// Router serves requests under the current configuration. It is safe for concurrent
+// use.
 type Router struct {
 	opts    Options
 	metrics Metrics
 	history *history
-	poisons *poisons
+	poison  *poisonTracker
 	cfg     atomic.Pointer[config.Config]
 
 	mu        sync.RWMutex
 	pools     map[string]*pool
 	services  map[string]*servicePool
 	instances []wire.Instance
-	// entries are the live entry instances, this one included.
-	entries []string
+	// entryInstances holds the IDs of the live entry instances, including this one.
+	entryInstances []string
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	work   sync.WaitGroup
 }
 
-// New returns a router without configuration; Configure and SetInstances make
-// it serve. Close ends it.
+// New returns a router that starts serving after the first calls of Configure and
+// SetInstances. It must be closed with Close.
 func New(o Options) *Router {
 	r := newRouter(o)
-	r.background(func() { r.every(tickPeriod, r.tickOnce) })
-	r.background(func() { r.every(loadPeriod, r.readLoadOnce) })
-	r.background(func() { r.every(cachePeriod, r.readCacheOnce) })
+	r.background(func() { r.runEvery(tickPeriod, r.tickOnce) })
+	r.background(func() { r.runEvery(loadPeriod, r.readLoadOnce) })
+	r.background(func() { r.runEvery(cachePeriod, r.readCacheOnce) })
 	return r
 }
 
-// newRouter returns a router without its periodic work.
+// newRouter returns a router without the periodic background work.
 func newRouter(o Options) *Router {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Router{
-		opts:     o,
-		metrics:  o.Metrics,
-		history:  newHistory(),
-		poisons:  newPoisons(poisonRetention),
-		entries:  []string{o.ID},
-		pools:    map[string]*pool{},
-		services: map[string]*servicePool{},
-		ctx:      ctx,
-		cancel:   cancel,
+		opts:           o,
+		metrics:        o.Metrics,
+		history:        newHistory(),
+		poison:         newPoisonTracker(poisonRetention),
+		entryInstances: []string{o.ID},
+		pools:          map[string]*pool{},
+		services:       map[string]*servicePool{},
+		ctx:            ctx,
+		cancel:         cancel,
 	}
 }
 
-// Config returns the configuration in force, or nil.
+// Config returns the current configuration, or nil before the first one.
 func (r *Router) Config() *config.Config {
 	return r.cfg.Load()
 }
 
-// Configure puts a validated configuration in force.
+// Configure applies a validated configuration.
 func (r *Router) Configure(c *config.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cfg.Store(c)
-	r.poisons.configure(c.Limits.PoisonTTL)
+	r.poison.configure(c.Limits.PoisonTTL)
 	policy := admission.FromConfig(c)
 	r.configurePools(c, policy)
 	r.configureServices(c, policy)
@@ -156,11 +162,11 @@
 			reporter:   r.reporter(),
 			engines:    r.opts.Engines,
 			background: r.background,
-			poisons:    r.poisons,
-			wake:       r.wake,
+			poison:     r.poison,
+			onWait:     r.onWait,
 			seed:       r.opts.Seed,
 		})
-		p.setMembers(r.opts.ID, r.entries)
+		p.setEntryInstances(r.opts.ID, r.entryInstances)
 		p.configure(m, c.Limits.RetryRatio, policy, r.instances)
 		r.pools[name] = p
 	}
@@ -179,9 +185,9 @@
 			sp = newServicePool(name, s, r.admitter(policy), serviceOptions{
 				reporter:   r.reporter(),
 				client:     r.opts.Services,
-				poisons:    r.poisons,
+				poison:     r.poison,
 				background: r.background,
-				wake:       r.wake,
+				onWait:     r.onWait,
 				seed:       r.opts.Seed,
 			})
 			sp.setInstances(r.instances)
@@ -204,7 +210,7 @@
 	return admission.New(policy)
 }
 
-// SetInstances puts the platform's list of instances in force.
+// SetInstances applies the platform's instance list.
 func (r *Router) SetInstances(list []wire.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -217,43 +223,43 @@
 	}
 }
 
-// SetEntries names the live entry instances, this one included.
+// SetEntries sets the IDs of the live entry instances, including this one.
 func (r *Router) SetEntries(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.entries = ids
+	r.entryInstances = ids
 	for _, p := range r.pools {
-		p.setMembers(r.opts.ID, ids)
+		p.setEntryInstances(r.opts.ID, ids)
 	}
 }
 
-// MarkLeaving stops new work to an upstream on the word of a peer or operator,
-// and tells whether a pool knows it.
+// MarkLeaving stops sending new work to an upstream that a peer or an operator
+// reported as leaving. It reports whether any pool has the upstream.
 func (r *Router) MarkLeaving(upstream string) bool {
 	known := false
 	for _, p := range r.allPools() {
-		known = p.leaving(upstream, health.FromPeer) || known
+		known = p.markLeaving(upstream, health.FromPeer) || known
 	}
-	for _, s := range r.allServices() {
-		known = s.leaving(upstream, health.FromPeer) || known
+	for _, s := range r.allServicePools() {
+		known = s.markLeaving(upstream, health.FromPeer) || known
 	}
 	return known
 }
 
-// Generate serves one completion request. Tokens go to sink as they come. The
-// context ends when the caller leaves.
+// Generate serves one completion request and passes each token to sink as it arrives.
+// The context is cancelled when the client disconnects.
 func (r *Router) Generate(ctx context.Context, req *Request, sink Sink) Result {
 	p := r.pool(req.Model)
 	if p == nil {
 		return Result{RequestID: req.ID, Workspace: req.Workspace, Rank: req.Rank, Code: CodeUnknownModel, Message: "unknown model " + req.Model}
 	}
 	f := fingerprintOf(req)
-	if r.poisons.blocked(f) {
+	if r.poison.blocked(f) {
 		res := Result{RequestID: req.ID, Workspace: req.Workspace, Rank: req.Rank, Model: req.Model, Code: CodePoison, Message: poisonMessage}
-		r.finished(res)
+		r.recordResult(res)
 		return res
 	}
-	x := &run{
+	x := &requestRun{
 		router:      r,
 		pool:        p,
 		req:         req,
@@ -267,18 +273,18 @@
 		}),
 	}
 	result := x.serve(ctx)
-	r.finished(result)
+	r.recordResult(result)
 	return result
 }
 
-func (r *Router) wake() {
+func (r *Router) onWait() {
 	if r.opts.Wake != nil {
 		r.opts.Wake()
 	}
 }
 
-// finished records the result of a request.
-func (r *Router) finished(res Result) {
+// recordResult adds the result of a request to the history and the metrics.
+func (r *Router) recordResult(res Result) {
 	r.history.add(res)
 	r.metrics.Finished(&res)
 }
@@ -299,7 +305,7 @@
 	return out
 }
 
-func (r *Router) allServices() []*servicePool {
+func (r *Router) allServicePools() []*servicePool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	out := make([]*servicePool, 0, len(r.services))
@@ -310,7 +316,7 @@
 }
 
 func (r *Router) reporter() reporter {
-	return reporter{log: r.opts.Logger, events: r.metrics}
+	return reporter{log: r.opts.Logger, metrics: r.metrics}
 }
 
 func (r *Router) queues() []*queue {
@@ -326,7 +332,7 @@
 	return out
 }
 
-// stepTimeout bounds one step of a stage.
+// stepTimeout returns the configured timeout of one step of a stage.
 func (r *Router) stepTimeout() time.Duration {
 	return r.cfg.Load().Limits.StepTimeout
 }
@@ -336,7 +342,7 @@
 	r.work.Go(f)
 }
 
-// Close ends background work. Requests must have ended before.
+// Close stops the background work and waits for it. All requests must have ended.
 func (r *Router) Close() {
 	r.cancel()
 	r.work.Wait()
@@ -350,13 +356,13 @@
 	for _, p := range r.allPools() {
 		p.tick(now)
 	}
-	for _, s := range r.allServices() {
+	for _, s := range r.allServicePools() {
 		s.tick(now)
 	}
 }
 
-// every calls f at each period until Close.
-func (r *Router) every(period time.Duration, f func()) {
+// runEvery calls f once per period until the router is closed.
+func (r *Router) runEvery(period time.Duration, f func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
--- a/node/router/servicereplica.go
+++ b/node/router/servicereplica.go
@@ -16,34 +16,35 @@
 	"masticbank.example/node/wire"
 )
 
-// serviceReplica is one replica of a plain service. The pool's lock guards it.
+// serviceReplica is the state of one replica of a plain service. It is guarded by the
+// lock of its pool.
 type serviceReplica struct {
 	instance wire.Instance
 	health   *health.Upstream
 	inFlight int
-	// lost holds the requests whose connection broke and of which it is not known yet
-	// whether the replica answers, by call number.
-	lost map[uint64]poison.Fingerprint
-	// live ends when the open attempts on the replica are to end.
-	live context.Context
-	fail context.CancelFunc
+	// lostCalls holds, by call number, the requests whose connections broke while it
+	// is undecided whether the replica still responds.
+	lostCalls map[uint64]poison.Fingerprint
+	// attemptCtx is cancelled to end all open calls to the replica.
+	attemptCtx     context.Context
+	cancelAttempts context.CancelFunc
 }
 
 func newServiceReplica(in wire.Instance, h *health.Upstream) *serviceReplica {
-	rep := &serviceReplica{instance: in, health: h, lost: map[uint64]poison.Fingerprint{}}
-	rep.live, rep.fail = context.WithCancel(context.Background())
+	rep := &serviceReplica{instance: in, health: h, lostCalls: map[uint64]poison.Fingerprint{}}
+	rep.attemptCtx, rep.cancelAttempts = context.WithCancel(context.Background())
 	return rep
 }
 
-// failAttempts ends every open attempt on the replica.
+// failAttempts cancels all open calls to the replica.
 func (rep *serviceReplica) failAttempts() {
-	rep.fail()
-	rep.live, rep.fail = context.WithCancel(context.Background())
+	rep.cancelAttempts()
+	rep.attemptCtx, rep.cancelAttempts = context.WithCancel(context.Background())
 }
 
-// before tells whether the next call is for rep rather than for other. Both
-// have a weight above 0.
-func (rep *serviceReplica) before(other *serviceReplica) bool {
+// lessLoadedThan reports whether the next call should go to rep rather than to other.
+// Both must have a weight above 0.
+func (rep *serviceReplica) lessLoadedThan(other *serviceReplica) bool {
 	a := float64(rep.inFlight+1) / rep.health.Weight()
 	b := float64(other.inFlight+1) / other.health.Weight()
 	if a != b {
@@ -58,41 +59,42 @@
 	replica *serviceReplica
 }
 
-// probe counts every answer in HTTP, as plain services need not serve
+// probe counts any HTTP response as success, because plain services need not implement
 // wire.PathProbe.
 func (a *serviceActions) probe(e health.Probe) {
 	address := a.replica.instance.Address
 	a.pool.background(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 		defer cancel()
-		// A call that may not be repeated gets a new connection.
-		answer, err := a.pool.client.Do(ctx, address, readCall(wire.PathProbe, false))
+		// A non-idempotent call always opens a new connection.
+		response, err := a.pool.client.Do(ctx, address, getCall(wire.PathProbe, false))
 		if err != nil {
 			a.pool.observe(a.replica, health.ProbeFailed{Probe: e.Number})
 			return
 		}
-		if refusesWork(answer) {
+		if isLeavingRefusal(response) {
 			a.pool.observe(a.replica, health.Leaving{Source: health.FromUpstream})
 		}
 		a.pool.observe(a.replica, health.ProbeAnswered{Probe: e.Number})
 	})
 }
 
-// replaceConnection closes the idle connections, of which any may be as silent
-// as the one that was replaced. That one ends with its call.
+// replaceConnection closes all idle connections, because any of them may be as
+// unresponsive as the reported one. That one is closed when its call ends.
 func (a *serviceActions) replaceConnection(number uint64) {
-	delete(a.replica.lost, number)
+	delete(a.replica.lostCalls, number)
 	a.pool.client.Close()
 }
 
-// setWeight does nothing: the state machine holds the weight.
+// setWeight does nothing: beginCall reads the weight from the state machine.
 func (a *serviceActions) setWeight(float64) {}
 
-// failAttempts ends the open calls on a replica that does not answer. When connections
-// broke before, it crashed.
+// failAttempts cancels the open calls to an unresponsive replica. If connections to it
+// broke before, it is taken to have crashed, and their requests are recorded as
+// possible causes.
 func (a *serviceActions) failAttempts() {
-	if lost := a.replica.lost; len(lost) > 0 {
-		a.pool.poisons.crashed(a.replica.instance.ID, slices.Collect(maps.Values(lost)))
+	if lost := a.replica.lostCalls; len(lost) > 0 {
+		a.pool.poison.recordCrash(a.replica.instance.ID, slices.Collect(maps.Values(lost)))
 		clear(lost)
 	}
 	a.replica.failAttempts()
@@ -104,30 +106,30 @@
 	}
 }
 
-// readLoad asks a replica for its load report. Replicas that serve none are
-// taken as staying.
+// readLoad reads the load report of a replica to detect that it is leaving. A replica
+// that serves no load report is taken as not leaving.
 func (s *servicePool) readLoad(ctx context.Context, rep *serviceReplica) {
 	s.mu.Lock()
 	address := rep.instance.Address
 	s.mu.Unlock()
-	answer, err := s.client.Do(ctx, address, readCall(wire.PathLoad, true))
-	if err != nil || answer.Status != http.StatusOK {
+	response, err := s.client.Do(ctx, address, getCall(wire.PathLoad, true))
+	if err != nil || response.Status != http.StatusOK {
 		return
 	}
 	var report wire.LoadReport
-	if err := json.Unmarshal(answer.Body, &report); err != nil || !report.Leaving {
+	if err := json.Unmarshal(response.Body, &report); err != nil || !report.Leaving {
 		return
 	}
 	s.observe(rep, health.Leaving{Source: health.FromUpstream})
 }
 
-func readCall(path string, idempotent bool) service.Call {
+func getCall(path string, idempotent bool) service.Call {
 	return service.Call{Method: http.MethodGet, Path: path, Header: http.Header{}, Idempotent: idempotent}
 }
 
-// refusesWork tells whether a replica refused a call because it leaves; nothing
-// ran then.
-func refusesWork(a *service.Answer) bool {
+// isLeavingRefusal reports whether the replica refused the call because it is leaving.
+// Such a call was not executed.
+func isLeavingRefusal(a *service.Answer) bool {
 	if a.Status != http.StatusServiceUnavailable {
 		return false
 	}
@@ -135,8 +137,8 @@
 	return json.Unmarshal(a.Body, &body) == nil && body.Code == wire.CodeLeaving
 }
 
-// connectionFailed tells whether a call failed by its connection. Calls that a
-// caller made malformed say nothing about the replica.
+// connectionFailed reports whether a call failed because of its connection. Other
+// errors, such as a malformed client request, do not indicate a fault of the replica.
 func connectionFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
