--- a/node/app/app.go
+++ b/node/app/app.go
@@ -1,4 +1,4 @@
-// Package app assembles one entry instance from its parts.
+// Package app wires the components of one entry instance together and runs them.
 package app
 
 import (
@@ -33,13 +33,15 @@
 	"masticbank.example/node/settings"
 )
 
-// adminRequests bounds the administration requests handled at once.
-const adminRequests = 64
+// maxAdminRequests limits the concurrent connections and requests of the
+// administration API.
+const maxAdminRequests = 64
 
 // Options configures an App.
 type Options struct {
 	Settings *settings.Settings
-	// ConfigDir is the folder of INI files used when no log is set.
+	// ConfigDir is the directory of INI files that hold the configuration when
+	// platform.log is not set.
 	ConfigDir string
 	Version   string
 	Logger    *zap.Logger
@@ -48,37 +50,37 @@
 
 // App is one running entry instance. It is safe for concurrent use.
 type App struct {
-	opts      Options
-	log       *zap.Logger
-	state     state
-	metrics   *metrics.Registry
-	router    *router.Router
-	engines   engine.Client
-	services  *service.Client
-	poller    *instancelist.Poller
-	logs      logstream.Log // nil without a log
-	appenders []*logstream.Appender
-	reads     *readTimes          // of the configuration stream; nil without a log
-	follower  *follower.Follower  // nil without a log
-	orders    *orders.Coordinator // nil without a log
-	duties    *duty.Keeper        // nil without a log
-	sharer    *sharing.Sharer     // nil when the instance runs alone
-	neighbors *neighbor.Chooser
-	peers     *peer.Node // nil when the instance runs alone
-	callers   *httpserver.Server
-	admin     *httpserver.Server
-
-	// stop runs stopOnce, whose result is stopped.
-	stop    sync.Once
-	stopped error
+	opts         Options
+	logger       *zap.Logger
+	state        state
+	metrics      *metrics.Registry
+	router       *router.Router
+	engines      engine.Client
+	services     *service.Client
+	poller       *instancelist.Poller
+	platformLog  logstream.Log // the platform's log; nil when platform.log is not set
+	appenders    []*logstream.Appender
+	configLog    *lagTracker         // reads the configuration stream; nil without a log
+	follower     *follower.Follower  // nil without a log
+	orders       *orders.Coordinator // nil without a log
+	leaderTasks  *duty.Keeper        // nil without a log
+	sharer       *sharing.Sharer     // nil when listen.peers is not set
+	neighbors    *neighbor.Chooser
+	peers        *peer.Node // nil when listen.peers is not set
+	clientServer *httpserver.Server
+	adminServer  *httpserver.Server
+
+	// stopOnce makes Stop run shutdown only once; stopErr holds its result.
+	stopOnce sync.Once
+	stopErr  error
 
 	cancel context.CancelFunc
 	group  *errgroup.Group
 }
 
-// Start assembles and starts an instance. Stop ends it.
+// Start builds and starts an instance. Stop shuts it down.
 func Start(o Options) (*App, error) {
-	a := &App{opts: o, log: o.Logger, metrics: metrics.New(metrics.Options{}), services: service.New(), engines: httpjson.New()}
+	a := &App{opts: o, logger: o.Logger, metrics: metrics.New(metrics.Options{}), services: service.New(), engines: httpjson.New()}
 	policy, ok := route.ParsePolicy(o.Settings.Policy.Route)
 	if !ok {
 		return nil, trace.BadParameter("unknown route policy %q", o.Settings.Policy.Route)
@@ -90,13 +92,13 @@
 		ID:          o.Settings.Instance.ID,
 		Engines:     a.engines,
 		Services:    a.services,
-		Orders:      a.orderPort(),
-		Metrics:     &observer{registry: a.metrics, log: a.log, leaving: a.announceLeaving},
-		Logger:      a.log,
+		Orders:      a.orderCoordinator(),
+		Metrics:     &observer{registry: a.metrics, logger: a.logger, announceLeaving: a.announceLeaving},
+		Logger:      a.logger,
 		RoutePolicy: policy,
 		FIFO:        o.Settings.Policy.Admission == "fifo",
 		Wake:        a.wakeSharer,
-		Seed:        seedOf(o.Settings.Instance.ID),
+		Seed:        routerSeed(o.Settings.Instance.ID),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
@@ -110,7 +112,7 @@
 }
 
 func (a *App) start(ctx context.Context) error {
-	a.runLog(ctx)
+	a.startLogTasks(ctx)
 	if err := a.startConfig(ctx); err != nil {
 		return trace.Wrap(err)
 	}
@@ -120,7 +122,7 @@
 	if err := a.startInstances(ctx); err != nil {
 		return trace.Wrap(err)
 	}
-	a.run(ctx, a.setGauges)
+	a.runInGroup(ctx, a.setGauges)
 	a.group.Go(func() error {
 		a.metrics.Run(ctx)
 		return nil
@@ -128,7 +130,7 @@
 	if err := a.startServers(); err != nil {
 		return trace.Wrap(err)
 	}
-	a.log.Info("serving", zap.String("callers", a.CallerAddr()), zap.String("admin", a.AdminAddr()),
+	a.logger.Info("serving", zap.String("callers", a.CallerAddr()), zap.String("admin", a.AdminAddr()),
 		zap.String("instance", a.opts.Settings.Instance.ID), zap.String("zone", a.opts.Settings.Instance.Zone))
 	return nil
 }
@@ -140,13 +142,15 @@
 	}
 	a.poller = instancelist.NewPoller(lister, instancelist.PollerOptions{
 		Interval: a.opts.Settings.Platform.InstancePeriod,
-		Logger:   a.log,
+		Logger:   a.logger,
 		OnUpdate: a.onInstances,
 	})
-	a.run(ctx, a.poller.Run)
+	a.runInGroup(ctx, a.poller.Run)
 	return nil
 }
 
+// onInstances passes a new instance list of the platform to the router and to the
+// peer connections.
 func (a *App) onInstances(s instancelist.Snapshot) {
 	a.router.SetInstances(s.Instances)
 	a.setPeers(s.Instances)
@@ -156,23 +160,23 @@
 func (a *App) startServers() error {
 	l := a.opts.Settings.Limits
 	var err error
-	a.callers, err = httpserver.Start(httpserver.Options{
+	a.clientServer, err = httpserver.Start(httpserver.Options{
 		Address:        a.opts.Settings.Listen.Callers,
 		MaxBodyBytes:   l.MaxBodyBytes,
 		MaxConnections: l.MaxConnections,
 		MaxRequests:    l.MaxRequests,
 		IdleTimeout:    l.IdleTimeout,
-		Handler:        api.New(api.Options{Router: a.router, Logger: a.log, MaxBodyBytes: l.MaxBodyBytes, Ready: a.state.ready}),
+		Handler:        api.New(api.Options{Router: a.router, Logger: a.logger, MaxBodyBytes: l.MaxBodyBytes, Ready: a.state.ready}),
 		Malformed:      api.Malformed,
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	a.admin, err = httpserver.Start(httpserver.Options{
+	a.adminServer, err = httpserver.Start(httpserver.Options{
 		Address:        a.opts.Settings.Listen.Admin,
 		MaxBodyBytes:   maxConfigBytes,
-		MaxConnections: adminRequests,
-		MaxRequests:    adminRequests,
+		MaxConnections: maxAdminRequests,
+		MaxRequests:    maxAdminRequests,
 		IdleTimeout:    l.IdleTimeout,
 		Handler:        admin.New(admin.Options{Key: a.opts.Settings.Admin.Key, Level: a.opts.Level, Instance: a}),
 		Malformed:      api.Malformed,
@@ -180,16 +184,18 @@
 	return trace.Wrap(err)
 }
 
-// maxConfigBytes bounds a configuration sent to the administration API.
+// maxConfigBytes limits the size of a request to the administration API; the
+// largest is a configuration.
 const maxConfigBytes = 8 << 20
 
-// PublishMetrics shows the metrics in expvar, where one instance of a process
-// can have the name.
+// PublishMetrics publishes the metrics in expvar. Names in expvar are global to
+// the process, so only one App of a process can publish its metrics.
 func (a *App) PublishMetrics() error {
 	return trace.Wrap(a.metrics.Publish("masticbank"))
 }
 
-// PeerAddr returns the address for other entry instances, or "".
+// PeerAddr returns the address on which the instance listens for other entry
+// instances, or "" when listen.peers is not set.
 func (a *App) PeerAddr() string {
 	if a.peers == nil {
 		return ""
@@ -197,39 +203,41 @@
 	return a.peers.Addr().String()
 }
 
-// CallerAddr returns the address for callers.
-func (a *App) CallerAddr() string { return a.callers.Addr() }
+// CallerAddr returns the address on which the instance listens for clients.
+func (a *App) CallerAddr() string { return a.clientServer.Addr() }
 
-// AdminAddr returns the address for administration.
-func (a *App) AdminAddr() string { return a.admin.Addr() }
+// AdminAddr returns the address of the administration API.
+func (a *App) AdminAddr() string { return a.adminServer.Addr() }
 
-// Stop reports not ready, waits for the platform's balancer to notice, lets
-// the requests in progress finish until ctx ends, and ends the instance. Later calls
-// return the result of the first.
+// Stop shuts the instance down. It reports the instance as not ready, waits until
+// the platform's load balancer has noticed, lets requests in progress finish until
+// ctx ends, and then stops all components. Later calls return the result of the
+// first.
 func (a *App) Stop(ctx context.Context) error {
-	a.stop.Do(func() { a.stopped = a.stopOnce(ctx) })
-	return a.stopped
+	a.stopOnce.Do(func() { a.stopErr = a.shutdown(ctx) })
+	return a.stopErr
 }
 
-func (a *App) stopOnce(ctx context.Context) error {
-	a.log.Info("leaving", zap.Int("in_flight", a.callers.InFlight()))
+func (a *App) shutdown(ctx context.Context) error {
+	a.logger.Info("shutdown started", zap.Int("in_flight", a.clientServer.InFlight()))
 	a.state.leaving.Store(true)
 	a.setPeerState(membership.Leaving, peerpb.InstanceState_INSTANCE_STATE_LEAVING)
-	wait(ctx, a.opts.Settings.Limits.UnreadyDelay)
-	err := a.callers.Shutdown(ctx)
+	sleep(ctx, a.opts.Settings.Limits.UnreadyDelay)
+	err := a.clientServer.Shutdown(ctx)
 	err = trace.NewAggregate(err, a.closeLog(ctx))
 	a.cancel()
 	a.router.Close()
 	a.services.Close()
-	errs := []error{err, a.admin.Shutdown(ctx), a.group.Wait()}
+	errs := []error{err, a.adminServer.Shutdown(ctx), a.group.Wait()}
 	if a.peers != nil {
 		errs = append(errs, a.peers.Close(ctx))
 	}
-	a.log.Info("left", zap.Error(err))
+	a.logger.Info("shutdown finished", zap.Error(err))
 	return trace.NewAggregate(errs...)
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep returns after d, or earlier when ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -238,7 +246,8 @@
 	}
 }
 
-func seedOf(id string) uint64 {
+// routerSeed derives the seed of the router's random choices from an instance ID.
+func routerSeed(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	return h.Sum64()
--- a/node/app/config.go
+++ b/node/app/config.go
@@ -14,21 +14,21 @@
 	"masticbank.example/node/metrics"
 )
 
-// startConfig follows the log's configuration stream, or reads the folder of
-// INI files when the settings name no log.
+// startConfig starts following the log's configuration stream, or loads the
+// directory of INI files when platform.log is not set.
 func (a *App) startConfig(ctx context.Context) error {
 	if a.opts.Settings.Platform.Log == "" {
-		return a.readFolder()
+		return a.loadConfigDir()
 	}
 	if a.opts.ConfigDir != "" {
-		return trace.BadParameter("--config and platform.log exclude each other: publish the folder with masticctl instead")
+		return trace.BadParameter("--config and platform.log are mutually exclusive: publish the folder with masticctl instead")
 	}
-	a.run(ctx, a.follower.Run)
-	a.run(ctx, a.applyRevisions)
+	a.runInGroup(ctx, a.follower.Run)
+	a.runInGroup(ctx, a.applyRevisions)
 	return nil
 }
 
-func (a *App) readFolder() error {
+func (a *App) loadConfigDir() error {
 	if a.opts.ConfigDir == "" {
 		return trace.BadParameter("either --config or platform.log is required")
 	}
@@ -36,12 +36,13 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	a.apply(cfg, 1)
+	a.applyConfig(cfg, 1)
 	return nil
 }
 
-// run runs f until ctx ends.
-func (a *App) run(ctx context.Context, f func(context.Context) error) {
+// runInGroup starts f in the goroutine group of the instance. An error that f
+// returns after ctx has ended is ignored, as it results from the shutdown.
+func (a *App) runInGroup(ctx context.Context, f func(context.Context) error) {
 	a.group.Go(func() error {
 		err := f(ctx)
 		if ctx.Err() != nil {
@@ -51,7 +52,7 @@
 	})
 }
 
-// applyRevisions puts each accepted revision in force and offers it to peers.
+// applyRevisions activates each accepted revision and makes it available to peers.
 func (a *App) applyRevisions(ctx context.Context) error {
 	sub := a.follower.Subscribe()
 	defer sub.Close()
@@ -60,18 +61,18 @@
 		case <-ctx.Done():
 			return nil
 		case r := <-sub.C:
-			// Revision 0 is the empty stream.
+			// Revision 0 stands for an empty stream and has no configuration.
 			if r.Number == 0 || r.Number <= a.state.revision.Load() {
 				continue
 			}
-			a.apply(r.Config, r.Number)
-			a.shareState()
+			a.applyConfig(r.Config, r.Number)
+			a.shareConfigState()
 		}
 	}
 }
 
-// apply puts a configuration in force.
-func (a *App) apply(cfg *coreconfig.Config, revision uint64) {
+// applyConfig activates a configuration in the router and the metrics.
+func (a *App) applyConfig(cfg *coreconfig.Config, revision uint64) {
 	a.router.Configure(cfg)
 	names := make([]string, 0, len(cfg.Ranks))
 	for _, r := range cfg.Ranks {
@@ -80,10 +81,10 @@
 	a.metrics.SetRanks(names)
 	a.metrics.Set(metrics.ConfigRevision, int64(revision))
 	a.state.revision.Store(revision)
-	a.log.Info("configuration in force", zap.Uint64("revision", revision))
+	a.logger.Info("configuration applied", zap.Uint64("revision", revision))
 }
 
-// PublishTimeout bounds the wait for the log's decision on one proposal.
+// PublishTimeout limits the wait for the outcome of one configuration proposal.
 const PublishTimeout = 10 * time.Second
 
 // Publish implements admin.Instance.
@@ -105,7 +106,7 @@
 	return a.router.Config(), a.state.revision.Load()
 }
 
-// encodeState returns the state of the follower as peers exchange it.
+// encodeState encodes the state of the follower as the record that peers exchange.
 func encodeState(s record.Snapshot) ([]byte, error) {
 	data, err := record.Encode(record.Record{ID: "state", Snapshot: &s})
 	return data, trace.Wrap(err)
--- a/node/app/explain.go
+++ b/node/app/explain.go
@@ -53,7 +53,7 @@
 	return routeExplanation(&e), true
 }
 
-// ExplainPrompt gives the grounds of the route choice for a prompt.
+// ExplainPrompt implements admin.Instance.
 func (a *App) ExplainPrompt(model, prompt string, outputTokens int) (*admin.RouteExplanation, bool) {
 	e, ok := a.router.ExplainPrompt(model, prompt, outputTokens)
 	if !ok {
--- a/node/app/gauges.go
+++ b/node/app/gauges.go
@@ -11,35 +11,36 @@
 	"masticbank.example/node/router"
 )
 
-// gaugePeriod is the time between two settings of the gauges.
+// gaugePeriod is the interval at which the gauges are updated.
 const gaugePeriod = time.Second
 
-// readTimes is a logstream.Log that notes when a stream was last read up to its
-// end. It is safe for concurrent use.
-type readTimes struct {
+// lagTracker wraps the logstream.Log of one stream and records when the stream was
+// last read to its end. It is safe for concurrent use.
+type lagTracker struct {
 	logstream.Log
-	// end is the time of that read in nanoseconds since 1970, 0 for never.
-	end atomic.Int64
+	// lastEnd is the time of that read in Unix nanoseconds, or 0 before the first one.
+	lastEnd atomic.Int64
 }
 
-// Read implements logstream.Log. A read that finds no record has reached the end.
-func (l *readTimes) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (record.Batch, error) {
+// Read implements logstream.Log. A read that returns no record has reached the end.
+func (l *lagTracker) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (record.Batch, error) {
 	b, err := l.Log.Read(ctx, stream, from, limit, wait)
 	if err == nil && len(b.Entries) == 0 {
-		l.end.Store(time.Now().UnixNano())
+		l.lastEnd.Store(time.Now().UnixNano())
 	}
 	return b, err
 }
 
-// lag returns the time since the last read up to the end, or since start.
-func (l *readTimes) lag(now, start time.Time) time.Duration {
-	if end := l.end.Load(); end > 0 {
+// lag returns the time since the stream was last read to its end, or since start if
+// it never was.
+func (l *lagTracker) lag(now, start time.Time) time.Duration {
+	if end := l.lastEnd.Load(); end > 0 {
 		start = time.Unix(0, end)
 	}
 	return now.Sub(start)
 }
 
-// setGauges sets the gauges once a second until ctx ends.
+// setGauges updates the gauges every gaugePeriod until ctx ends.
 func (a *App) setGauges(ctx context.Context) error {
 	start := time.Now()
 	ticker := time.NewTicker(gaugePeriod)
@@ -49,16 +50,16 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			if a.reads != nil {
-				a.metrics.Set(metrics.LogLagMillis, a.reads.lag(now, start).Milliseconds())
+			if a.configLog != nil {
+				a.metrics.Set(metrics.LogLagMillis, a.configLog.lag(now, start).Milliseconds())
 			}
 			setPoolGauges(a.metrics, a.router.Status())
 		}
 	}
 }
 
-// setPoolGauges sets the gauges that add up all pools. An upstream is in use
-// when it gets new work.
+// setPoolGauges sets the gauges that are sums over all pools. The upstreams gauge
+// counts the upstreams that get new requests, which are those of positive weight.
 func setPoolGauges(m *metrics.Registry, pools []router.PoolStatus) {
 	var inFlight, queued, upstreams int
 	for _, p := range pools {
--- a/node/app/gauges_test.go
+++ b/node/app/gauges_test.go
@@ -18,33 +18,33 @@
 	"masticbank.example/node/service"
 )
 
-// someLog answers reads with batch or with err.
-type someLog struct {
+// stubLog returns batch and err from every read.
+type stubLog struct {
 	logstream.Log
 	batch record.Batch
 	err   error
 }
 
-func (l *someLog) Read(context.Context, string, uint64, int, time.Duration) (record.Batch, error) {
+func (l *stubLog) Read(context.Context, string, uint64, int, time.Duration) (record.Batch, error) {
 	return l.batch, l.err
 }
 
-// TestLogLagGauge reads to the end, then a batch that leaves records, then the
-// log is away: only the first counts.
+// TestLogLagGauge checks that only a read that reaches the end of the stream resets
+// the lag: a later read that returns records and one that fails do not.
 func TestLogLagGauge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &someLog{}
-		a := &App{metrics: metrics.New(metrics.Options{}), reads: &readTimes{Log: l}}
+		l := &stubLog{}
+		a := &App{metrics: metrics.New(metrics.Options{}), configLog: &lagTracker{Log: l}}
 		a.router = router.New(router.Options{Engines: httpjson.New(), Services: service.New(), Logger: zap.NewNop()})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- a.setGauges(ctx) }()
-		_, _ = a.reads.Read(ctx, "", 0, 1, 0)
+		_, _ = a.configLog.Read(ctx, "", 0, 1, 0)
 		l.batch.Entries = []record.Entry{{}}
 		time.Sleep(3 * time.Second)
-		_, _ = a.reads.Read(ctx, "", 0, 1, 0)
+		_, _ = a.configLog.Read(ctx, "", 0, 1, 0)
 		l.batch.Entries, l.err = nil, logstream.ErrUnavailable
-		_, _ = a.reads.Read(ctx, "", 0, 1, 0)
+		_, _ = a.configLog.Read(ctx, "", 0, 1, 0)
 		time.Sleep(2*time.Second + time.Millisecond)
 		require.EqualValues(t, 5000, a.metrics.Snapshot().Gauges["log_lag_ms"])
 		cancel()
--- a/node/app/loader.go
+++ b/node/app/loader.go
@@ -8,20 +8,22 @@
 	"masticbank.example/node/wire"
 )
 
-// newLoader returns the loader, which acts while this instance holds its duty.
+// newLoader returns the model loader, which is active only while this instance is
+// the leader of that task.
 func (a *App) newLoader() *loader.Loader {
 	return loader.New(loader.Options{
 		Engines:  a.engines,
-		Keeper:   a.duties,
+		Keeper:   a.leaderTasks,
 		Targets:  a.loaderTargets,
 		Wanted:   a.wantedModels,
 		Demand:   a.router.Demand,
 		MaxLoads: a.opts.Settings.Platform.MaxLoads,
-		Logger:   a.log,
+		Logger:   a.logger,
 	})
 }
 
-// loaderTargets returns the engines of the platform's list.
+// loaderTargets returns the engines of the platform's instance list, with what the
+// router knows of them.
 func (a *App) loaderTargets() []loader.Engine {
 	if a.poller == nil {
 		return nil
@@ -49,6 +51,7 @@
 	return out
 }
 
+// wantedModels returns the models of the active configuration.
 func (a *App) wantedModels() map[string]coreconfig.ModelConfig {
 	cfg := a.router.Config()
 	if cfg == nil {
--- a/node/app/log.go
+++ b/node/app/log.go
@@ -15,97 +15,101 @@
 )
 
 const (
-	// snapshotsPerRetention is how often the configuration is written again
-	// within the time for which the log keeps a record.
+	// snapshotsPerRetention is the number of configuration snapshots written within
+	// the log's retention time, so that a recent one is always retained.
 	snapshotsPerRetention = 8
 )
 
-// openLog makes the readers and writers of the log's streams, if a log is set.
+// openLog creates the readers and writers of the log's streams if platform.log is
+// set.
 func (a *App) openLog() error {
 	p := a.opts.Settings.Platform
 	if p.Log == "" {
 		return nil
 	}
-	a.logs = &logstream.HTTP{Base: p.Log}
-	a.reads = &readTimes{Log: a.logs}
+	a.platformLog = &logstream.HTTP{Base: p.Log}
+	a.configLog = &lagTracker{Log: a.platformLog}
 	a.follower = follower.New(follower.Options{
-		Log:               a.reads,
-		Appender:          a.appender(p.ConfigStream),
+		Log:               a.configLog,
+		Appender:          a.newAppender(p.ConfigStream),
 		Stream:            p.ConfigStream,
-		HoldsSnapshotDuty: a.holdsSnapshotDuty,
+		HoldsSnapshotDuty: a.leadsSnapshots,
 		SnapshotEvery:     p.LogRetention / snapshotsPerRetention,
-		Logger:            a.log,
+		Logger:            a.logger,
 	})
-	a.duties = duty.New(duty.Options{
-		Log:      a.logs,
-		Appender: a.appender(p.LeaseStream),
+	a.leaderTasks = duty.New(duty.Options{
+		Log:      a.platformLog,
+		Appender: a.newAppender(p.LeaseStream),
 		Stream:   p.LeaseStream,
 		Self:     a.opts.Settings.Instance.ID,
 		Terms:    duty.DefaultTerms(),
-		Logger:   a.log,
+		Logger:   a.logger,
 	})
-	a.duties.Want(duty.Snapshots, true)
+	a.leaderTasks.Want(duty.Snapshots, true)
 	var err error
 	a.orders, err = orders.New(orders.Options{
-		Log:      a.logs,
-		Appender: a.appender(p.OrderStream),
+		Log:      a.platformLog,
+		Appender: a.newAppender(p.OrderStream),
 		Stream:   p.OrderStream,
 		Claimant: a.opts.Settings.Instance.ID,
 		Policy:   orders.DefaultPolicy(p.LogRetention),
-		Logger:   a.log,
+		Logger:   a.logger,
 	})
 	return trace.Wrap(err, "platform.log_retention of %s", p.LogRetention)
 }
 
-// appender returns an appender to one stream; runLog runs it.
-func (a *App) appender(stream string) *logstream.Appender {
-	ap := logstream.NewAppender(a.logs, stream, logstream.AppenderOptions{})
+// newAppender returns an appender to one stream. startLogTasks starts it.
+func (a *App) newAppender(stream string) *logstream.Appender {
+	ap := logstream.NewAppender(a.platformLog, stream, logstream.AppenderOptions{})
 	a.appenders = append(a.appenders, ap)
 	return ap
 }
 
-// runLog runs the appenders and the reader of orders.
-func (a *App) runLog(ctx context.Context) {
+// startLogTasks starts the appenders, the order coordinator, the leader tasks and, if
+// platform.load_models is set, the model loader.
+func (a *App) startLogTasks(ctx context.Context) {
 	for _, ap := range a.appenders {
-		a.run(ctx, ap.Run)
+		a.runInGroup(ctx, ap.Run)
 	}
-	if a.logs == nil {
+	if a.platformLog == nil {
 		return
 	}
-	a.run(ctx, a.orders.Run)
-	a.run(ctx, a.duties.Run)
+	a.runInGroup(ctx, a.orders.Run)
+	a.runInGroup(ctx, a.leaderTasks.Run)
 	if a.opts.Settings.Platform.LoadModels {
-		a.duties.Want(loader.Duty, true)
-		a.run(ctx, a.newLoader().Run)
+		a.leaderTasks.Want(loader.Duty, true)
+		a.runInGroup(ctx, a.newLoader().Run)
 	}
 }
 
-// orderPort returns the coordinator, or nil without a log.
-func (a *App) orderPort() router.Orders {
+// orderCoordinator returns the order coordinator, or a nil interface without a log.
+func (a *App) orderCoordinator() router.Orders {
 	if a.orders == nil {
 		return nil
 	}
 	return a.orders
 }
 
-// holdsSnapshotDuty tells whether this instance writes snapshots.
-func (a *App) holdsSnapshotDuty() bool {
-	_, ok := a.duties.Valid(duty.Snapshots)
+// leadsSnapshots reports whether this instance is the leader that writes
+// configuration snapshots.
+func (a *App) leadsSnapshots() bool {
+	_, ok := a.leaderTasks.Valid(duty.Snapshots)
 	return ok
 }
 
-// closeLog records what calls have left and gives the duties back.
+// closeLog writes the pending order records and releases the leases of the leader
+// tasks.
 func (a *App) closeLog(ctx context.Context) error {
-	if a.logs == nil {
+	if a.platformLog == nil {
 		return nil
 	}
 	flushed := a.orders.Flush(ctx)
-	// A lease lapses by itself after its time to live, so that waiting longer for
-	// the log gains nothing.
+	// A lease expires after its time to live anyway, so waiting longer for the log
+	// gains nothing.
 	ctx, cancel := context.WithTimeout(ctx, duty.DefaultTerms().TTL)
 	defer cancel()
-	if err := a.duties.Release(ctx); err != nil {
-		a.log.Warn("duties lapse by themselves", zap.Error(err))
+	if err := a.leaderTasks.Release(ctx); err != nil {
+		a.logger.Warn("failed to release leader leases; they will expire", zap.Error(err))
 	}
 	return flushed
 }
--- a/node/app/logger.go
+++ b/node/app/logger.go
@@ -6,7 +6,7 @@
 )
 
 // NewLogger returns a logger that writes JSON lines to standard error, and its
-// level, which may be changed at any time.
+// level, which may be changed while the logger is in use.
 func NewLogger(level string) (*zap.Logger, zap.AtomicLevel, error) {
 	lv, err := zap.ParseAtomicLevel(level)
 	if err != nil {
--- a/node/app/observer.go
+++ b/node/app/observer.go
@@ -11,13 +11,13 @@
 	"masticbank.example/node/router"
 )
 
-// observer turns the router's measurements into metrics and one log line for
-// each finished request. It logs neither prompts nor keys.
+// observer records the router's events as metrics and logs one line for each
+// finished request. It logs neither prompts nor keys.
 type observer struct {
 	registry *metrics.Registry
-	log      *zap.Logger
-	// leaving tells the peers that an upstream leaves.
-	leaving func(upstream string)
+	logger   *zap.Logger
+	// announceLeaving informs the peers that an upstream is leaving.
+	announceLeaving func(upstream string)
 }
 
 var _ router.Metrics = (*observer)(nil)
@@ -39,7 +39,7 @@
 
 // Leaving implements router.Metrics.
 func (o *observer) Leaving(upstream string) {
-	o.leaving(upstream)
+	o.announceLeaving(upstream)
 }
 
 // TokenGap implements router.Metrics.
@@ -85,7 +85,7 @@
 }
 
 func (o *observer) logResult(r *router.Result) {
-	o.log.Info("request finished",
+	o.logger.Info("request finished",
 		zap.String("request", r.RequestID),
 		zap.String("workspace", r.Workspace),
 		zap.Int("rank", int(r.Rank)),
--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -20,16 +20,19 @@
 )
 
 const (
-	// digestBytesPerSecond bounds what digests cost an instance, over all peers
-	// together.
+	// digestBytesPerSecond limits the bandwidth that an instance spends on sending
+	// digests, summed over all peers.
 	digestBytesPerSecond = 5000
-	// poisonPeriod is the time between two looks for fingerprints to tell.
-	poisonPeriod = 250 * time.Millisecond
-	// poisonRepeat is the time after which a fingerprint is told again.
-	poisonRepeat = 30 * time.Second
+	// poisonCheckPeriod is the interval between checks for poison evidence and blocks to
+	// send to the peers.
+	poisonCheckPeriod = 250 * time.Millisecond
+	// poisonResendPeriod is the interval after which a blocked fingerprint is sent again,
+	// as a message may have been lost.
+	poisonResendPeriod = 30 * time.Second
 )
 
-// startPeers opens the listener for other entry instances, if one is set.
+// startPeers starts the connections to other entry instances if listen.peers is
+// set.
 func (a *App) startPeers(ctx context.Context) error {
 	s := a.opts.Settings
 	if s.Listen.Peers == "" {
@@ -40,7 +43,7 @@
 		Zone:    s.Instance.Zone,
 		Listen:  s.Listen.Peers,
 		Key:     []byte(s.Peers.Key),
-		Logger:  a.log,
+		Logger:  a.logger,
 		Handler: &peerHandler{app: a},
 	})
 	if err != nil {
@@ -49,18 +52,18 @@
 	a.peers = n
 	a.neighbors = neighbor.NewChooser(neighbor.DefaultLimits())
 	a.sharer = sharing.New(sharing.Options{
-		ID: s.Instance.ID, Peers: n, Pools: a.router, Logger: a.log,
-		OnMember: func(membership.Changed) { a.setEntries() },
-		Teller:   tellerConfig(s.Peers.DigestPeriod),
+		ID: s.Instance.ID, Peers: n, Pools: a.router, Logger: a.logger,
+		OnMember: func(membership.Changed) { a.updateEntryInstances() },
+		Teller:   publisherConfig(s.Peers.DigestPeriod),
 	})
-	a.run(ctx, a.sharer.Run)
-	a.run(ctx, a.sharePoison)
+	a.runInGroup(ctx, a.sharer.Run)
+	a.runInGroup(ctx, a.sharePoison)
 	return n.Start()
 }
 
-// tellerConfig returns how often digests are told. The longest time between two
-// is not below the least.
-func tellerConfig(period time.Duration) demand.TellerConfig {
+// publisherConfig returns the limits on how often digests are published. MaxPeriod is
+// raised to MinPeriod when the configured period exceeds the default.
+func publisherConfig(period time.Duration) demand.TellerConfig {
 	return demand.TellerConfig{
 		MinPeriod:      period,
 		MaxPeriod:      max(period, demand.DefaultMaxPeriod),
@@ -68,8 +71,9 @@
 	}
 }
 
-// setEntries tells the router which instances dispatch to the upstreams.
-func (a *App) setEntries() {
+// updateEntryInstances passes the IDs of the entry instances that dispatch to the
+// upstreams, this one included, to the router.
+func (a *App) updateEntryInstances() {
 	var live []string
 	for _, m := range a.sharer.Members() {
 		if m.State == membership.Ready || m.ID == a.opts.Settings.Instance.ID {
@@ -80,40 +84,42 @@
 	a.metrics.Set(metrics.Peers, int64(len(live)-1))
 }
 
-// sharePoison tells the peers of requests that crash upstreams, each when it is
-// found and again from time to time, as messages may be lost.
+// sharePoison sends the fingerprints of requests that crash upstreams to the peers
+// when they are found, and blocked ones again every
+// poisonResendPeriod, as messages may be lost.
 func (a *App) sharePoison(ctx context.Context) error {
-	ticker := time.NewTicker(poisonPeriod)
+	ticker := time.NewTicker(poisonCheckPeriod)
 	defer ticker.Stop()
-	told := map[poison.Fingerprint]time.Time{}
+	sentAt := map[poison.Fingerprint]time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			if news := a.router.PoisonNews(); !news.Empty() {
-				a.broadcast(peer.EncodeEvidence(news, now))
+			if evidence := a.router.PoisonNews(); !evidence.Empty() {
+				a.broadcast(peer.EncodeEvidence(evidence, now))
 			}
-			a.tellPoison(now, told)
+			a.sendPoisonBlocks(now, sentAt)
 		}
 	}
 }
 
-// tellPoison tells the blocks that were not told within poisonRepeat.
-func (a *App) tellPoison(now time.Time, told map[poison.Fingerprint]time.Time) {
+// sendPoisonBlocks sends the blocks that were not sent within poisonResendPeriod. It
+// records the times of sending in sentAt and removes expired blocks from it.
+func (a *App) sendPoisonBlocks(now time.Time, sentAt map[poison.Fingerprint]time.Time) {
 	blocks := a.router.PoisonBlocks()
 	current := map[poison.Fingerprint]bool{}
 	for _, b := range blocks {
 		current[b.Fingerprint] = true
-		if now.Sub(told[b.Fingerprint]) < poisonRepeat {
+		if now.Sub(sentAt[b.Fingerprint]) < poisonResendPeriod {
 			continue
 		}
-		told[b.Fingerprint] = now
+		sentAt[b.Fingerprint] = now
 		a.broadcast(poisonMessage(b, now))
 	}
-	for f := range told {
+	for f := range sentAt {
 		if !current[f] {
-			delete(told, f)
+			delete(sentAt, f)
 		}
 	}
 }
@@ -122,24 +128,25 @@
 	return &peerpb.Poison{Fingerprint: b.Fingerprint[:], TtlMs: uint32(b.Expiry.Sub(now).Milliseconds())}
 }
 
-// wakeSharer asks for a new computation of the shares when a request waits.
+// wakeSharer triggers a new computation of the capacity shares. The router calls it
+// when a request has to wait.
 func (a *App) wakeSharer() {
 	if a.sharer != nil {
 		a.sharer.Wake()
 	}
 }
 
-// setPeerState tells the peers the state of this instance.
-func (a *App) setPeerState(state membership.State, told peerpb.InstanceState) {
+// setPeerState publishes the state of this instance to the peers.
+func (a *App) setPeerState(state membership.State, peerState peerpb.InstanceState) {
 	if a.peers == nil {
 		return
 	}
 	a.sharer.SetState(state)
-	a.peers.SetState(told)
+	a.peers.SetState(peerState)
 }
 
-// setPeers keeps sessions with the neighbours among the entry instances of the
-// platform's list.
+// setPeers chooses the neighbors of this instance among the entry instances of the
+// platform's list and maintains sessions with them.
 func (a *App) setPeers(list []wire.Instance) {
 	if a.peers == nil {
 		return
@@ -161,33 +168,35 @@
 	a.peers.SetPeers(peers)
 }
 
-// shareState offers the accepted configuration to the peers.
-func (a *App) shareState() {
+// shareConfigState makes the accepted configuration available to the peers and reports
+// this instance as ready to them.
+func (a *App) shareConfigState() {
 	if a.peers == nil || a.follower == nil {
 		return
 	}
 	s := a.follower.State()
 	content, err := encodeState(s)
 	if err != nil {
-		a.log.Error("configuration state cannot be encoded", zap.Error(err))
+		a.logger.Error("failed to encode configuration state", zap.Error(err))
 		return
 	}
 	a.peers.SetConfigState(&peerpb.ConfigState{Revision: s.Revision, AsOfOffset: s.Next, Content: content})
 	a.setPeerState(membership.Ready, peerpb.InstanceState_INSTANCE_STATE_READY)
 }
 
-// peerHandler receives what peers send.
+// peerHandler handles the messages of peers.
 type peerHandler struct {
 	peer.NopHandler
 	app *App
 }
 
-// PeerUp implements peer.Handler. A new session gets what was told before it.
+// PeerUp implements peer.Handler. It sends all blocked fingerprints over the new
+// session, as the peer has missed earlier broadcasts.
 func (h *peerHandler) PeerUp(info peer.Info) {
 	now := time.Now()
 	for _, b := range h.app.router.PoisonBlocks() {
 		if err := h.app.peers.Send(info.ID, poisonMessage(b, now)); err != nil {
-			h.app.log.Warn("poison fingerprint cannot be sent", zap.String("peer", info.ID), zap.Error(err))
+			h.app.logger.Warn("failed to send poison fingerprint", zap.String("peer", info.ID), zap.Error(err))
 			return
 		}
 	}
@@ -218,11 +227,11 @@
 func (h *peerHandler) ConfigState(from string, state *peerpb.ConfigState) {
 	r, err := record.Decode(state.GetContent())
 	if err != nil || r.Snapshot == nil {
-		h.app.log.Warn("configuration state of a peer cannot be decoded", zap.String("peer", from), zap.Error(err))
+		h.app.logger.Warn("failed to decode configuration state of a peer", zap.String("peer", from), zap.Error(err))
 		return
 	}
 	if h.app.follower != nil && h.app.follower.Offer(*r.Snapshot) {
-		h.app.log.Info("configuration taken from a peer", zap.String("peer", from), zap.Uint64("revision", r.Snapshot.Revision))
+		h.app.logger.Info("configuration accepted from a peer", zap.String("peer", from), zap.Uint64("revision", r.Snapshot.Revision))
 	}
 }
 
@@ -239,19 +248,19 @@
 	return a.broadcast(&peerpb.Leaving{Upstream: upstream}) + 1, true
 }
 
-// announceLeaving tells the peers that an upstream leaves.
+// announceLeaving informs the peers that an upstream is leaving.
 func (a *App) announceLeaving(upstream string) {
 	a.broadcast(&peerpb.Leaving{Upstream: upstream})
 }
 
-// broadcast sends a message to every peer and returns their number.
+// broadcast sends a message to every peer and returns the number of peers.
 func (a *App) broadcast(m proto.Message) int {
 	if a.peers == nil {
 		return 0
 	}
 	n, err := a.peers.Broadcast(m)
 	if err != nil {
-		a.log.Error("message to peers cannot be sent", zap.Error(err))
+		a.logger.Error("failed to broadcast message to peers", zap.Error(err))
 	}
 	return n
 }
--- a/node/app/state.go
+++ b/node/app/state.go
@@ -4,15 +4,15 @@
 	"sync/atomic"
 )
 
-// state holds what decides whether the instance serves.
+// state holds the conditions of the instance's readiness.
 type state struct {
-	revision atomic.Uint64
-	listed   atomic.Bool
-	leaving  atomic.Bool
+	revision atomic.Uint64 // of the active configuration; 0 before the first
+	listed   atomic.Bool   // the platform's instance list was read
+	leaving  atomic.Bool   // shutdown has started
 }
 
-// ready tells whether callers are served, and why not. An instance that leaves
-// still serves the requests that reach it.
+// ready reports whether clients are served, and if not, why. An instance that is
+// shutting down still serves the requests that reach it.
 func (s *state) ready() (bool, string) {
 	if s.revision.Load() == 0 {
 		return false, "no configuration: neither the log nor a peer has given one"
@@ -23,7 +23,8 @@
 	return true, ""
 }
 
-// advertised tells whether the balancer is to send new requests, and why not.
+// advertised reports whether the load balancer should send new requests, and if
+// not, why.
 func (s *state) advertised() (bool, string) {
 	if s.leaving.Load() {
 		return false, "the instance is leaving"
--- a/node/app/status.go
+++ b/node/app/status.go
@@ -22,7 +22,7 @@
 		Ready:    ready,
 		Reason:   reason,
 		Revision: a.state.revision.Load(),
-		InFlight: a.callers.InFlight(),
+		InFlight: a.clientServer.InFlight(),
 	}
 	for _, p := range a.router.Status() {
 		s.Pools = append(s.Pools, poolStatus(p))
@@ -34,14 +34,15 @@
 	return s
 }
 
-// reasonLogAway is shown by an instance that has a configuration.
-const reasonLogAway = "the log is unavailable; the configuration in force stays"
+// reasonLogUnavailable is the log reason of an instance that already has a configuration
+// while the log is unavailable.
+const reasonLogUnavailable = "the log is unavailable; the configuration in force stays"
 
-// logReason tells why the log can't be followed at present, or "".
+// logReason returns why the log cannot be followed at present, or "" if it can.
 func (a *App) logReason() string {
 	_, reason := a.follower.Ready()
 	if reason == string(revision.ReasonUnavailable) && a.state.revision.Load() > 0 {
-		return reasonLogAway
+		return reasonLogUnavailable
 	}
 	return reason
 }
--- a/node/app/status_test.go
+++ b/node/app/status_test.go
@@ -13,14 +13,14 @@
 	"masticbank.example/node/logstream"
 )
 
-// awayLog fails every read and tells when the second one begins.
-type awayLog struct {
+// unavailableLog fails every read and closes second when the second read begins.
+type unavailableLog struct {
 	logstream.Log
 	reads  int
 	second chan struct{}
 }
 
-func (l *awayLog) Read(context.Context, string, uint64, int, time.Duration) (record.Batch, error) {
+func (l *unavailableLog) Read(context.Context, string, uint64, int, time.Duration) (record.Batch, error) {
 	l.reads++
 	if l.reads == 2 {
 		close(l.second)
@@ -28,10 +28,10 @@
 	return record.Batch{}, logstream.ErrUnavailable
 }
 
-// TestLogReason reads a log that is away, before and after a configuration is in
-// force.
+// TestLogReason checks the reason shown for an unavailable log before and after a
+// configuration is active.
 func TestLogReason(t *testing.T) {
-	l := &awayLog{second: make(chan struct{})}
+	l := &unavailableLog{second: make(chan struct{})}
 	a := &App{follower: follower.New(follower.Options{Log: l})}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -39,7 +39,7 @@
 	<-l.second
 	require.Equal(t, string(revision.ReasonUnavailable), a.logReason())
 	a.state.revision.Store(1)
-	require.Equal(t, reasonLogAway, a.logReason())
+	require.Equal(t, reasonLogUnavailable, a.logReason())
 	cancel()
 	require.Error(t, <-done)
 }
