--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves health, metrics and the administration API of one
-// instance on its own listener.
+// Package admin is the HTTP interface for operators of one instance: health,
+// metrics and the administration API. It has a listener of its own.
 package admin
 
 import (
@@ -16,40 +16,45 @@
 	"masticbank.example/core/config"
 )
 
-// Instance is what the administration API shows and changes. Implementations
-// are safe for concurrent use.
+// Instance is the entry instance that the administration API inspects and controls.
+// Implementations are safe for concurrent use.
 type Instance interface {
-	// Advertised tells whether the balancer is to send requests, and why not.
+	// Advertised reports whether the load balancer should send requests to the
+	// instance, and if not, why.
 	Advertised() (bool, string)
-	// Status describes the instance.
+	// Status returns the state of the instance, its pools and its peers.
 	Status() Status
-	// Config returns the configuration in force, which may be nil, and its
-	// revision.
+	// Config returns the active configuration and its revision. The configuration is
+	// nil before the first one.
 	Config() (*config.Config, uint64)
-	// Publish proposes a configuration in place of revision base and returns
-	// the new revision.
+	// Publish proposes a configuration that replaces revision base and returns the
+	// new revision.
 	Publish(ctx context.Context, author string, c *config.Config, base uint64) (uint64, error)
-	// Drain stops new work to an upstream on all instances that can be reached
-	// and returns their number. It returns false, and tells nobody, when this
-	// instance does not use the upstream.
+	// Drain stops new requests to an upstream on all reachable instances and returns
+	// their number, this one included. If this instance does not use the upstream,
+	// it returns false and informs no other instance.
 	Drain(upstream string) (instances int, known bool)
-	// ExplainRequest tells what is known of a request.
+	// ExplainRequest returns the queue position of a waiting request or the result of
+	// a recently finished one.
 	ExplainRequest(id string) (*RequestExplanation, bool)
-	// ExplainRoute gives the grounds of a route choice made now.
+	// ExplainRoute returns the route that would be chosen now and the estimates it is
+	// based on.
 	ExplainRoute(model string, promptTokens, outputTokens int) (*RouteExplanation, bool)
-	// ExplainPrompt is ExplainRoute for a prompt, whose prefixes may be cached.
+	// ExplainPrompt is like ExplainRoute for a given prompt, and so accounts for
+	// prefixes of it that replicas have cached.
 	ExplainPrompt(model, prompt string, outputTokens int) (*RouteExplanation, bool)
 }
 
 // Options configures a Server.
 type Options struct {
-	// Key is the bearer token that the API asks for.
+	// Key is the bearer token required by the administration API.
 	Key      string
 	Level    zap.AtomicLevel
 	Instance Instance
 }
 
-// Server serves the administration listener. It is safe for concurrent use.
+// Server is the handler of the administration listener. It is safe for concurrent
+// use.
 type Server struct {
 	opts Options
 	mux  *http.ServeMux
@@ -61,12 +66,12 @@
 	s.mux.HandleFunc("GET /healthz", s.health)
 	s.mux.HandleFunc("GET /readyz", s.readiness)
 	s.mux.Handle("GET /debug/vars", expvar.Handler())
-	s.mux.HandleFunc("GET /admin/v1/status", s.guard(s.status))
-	s.mux.HandleFunc("PUT /admin/v1/log-level", s.guard(s.logLevel))
-	s.mux.HandleFunc("GET /admin/v1/config", s.guard(s.config))
-	s.mux.HandleFunc("POST /admin/v1/config", s.guard(s.publish))
-	s.mux.HandleFunc("POST /admin/v1/drain", s.guard(s.drain))
-	s.mux.HandleFunc("GET /admin/v1/explain", s.guard(s.explain))
+	s.mux.HandleFunc("GET /admin/v1/status", s.requireKey(s.status))
+	s.mux.HandleFunc("PUT /admin/v1/log-level", s.requireKey(s.logLevel))
+	s.mux.HandleFunc("GET /admin/v1/config", s.requireKey(s.config))
+	s.mux.HandleFunc("POST /admin/v1/config", s.requireKey(s.publish))
+	s.mux.HandleFunc("POST /admin/v1/drain", s.requireKey(s.drain))
+	s.mux.HandleFunc("GET /admin/v1/explain", s.requireKey(s.explain))
 	return s
 }
 
@@ -75,8 +80,9 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// guard lets only holders of the key pass.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// requireKey wraps a handler so that it serves only requests with the administration
+// key.
+func (s *Server) requireKey(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if subtle.ConstantTimeCompare([]byte(key), []byte(s.opts.Key)) != 1 {
--- a/node/admin/config.go
+++ b/node/admin/config.go
@@ -16,8 +16,9 @@
 	writeJSON(w, http.StatusOK, Config{Revision: revision, Config: c})
 }
 
-// publish proposes a configuration. It answers 409 when another proposal came
-// before, and 202 when the fate of the proposal is not known.
+// publish proposes a configuration. It responds with 409 when another proposal for
+// the same base revision was accepted first, and with 202 when the outcome of the
+// proposal is unknown.
 func (s *Server) publish(w http.ResponseWriter, r *http.Request) {
 	var body Publish
 	dec := json.NewDecoder(r.Body)
--- a/node/admin/explain.go
+++ b/node/admin/explain.go
@@ -6,7 +6,8 @@
 	"strconv"
 )
 
-// RequestExplanation tells what became of a request, or where it waits.
+// RequestExplanation describes the result of a finished request or the queue
+// position of a waiting one.
 type RequestExplanation struct {
 	RequestID string `json:"request_id"`
 	Pool      string `json:"pool"`
@@ -29,7 +30,8 @@
 	EstimatedSeconds  float64  `json:"estimated_seconds"`
 }
 
-// RouteExplanation gives the grounds of a route choice made now.
+// RouteExplanation describes the route that would be chosen now and the estimates
+// for all replicas.
 type RouteExplanation struct {
 	Outcome          string               `json:"outcome"`
 	Route            []string             `json:"route"`
@@ -38,7 +40,8 @@
 	Replicas         []ReplicaExplanation `json:"replicas"`
 }
 
-// ReplicaExplanation is one replica in a RouteExplanation.
+// ReplicaExplanation holds the state and the estimate of one replica in a
+// RouteExplanation.
 type ReplicaExplanation struct {
 	ID         string  `json:"id"`
 	FirstLayer int     `json:"first_layer"`
@@ -51,8 +54,9 @@
 	Seconds    float64 `json:"seconds"`
 }
 
-// explain answers for a request ID, or for a request with the given model, prompt
-// or number of prompt tokens, and number of output tokens.
+// explain explains the request with the given ID, or the route of a hypothetical
+// request with the given model, prompt (or number of prompt tokens) and number of
+// output tokens.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	if id := q.Get("request"); id != "" {
@@ -73,15 +77,15 @@
 }
 
 func (s *Server) explainRoute(q url.Values) (*RouteExplanation, bool) {
-	model, output := q.Get("model"), number(q.Get("output_tokens"))
+	model, output := q.Get("model"), positiveNumber(q.Get("output_tokens"))
 	if prompt := q.Get("prompt"); prompt != "" {
 		return s.opts.Instance.ExplainPrompt(model, prompt, output)
 	}
-	return s.opts.Instance.ExplainRoute(model, number(q.Get("prompt_tokens")), output)
+	return s.opts.Instance.ExplainRoute(model, positiveNumber(q.Get("prompt_tokens")), output)
 }
 
-// number reads a positive number; anything else counts as 1.
-func number(text string) int {
+// positiveNumber parses a positive integer. Anything else results in 1.
+func positiveNumber(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		return 1
--- a/node/admin/message.go
+++ b/node/admin/message.go
@@ -2,23 +2,23 @@
 
 import "masticbank.example/core/config"
 
-// ErrorBody is the body of an unsuccessful answer.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-// Readiness is the answer of /readyz.
+// Readiness is the response of /readyz.
 type Readiness struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// LogLevel is the body of /admin/v1/log-level.
+// LogLevel is the request and response body of /admin/v1/log-level.
 type LogLevel struct {
 	Level string `json:"level"`
 }
 
-// Status describes one instance.
+// Status is the response of /admin/v1/status.
 type Status struct {
 	Instance string       `json:"instance"`
 	Zone     string       `json:"zone"`
@@ -29,11 +29,11 @@
 	InFlight int          `json:"in_flight"`
 	Pools    []PoolStatus `json:"pools"`
 	Peers    []PeerStatus `json:"peers"`
-	// LogReason is empty while the log can be followed.
+	// LogReason is why the log cannot be followed; it is empty while it can be.
 	LogReason string `json:"log_reason,omitempty"`
 }
 
-// PeerStatus describes one other entry instance.
+// PeerStatus describes the session with one other entry instance.
 type PeerStatus struct {
 	ID            string `json:"id"`
 	Zone          string `json:"zone"`
@@ -44,41 +44,44 @@
 	BytesReceived uint64 `json:"bytes_received"`
 }
 
-// Config is the configuration in force.
+// Config is the active configuration.
 type Config struct {
 	Revision uint64         `json:"revision"`
 	Config   *config.Config `json:"config"`
 }
 
-// Publish is the body of a proposal.
+// Publish is the body of a request that proposes a configuration.
 type Publish struct {
-	// Author is shown to operators whose proposal lost.
+	// Author is shown to operators whose proposal is rejected because this one was
+	// accepted first.
 	Author string `json:"author"`
 	// Base is the revision that the proposal replaces.
 	Base   uint64         `json:"base"`
 	Config *config.Config `json:"config"`
 }
 
-// Published is the answer to an accepted proposal.
+// Published is the response to an accepted proposal.
 type Published struct {
 	Revision uint64 `json:"revision"`
 }
 
-// Lost is the answer to a proposal that another one came before.
+// Lost is the response to a proposal that was rejected because another one for the
+// same base revision was accepted first. Winner is the author of that one.
 type Lost struct {
 	Error    string `json:"error"`
 	Revision uint64 `json:"revision"`
 	Winner   string `json:"winner"`
 }
 
-// Drain is the body of /admin/v1/drain.
+// Drain is the request body of /admin/v1/drain.
 type Drain struct {
 	Upstream string `json:"upstream"`
 }
 
-// Drained is the answer of /admin/v1/drain.
+// Drained is the response body of /admin/v1/drain.
 type Drained struct {
-	// Instances is the number of instances told, this one included.
+	// Instances is the number of instances that were sent the request, this one
+	// included.
 	Instances int `json:"instances"`
 }
 
--- a/node/api/api.go
+++ b/node/api/api.go
@@ -1,5 +1,6 @@
-// Package api serves callers: the OpenAI-compatible completion endpoints and
-// the calls to plain services. Every answer says whether the request ran.
+// Package api is the HTTP interface for clients: the OpenAI-compatible completion
+// endpoints and calls to plain services. Every response reports whether the request
+// was executed.
 package api
 
 import (
@@ -18,24 +19,27 @@
 	"masticbank.example/node/router"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	// HeaderRank names a rank that is not more urgent than the workspace's.
+	// HeaderRank selects a rank, which must not be more urgent than the workspace's
+	// default rank.
 	HeaderRank = "X-Masticbank-Rank"
-	// HeaderDeadline holds seconds from now, or a time as in RFC 3339.
+	// HeaderDeadline holds a number of seconds from now or an RFC 3339 time.
 	HeaderDeadline = "X-Masticbank-Deadline"
-	// HeaderExecution holds "not_run", "unknown" or "ran".
+	// HeaderExecution reports whether the request was executed: "not_run", "unknown"
+	// or "ran".
 	HeaderExecution = "X-Masticbank-Execution"
 	// HeaderRequestID holds the ID under which the request is logged.
 	HeaderRequestID = "X-Masticbank-Request-Id"
-	// HeaderReplayed is "true" when an answer was recorded earlier.
+	// HeaderReplayed is "true" when the response is the recorded one of an earlier
+	// call with the same idempotency key.
 	HeaderReplayed = "X-Masticbank-Replayed"
 	// HeaderKey holds the idempotency key of a call to a service.
 	HeaderKey = "Idempotency-Key"
-	// HeaderKeyDate holds the time, as in RFC 3339, at which the caller made the
-	// key; a key that is a UUID of version 7 carries it.
+	// HeaderKeyDate holds the RFC 3339 time at which the client generated the
+	// idempotency key. A key that is a UUID of version 7 contains it already.
 	HeaderKeyDate = "X-Masticbank-Key-Date"
-	// HeaderFirstUse is "true" when the caller has not sent the key before.
+	// HeaderFirstUse is "true" when the client has not sent the key before.
 	HeaderFirstUse = "X-Masticbank-First-Use"
 )
 
@@ -44,11 +48,11 @@
 	Router       *router.Router
 	Logger       *zap.Logger
 	MaxBodyBytes int
-	// Ready tells whether requests are served, and why not.
+	// Ready reports whether requests are served, and if not, why.
 	Ready func() (bool, string)
 }
 
-// Server serves callers. It is safe for concurrent use.
+// Server is the handler of all client requests. It is safe for concurrent use.
 type Server struct {
 	opts Options
 	mux  *http.ServeMux
@@ -61,7 +65,7 @@
 	s.mux.HandleFunc("POST /v1/chat/completions", s.completion(openai.KindChat))
 	s.mux.HandleFunc("POST /v1/completions", s.completion(openai.KindText))
 	s.mux.HandleFunc("GET /v1/models", s.models)
-	s.mux.HandleFunc("/services/{service}/{path...}", s.service)
+	s.mux.HandleFunc("/services/{service}/{path...}", s.callService)
 	s.mux.HandleFunc("/", s.notFound)
 	return s
 }
@@ -71,7 +75,8 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// call is what every request needs before it is served.
+// call holds the authenticated workspace, rank and deadline of one request and the
+// configuration it is served with.
 type call struct {
 	id        string
 	arrived   time.Time
@@ -81,37 +86,39 @@
 	cfg       *config.Config
 }
 
-// failure is an answer that is given before a request reaches the router.
-type failure struct {
+// apiError is an error response to a request that has not reached the router.
+type apiError struct {
 	status  int
 	code    string
 	message string
 	param   string
 }
 
-// begin authenticates the caller and reads rank and deadline. It returns a
-// failure when the request cannot be served.
-func (s *Server) begin(r *http.Request) (*call, *failure) {
+// beginCall authenticates the client and parses rank and deadline. When the request
+// cannot be served, it returns an error and a call that has only an ID.
+func (s *Server) beginCall(r *http.Request) (*call, *apiError) {
 	c := &call{id: uuid.NewString(), arrived: time.Now()}
 	if ok, reason := s.opts.Ready(); !ok {
-		return c, &failure{status: http.StatusServiceUnavailable, code: string(router.CodeNotReady), message: reason}
+		return c, &apiError{status: http.StatusServiceUnavailable, code: string(router.CodeNotReady), message: reason}
 	}
 	c.cfg = s.opts.Router.Config()
 	if c.cfg == nil {
-		return c, &failure{status: http.StatusServiceUnavailable, code: string(router.CodeNotReady), message: "no configuration is in force"}
+		return c, &apiError{status: http.StatusServiceUnavailable, code: string(router.CodeNotReady), message: "no configuration is in force"}
 	}
-	workspace, ok := s.index(c.cfg).workspace(r.Header.Get("Authorization"))
+	workspace, ok := s.currentKeyIndex(c.cfg).workspace(r.Header.Get("Authorization"))
 	if !ok {
-		return c, &failure{status: http.StatusUnauthorized, code: "invalid_api_key", message: "the API key is missing or unknown"}
+		return c, &apiError{status: http.StatusUnauthorized, code: "invalid_api_key", message: "the API key is missing or unknown"}
 	}
 	c.workspace = workspace
-	if f := c.readRank(r.Header.Get(HeaderRank)); f != nil {
+	if f := c.setRank(r.Header.Get(HeaderRank)); f != nil {
 		return c, f
 	}
-	return c, c.readDeadline(r.Header.Get(HeaderDeadline))
+	return c, c.setDeadline(r.Header.Get(HeaderDeadline))
 }
 
-func (c *call) readRank(name string) *failure {
+// setRank sets the rank to the named one, or to the workspace's default rank if
+// name is empty.
+func (c *call) setRank(name string) *apiError {
 	highest, _ := c.cfg.RankByName(c.cfg.Workspaces[c.workspace].DefaultRank)
 	c.rank = highest
 	if name == "" {
@@ -119,26 +126,27 @@
 	}
 	rank, ok := c.cfg.RankByName(name)
 	if !ok {
-		return &failure{status: http.StatusBadRequest, code: "unknown_rank", message: "unknown rank " + name, param: HeaderRank}
+		return &apiError{status: http.StatusBadRequest, code: "unknown_rank", message: "unknown rank " + name, param: HeaderRank}
 	}
 	if rank < highest {
-		return &failure{status: http.StatusForbidden, code: "rank_not_allowed", message: "the workspace may not use rank " + name, param: HeaderRank}
+		return &apiError{status: http.StatusForbidden, code: "rank_not_allowed", message: "the workspace may not use rank " + name, param: HeaderRank}
 	}
 	c.rank = rank
 	return nil
 }
 
-func (c *call) readDeadline(text string) *failure {
+// setDeadline sets the deadline to the earlier one of the rank's and the client's.
+func (c *call) setDeadline(text string) *apiError {
 	c.deadline = c.arrived.Add(c.cfg.Ranks[c.rank].Deadline)
 	if text == "" {
 		return nil
 	}
 	at, err := parseDeadline(text, c.arrived)
 	if err != nil {
-		return &failure{status: http.StatusBadRequest, code: "invalid_deadline", message: err.Error(), param: HeaderDeadline}
+		return &apiError{status: http.StatusBadRequest, code: "invalid_deadline", message: err.Error(), param: HeaderDeadline}
 	}
 	if !at.After(c.arrived) {
-		return &failure{status: http.StatusGatewayTimeout, code: string(router.CodeDeadline), message: "the deadline has passed", param: HeaderDeadline}
+		return &apiError{status: http.StatusGatewayTimeout, code: string(router.CodeDeadline), message: "the deadline has passed", param: HeaderDeadline}
 	}
 	if at.Before(c.deadline) {
 		c.deadline = at
@@ -147,13 +155,13 @@
 }
 
 func (s *Server) notFound(w http.ResponseWriter, _ *http.Request) {
-	s.fail(w, uuid.NewString(), &failure{status: http.StatusNotFound, code: "not_found", message: "no such endpoint"})
+	s.writeError(w, uuid.NewString(), &apiError{status: http.StatusNotFound, code: "not_found", message: "no such endpoint"})
 }
 
 func (s *Server) models(w http.ResponseWriter, r *http.Request) {
-	c, f := s.begin(r)
+	c, f := s.beginCall(r)
 	if f != nil {
-		s.fail(w, c.id, f)
+		s.writeError(w, c.id, f)
 		return
 	}
 	list := openai.ModelList{Object: "list", Data: []openai.ModelItem{}}
@@ -163,8 +171,8 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// fail answers a request that did not reach an upstream.
-func (s *Server) fail(w http.ResponseWriter, id string, f *failure) {
+// writeError writes the error response to a request that has not reached the router.
+func (s *Server) writeError(w http.ResponseWriter, id string, f *apiError) {
 	w.Header().Set(HeaderRequestID, id)
 	w.Header().Set(HeaderExecution, execution.NotRun.String())
 	writeJSON(w, f.status, openai.ErrorBody{Error: openai.ErrorDetail{
@@ -177,8 +185,9 @@
 	}})
 }
 
-// Malformed returns the body of an answer that the server gives by itself: to a
-// message that cannot be parsed, and to a request that comes during shutdown.
+// Malformed returns the body of an error response that the HTTP server writes
+// without calling the handler: to a message that cannot be parsed, or to a request
+// that arrives during shutdown.
 func Malformed(status int) []byte {
 	code := "malformed_request"
 	switch status {
@@ -215,7 +224,7 @@
 	writeBody(w, status, "application/json", body)
 }
 
-// writeBody writes a whole answer with its length.
+// writeBody writes a complete response with its Content-Length.
 func writeBody(w http.ResponseWriter, status int, contentType string, body []byte) {
 	h := w.Header()
 	if contentType != "" {
--- a/node/api/auth.go
+++ b/node/api/auth.go
@@ -13,42 +13,43 @@
 	"masticbank.example/core/config"
 )
 
-// keyIndex finds the workspace of an API key.
+// keyIndex maps API keys to workspaces.
 type keyIndex struct {
-	cfg    *config.Config
-	owners map[string]string // workspace by hex SHA-256 of the key
+	cfg        *config.Config
+	workspaces map[string]string // workspace by hex SHA-256 of the key
 }
 
-// index returns the index of cfg; it is rebuilt when the configuration changes.
-func (s *Server) index(cfg *config.Config) *keyIndex {
+// currentKeyIndex returns the key currentKeyIndex of cfg. It is cached until the configuration changes.
+func (s *Server) currentKeyIndex(cfg *config.Config) *keyIndex {
 	if idx := s.keys.Load(); idx != nil && idx.cfg == cfg {
 		return idx
 	}
-	idx := &keyIndex{cfg: cfg, owners: map[string]string{}}
+	idx := &keyIndex{cfg: cfg, workspaces: map[string]string{}}
 	for name, w := range cfg.Workspaces {
 		for _, k := range w.KeySHA256 {
-			idx.owners[k] = name
+			idx.workspaces[k] = name
 		}
 	}
 	s.keys.Store(idx)
 	return idx
 }
 
-// workspace returns the workspace of an Authorization header.
+// workspace returns the workspace that the bearer token of an Authorization header
+// belongs to.
 func (k *keyIndex) workspace(header string) (string, bool) {
 	key, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok {
 		return "", false
 	}
 	sum := sha256.Sum256([]byte(strings.TrimSpace(key)))
-	name, ok := k.owners[hex.EncodeToString(sum[:])]
+	name, ok := k.workspaces[hex.EncodeToString(sum[:])]
 	return name, ok
 }
 
-// maxDeadlineSeconds bounds deadlines given in seconds.
+// maxDeadlineSeconds is the largest deadline that may be given in seconds.
 const maxDeadlineSeconds = 86400
 
-// parseDeadline reads seconds from now, or a time as in RFC 3339.
+// parseDeadline parses a number of seconds from now or an RFC 3339 time.
 func parseDeadline(text string, now time.Time) (time.Time, error) {
 	if s, err := strconv.ParseFloat(text, 64); err == nil {
 		if !(s >= -maxDeadlineSeconds && s <= maxDeadlineSeconds) {
--- a/node/api/bench_test.go
+++ b/node/api/bench_test.go
@@ -30,10 +30,10 @@
 	benchKey    = "key"
 )
 
-// engines answers at once for a whole fleet.
-type engines struct{ engine.Client }
+// stubEngines is an engine client whose calls all respond without delay.
+type stubEngines struct{ engine.Client }
 
-func (engines) Step(_ context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, error) {
+func (stubEngines) Step(_ context.Context, _ engine.Target, r *wire.StepRequest) (*wire.StepResponse, error) {
 	resp := &wire.StepResponse{RequestID: r.RequestID, Attempt: r.Attempt, Position: r.Position}
 	if r.LastLayer < benchLayers-1 {
 		resp.Hidden = []byte{1}
@@ -43,25 +43,25 @@
 	return resp, nil
 }
 
-func (engines) Cancel(context.Context, engine.Target, *wire.CancelRequest) error { return nil }
+func (stubEngines) Cancel(context.Context, engine.Target, *wire.CancelRequest) error { return nil }
 
-func (engines) Load(context.Context, engine.Target) (*wire.LoadReport, error) {
+func (stubEngines) Load(context.Context, engine.Target) (*wire.LoadReport, error) {
 	return &wire.LoadReport{Slots: 8, StepMillis: 1, PrefillTokensPerSecond: 8000}, nil
 }
 
-func (engines) Probe(context.Context, engine.Target) error { return nil }
+func (stubEngines) Probe(context.Context, engine.Target) error { return nil }
 
-func (engines) Forget(engine.Target) {}
+func (stubEngines) Forget(engine.Target) {}
 
-// unmeasured takes measurements and keeps none.
-type unmeasured struct{}
+// discardMetrics discards all measurements.
+type discardMetrics struct{}
 
-func (unmeasured) Dropped(attempt.DropKind)                    {}
-func (unmeasured) TokenGap(string, config.Rank, time.Duration) {}
-func (unmeasured) Finished(*router.Result)                     {}
-func (unmeasured) ConnectionReplaced(string)                   {}
-func (unmeasured) Ejected(string)                              {}
-func (unmeasured) Leaving(string)                              {}
+func (discardMetrics) Dropped(attempt.DropKind)                    {}
+func (discardMetrics) TokenGap(string, config.Rank, time.Duration) {}
+func (discardMetrics) Finished(*router.Result)                     {}
+func (discardMetrics) ConnectionReplaced(string)                   {}
+func (discardMetrics) Ejected(string)                              {}
+func (discardMetrics) Leaving(string)                              {}
 
 func benchConfig() *config.Config {
 	key := sha256.Sum256([]byte(benchKey))
@@ -89,7 +89,7 @@
 }
 
 func startServer(b *testing.B) string {
-	r := router.New(router.Options{Engines: engines{}, Metrics: unmeasured{}, Logger: zap.NewNop(), Seed: 1})
+	r := router.New(router.Options{Engines: stubEngines{}, Metrics: discardMetrics{}, Logger: zap.NewNop(), Seed: 1})
 	r.Configure(benchConfig())
 	r.SetInstances(benchFleet())
 	s, err := httpserver.Start(httpserver.Options{
@@ -122,10 +122,11 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkCompletion is the cost of one HTTP request through the caller API, the
-// router and three stages that answer at once, on one connection. The processor
-// time includes a plain client. The difference between two numbers of tokens is
-// the cost of a token; stream tells whether each is sent as an event.
+// BenchmarkCompletion measures one HTTP request through the client API, the router
+// and three stages that respond without delay, on one connection. The CPU time
+// includes a minimal client. The difference between the results for two numbers of
+// tokens is the cost of these tokens. With stream=true each token is sent as an
+// event.
 func BenchmarkCompletion(b *testing.B) {
 	for _, stream := range []bool{false, true} {
 		for _, tokens := range []int{1, 101} {
@@ -157,7 +158,7 @@
 	b.ReportMetric(float64(received)/float64(n), "answer-B/op")
 }
 
-// exchange sends one request and returns the length of the body of its answer.
+// exchange sends one request and returns the length of the response body.
 func exchange(b *testing.B, conn net.Conn, reader *bufio.Reader, message []byte) int64 {
 	if _, err := conn.Write(message); err != nil {
 		b.Fatal(err)
--- a/node/api/completion.go
+++ b/node/api/completion.go
@@ -18,38 +18,40 @@
 // completion returns the handler of one completion endpoint.
 func (s *Server) completion(kind openai.Kind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c, f := s.begin(r)
+		c, f := s.beginCall(r)
 		if f != nil {
-			s.fail(w, c.id, f)
+			s.writeError(w, c.id, f)
 			return
 		}
 		req, parsed, f := s.readCompletion(kind, c, r)
 		if f != nil {
-			s.fail(w, c.id, f)
+			s.writeError(w, c.id, f)
 			return
 		}
-		answer := openai.Answer{ID: c.id, Kind: kind, Model: parsed.Model, Created: c.arrived}
+		response := openai.Answer{ID: c.id, Kind: kind, Model: parsed.Model, Created: c.arrived}
 		w.Header().Set(HeaderRequestID, c.id)
 		if parsed.Stream {
-			s.stream(w, r, req, parsed, answer)
+			s.respondStream(w, r, req, parsed, response)
 			return
 		}
-		s.whole(w, r, req, answer)
+		s.respondWhole(w, r, req, response)
 	}
 }
 
-func (s *Server) readCompletion(kind openai.Kind, c *call, r *http.Request) (*router.Request, openai.Completion, *failure) {
+// readCompletion reads and checks the body of a completion request. The configured
+// maximum of output tokens of the model limits the requested one.
+func (s *Server) readCompletion(kind openai.Kind, c *call, r *http.Request) (*router.Request, openai.Completion, *apiError) {
 	body, f := s.readBody(r)
 	if f != nil {
 		return nil, openai.Completion{}, f
 	}
 	parsed, err := openai.Parse(kind, body)
 	if err != nil {
-		return nil, parsed, requestFailure(err)
+		return nil, parsed, requestError(err)
 	}
 	model, ok := c.cfg.Models[parsed.Model]
 	if !ok {
-		return nil, parsed, &failure{status: http.StatusNotFound, code: string(router.CodeUnknownModel), message: "unknown model " + parsed.Model, param: "model"}
+		return nil, parsed, &apiError{status: http.StatusNotFound, code: string(router.CodeUnknownModel), message: "unknown model " + parsed.Model, param: "model"}
 	}
 	maxTokens := model.MaxOutput
 	if parsed.MaxTokens > 0 {
@@ -67,19 +69,19 @@
 	}, parsed, nil
 }
 
-func (s *Server) readBody(r *http.Request) ([]byte, *failure) {
+func (s *Server) readBody(r *http.Request) ([]byte, *apiError) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, int64(s.opts.MaxBodyBytes)+1))
 	if err != nil {
-		return nil, &failure{status: http.StatusBadRequest, code: "malformed_request", message: "the body cannot be read"}
+		return nil, &apiError{status: http.StatusBadRequest, code: "malformed_request", message: "the body cannot be read"}
 	}
 	if len(body) > s.opts.MaxBodyBytes {
-		return nil, &failure{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: "the body is too large"}
+		return nil, &apiError{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: "the body is too large"}
 	}
 	return body, nil
 }
 
-func requestFailure(err error) *failure {
-	f := &failure{status: http.StatusBadRequest, code: "invalid_request", message: err.Error()}
+func requestError(err error) *apiError {
+	f := &apiError{status: http.StatusBadRequest, code: "invalid_request", message: err.Error()}
 	var re *openai.RequestError
 	if errors.As(err, &re) {
 		f.param = re.Param
@@ -87,7 +89,7 @@
 	return f
 }
 
-// textSink collects the tokens of a whole answer.
+// textSink collects the text of a response that is not streamed.
 type textSink struct {
 	text   strings.Builder
 	finish string
@@ -100,15 +102,16 @@
 	return nil
 }
 
-// whole answers with one JSON body, and only when every token is there.
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, req *router.Request, answer openai.Answer) {
+// respondWhole responds with one JSON body after the last token was generated; an
+// incomplete text is never sent.
+func (s *Server) respondWhole(w http.ResponseWriter, r *http.Request, req *router.Request, response openai.Answer) {
 	sink := &textSink{}
 	result := s.opts.Router.Generate(r.Context(), req, sink)
 	if !result.Complete {
 		writeResultError(w, &result)
 		return
 	}
-	body, err := answer.Whole(sink.text.String(), sink.finish, usage(req, &result))
+	body, err := response.Whole(sink.text.String(), sink.finish, usage(req, &result))
 	if err != nil {
 		writeResultError(w, &result)
 		return
@@ -117,12 +120,12 @@
 	writeBody(w, http.StatusOK, "application/json", body)
 }
 
-// streamSink writes each token as an event. The status line is sent with the
-// first token, so that a request that fails before it gets an error status.
+// streamSink writes each token as a server-sent event. The response header is sent
+// with the first token, so that a request that fails earlier gets an error status.
 type streamSink struct {
-	w       http.ResponseWriter
-	answer  openai.Answer
-	started bool
+	w        http.ResponseWriter
+	response openai.Answer
+	started  bool
 }
 
 // Token implements router.Sink.
@@ -131,11 +134,11 @@
 		t.started = true
 		t.w.Header().Set("Content-Type", "text/event-stream")
 		t.w.Header().Set("Cache-Control", "no-store")
-		// The first token proves that the request ran.
+		// The first token proves that the request was executed.
 		t.w.Header().Set(HeaderExecution, execution.Ran.String())
 		t.w.WriteHeader(http.StatusOK)
 	}
-	if err := t.answer.WriteChunk(t.w, tok.Text, tok.Finish); err != nil {
+	if err := t.response.WriteChunk(t.w, tok.Text, tok.Finish); err != nil {
 		return err
 	}
 	flush(t.w)
@@ -148,15 +151,15 @@
 	}
 }
 
-// stream answers with server-sent events. Only a complete answer ends with the
-// end mark.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, req *router.Request, parsed openai.Completion, answer openai.Answer) {
-	sink := &streamSink{w: w, answer: answer}
+// respondStream responds with server-sent events. Only a complete response ends with
+// the [DONE] event.
+func (s *Server) respondStream(w http.ResponseWriter, r *http.Request, req *router.Request, parsed openai.Completion, response openai.Answer) {
+	sink := &streamSink{w: w, response: response}
 	result := s.opts.Router.Generate(r.Context(), req, sink)
 	switch {
 	case result.Complete:
 		if parsed.IncludeUsage {
-			_ = answer.WriteUsage(w, usage(req, &result))
+			_ = response.WriteUsage(w, usage(req, &result))
 		}
 		_ = openai.WriteDone(w)
 		flush(w)
@@ -173,20 +176,21 @@
 	return openai.Usage{PromptTokens: prompt, CompletionTokens: result.Tokens, TotalTokens: prompt + result.Tokens}
 }
 
-// writeResultError answers a request that did not succeed.
+// writeResultError writes the error response to a request that the router could not
+// complete.
 func writeResultError(w http.ResponseWriter, result *router.Result) {
 	if result.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(wholeSeconds(result.RetryAfter)))
 	}
 	w.Header().Set(HeaderRequestID, result.RequestID)
 	w.Header().Set(HeaderExecution, result.Execution.String())
-	writeJSON(w, statusOf(result.Code), errorBody(result))
+	writeJSON(w, httpStatus(result.Code), errorBody(result))
 }
 
 func errorBody(result *router.Result) openai.ErrorBody {
 	return openai.ErrorBody{Error: openai.ErrorDetail{
 		Message:           result.Message,
-		Type:              errorType(statusOf(result.Code)),
+		Type:              errorType(httpStatus(result.Code)),
 		Code:              string(result.Code),
 		Execution:         result.Execution.String(),
 		RequestID:         result.RequestID,
@@ -194,12 +198,13 @@
 	}}
 }
 
-// wholeSeconds rounds up, as the Retry-After header holds whole seconds.
+// wholeSeconds rounds up to seconds, which is the unit of the Retry-After header.
 func wholeSeconds(d time.Duration) int {
 	return int(math.Ceil(d.Seconds()))
 }
 
-func statusOf(code router.Code) int {
+// httpStatus returns the HTTP status for an error code of the router.
+func httpStatus(code router.Code) int {
 	switch code {
 	case router.CodeUnknownModel, router.CodeUnknownService:
 		return http.StatusNotFound
--- a/node/api/service.go
+++ b/node/api/service.go
@@ -8,27 +8,29 @@
 	"masticbank.example/node/router"
 )
 
-// hopHeaders are not passed between callers and services (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+// unforwardedHeaders are the headers that are not forwarded between clients and services:
+// the hop-by-hop headers (RFC 9110, section 7.6.1), and the length and host, which
+// are set anew.
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// service passes a call to a plain service.
-func (s *Server) service(w http.ResponseWriter, r *http.Request) {
-	c, f := s.begin(r)
+// callService forwards a call to a plain callService.
+func (s *Server) callService(w http.ResponseWriter, r *http.Request) {
+	c, f := s.beginCall(r)
 	if f != nil {
-		s.fail(w, c.id, f)
+		s.writeError(w, c.id, f)
 		return
 	}
 	body, f := s.readBody(r)
 	if f != nil {
-		s.fail(w, c.id, f)
+		s.writeError(w, c.id, f)
 		return
 	}
-	date, f := keyDate(r)
+	date, f := parseKeyDate(r)
 	if f != nil {
-		s.fail(w, c.id, f)
+		s.writeError(w, c.id, f)
 		return
 	}
 	res := s.opts.Router.CallService(r.Context(), &router.ServiceRequest{
@@ -51,23 +53,25 @@
 		writeResultError(w, &res.Result)
 		return
 	}
-	writeServiceAnswer(w, &res)
+	writeServiceResponse(w, &res)
 }
 
-// keyDate reads the date of the idempotency key, which is zero when it is not
-// given.
-func keyDate(r *http.Request) (time.Time, *failure) {
+// parseKeyDate parses the time at which the idempotency key was generated. It is zero
+// when the header is missing.
+func parseKeyDate(r *http.Request) (time.Time, *apiError) {
 	text := r.Header.Get(HeaderKeyDate)
 	if text == "" {
 		return time.Time{}, nil
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return time.Time{}, &failure{status: http.StatusBadRequest, code: "invalid_key_date", message: "not a time as in RFC 3339", param: HeaderKeyDate}
+		return time.Time{}, &apiError{status: http.StatusBadRequest, code: "invalid_key_date", message: "not a time as in RFC 3339", param: HeaderKeyDate}
 	}
 	return at, nil
 }
 
+// servicePath returns the path and query for the service, which are those of the
+// request without the prefix that selects the service.
 func servicePath(r *http.Request) string {
 	path := "/" + strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+r.PathValue("service")+"/")
 	if r.URL.RawQuery != "" {
@@ -76,11 +80,11 @@
 	return path
 }
 
-// serviceHeader returns the headers for the service. The API key stays here;
-// the service gets the workspace instead.
+// serviceHeader returns the headers for the service. The API key is replaced by the
+// workspace, so that services never see keys.
 func serviceHeader(r *http.Request, c *call) http.Header {
 	h := r.Header.Clone()
-	for _, name := range hopHeaders {
+	for _, name := range unforwardedHeaders {
 		h.Del(name)
 	}
 	h.Del("Authorization")
@@ -89,13 +93,13 @@
 	return h
 }
 
-func writeServiceAnswer(w http.ResponseWriter, res *router.ServiceResult) {
+func writeServiceResponse(w http.ResponseWriter, res *router.ServiceResult) {
 	for name, values := range res.Answer.Header {
 		for _, v := range values {
 			w.Header().Add(name, v)
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range unforwardedHeaders {
 		w.Header().Del(name)
 	}
 	w.Header().Set(HeaderExecution, res.Execution.String())
