--- a/node/api/api.go
+++ b/node/api/api.go
@@ -95,7 +95,7 @@
 }
 
 // beginCall authenticates the client and parses rank and deadline. When the request
-// cannot be served, it returns an error and a call that has only an ID.
+// cannot be served, it returns an error and a call of which only the ID is valid.
 func (s *Server) beginCall(r *http.Request) (*call, *apiError) {
 	c := &call{id: uuid.NewString(), arrived: time.Now()}
 	if ok, reason := s.opts.Ready(); !ok {
--- a/node/config/bench_test.go
+++ b/node/config/bench_test.go
@@ -18,9 +18,9 @@
 	"masticbank.example/node/follower"
 )
 
-// sized returns a configuration with five models, ten services and the given
-// number of workspaces with one key each.
-func sized(workspaces int) *coreconfig.Config {
+// configOfSize returns a configuration with five models, ten services and the given
+// number of workspaces, each with one key.
+func configOfSize(workspaces int) *coreconfig.Config {
 	c := &coreconfig.Config{
 		Ranks: []coreconfig.RankConfig{
 			{Name: "urgent", FirstToken: time.Second, Deadline: 10 * time.Second, MinShare: 0.5},
@@ -49,12 +49,13 @@
 
 var sizes = []int{10, 200, 2000}
 
-// BenchmarkDecode is the cost of one revision for an instance that reads it, by
-// the size of its content, and the size of one workspace's entry.
+// BenchmarkDecode measures decoding one revision, as each instance does on reading it,
+// for several numbers of workspaces. It also reports the size of the content and of
+// one workspace's entry.
 func BenchmarkDecode(b *testing.B) {
 	for _, workspaces := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
-			c := sized(workspaces)
+			c := configOfSize(workspaces)
 			content, err := follower.EncodeJSON(c)
 			if err != nil {
 				b.Fatal(err)
@@ -75,11 +76,12 @@
 	}
 }
 
-// BenchmarkCompressed is the same for a content that was compressed with gzip.
+// BenchmarkCompressed measures the decompression of a configuration in JSON that was
+// compressed with gzip, and its compressed size.
 func BenchmarkCompressed(b *testing.B) {
 	for _, workspaces := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
-			content, err := follower.EncodeJSON(sized(workspaces))
+			content, err := follower.EncodeJSON(configOfSize(workspaces))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -105,14 +107,14 @@
 	}
 }
 
-// BenchmarkLoadDir is the cost of reading and checking a folder.
+// BenchmarkLoadDir measures loading and validating a directory of INI files.
 func BenchmarkLoadDir(b *testing.B) {
 	for _, workspaces := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
 			dir := b.TempDir()
 			var text bytes.Buffer
 			text.WriteString("[rank.middle]\npriority = 0\nfirst_token = 1s\ndeadline = 1m\nmin_share = 0.2\n\n[model.m]\nlayers = 40\nversion = 1\n")
-			for name, w := range sized(workspaces).Workspaces {
+			for name, w := range configOfSize(workspaces).Workspaces {
 				fmt.Fprintf(&text, "\n[workspace.%s]\nkey_sha256 = %s\nweight = %g\ndefault_rank = middle\n", name, w.KeySHA256[0], w.Weight)
 			}
 			if err := os.WriteFile(filepath.Join(dir, "10-all.ini"), text.Bytes(), 0o600); err != nil {
--- a/node/config/build.go
+++ b/node/config/build.go
@@ -12,28 +12,29 @@
 	"masticbank.example/node/inifile"
 )
 
-// Defaults of keys that may be left out.
+// Default values of optional keys.
 const (
-	defaultMaxOutput   = 1024
-	defaultTimeout     = 10 * time.Second
-	defaultWeight      = 1.0
-	defaultQueue       = 256
-	defaultPoolQueue   = 4096
-	defaultRetryRatio  = 0.1
-	defaultReserve     = 0.5
-	defaultStepTimeout = 2 * time.Second
-	defaultPoisonTTL   = 10 * time.Minute
+	defaultMaxOutput      = 1024
+	defaultServiceTimeout = 10 * time.Second
+	defaultWeight         = 1.0
+	defaultMaxQueued      = 256
+	defaultPoolMaxQueued  = 4096
+	defaultRetryRatio     = 0.1
+	defaultUrgentReserve  = 0.5
+	defaultStepTimeout    = 2 * time.Second
+	defaultPoisonTTL      = 10 * time.Minute
 )
 
-// section reads the keys of one merged section and keeps the first error.
+// section parses the values of one merged section. It records the keys that were
+// read and the first error.
 type section struct {
 	name   string
-	values map[string]value
+	values map[string]fileValue
 	used   map[string]bool
 	err    error
 }
 
-func (s *section) fail(key string, v value, reason string) {
+func (s *section) fail(key string, v fileValue, reason string) {
 	if s.err == nil {
 		s.err = &inifile.Error{File: v.file, Section: s.name, Key: key, Reason: reason}
 	}
@@ -96,7 +97,8 @@
 	return out
 }
 
-// finish returns the first error, or an error for the first unknown key.
+// finish returns the first error. A key that was never read is unknown and counts as
+// an error.
 func (s *section) finish() error {
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
 		if !s.used[key] {
@@ -106,8 +108,10 @@
 	return s.err
 }
 
-func (m *merged) build() (*config.Config, error) {
-	b := builder{
+// build builds the configuration from the merged sections. Ranks are sorted by
+// priority, those of equal priority by name.
+func (m *mergedFiles) build() (*config.Config, error) {
+	b := configBuilder{
 		ranks: map[string]int{},
 		cfg: &config.Config{
 			Models:     map[string]config.ModelConfig{},
@@ -127,16 +131,17 @@
 	return b.cfg, nil
 }
 
-func (m *merged) section(name string) *section {
+func (m *mergedFiles) section(name string) *section {
 	return &section{name: name, values: m.sections[name], used: map[string]bool{}}
 }
 
-type builder struct {
+// configBuilder adds sections to a configuration.
+type configBuilder struct {
 	cfg   *config.Config
 	ranks map[string]int // priority by rank name
 }
 
-func (b *builder) add(s *section) error {
+func (b *configBuilder) add(s *section) error {
 	kind, name, _ := strings.Cut(s.name, ".")
 	switch {
 	case s.name == "limits":
@@ -157,6 +162,8 @@
 	return s.finish()
 }
 
+// anyKey returns the alphabetically first key, to which an error that concerns the
+// whole section is attributed.
 func (s *section) anyKey() string {
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
 		return key
@@ -168,7 +175,7 @@
 	return s.values[s.anyKey()].file
 }
 
-func (b *builder) rank(name string, s *section) {
+func (b *configBuilder) rank(name string, s *section) {
 	b.ranks[name] = s.number("priority", len(b.ranks))
 	b.cfg.Ranks = append(b.cfg.Ranks, config.RankConfig{
 		Name:       name,
@@ -178,7 +185,7 @@
 	})
 }
 
-func (b *builder) model(name string, s *section) {
+func (b *configBuilder) model(name string, s *section) {
 	b.cfg.Models[name] = config.ModelConfig{
 		Layers:    s.number("layers", 0),
 		Version:   s.text("version", "1"),
@@ -186,32 +193,32 @@
 	}
 }
 
-func (b *builder) service(name string, s *section) {
+func (b *configBuilder) service(name string, s *section) {
 	methods := s.list("idempotent_methods")
 	if methods == nil {
 		methods = []string{"GET", "HEAD", "OPTIONS"}
 	}
 	b.cfg.Services[name] = config.ServiceConfig{
-		Timeout:           s.duration("timeout", defaultTimeout),
+		Timeout:           s.duration("timeout", defaultServiceTimeout),
 		IdempotentMethods: methods,
 	}
 }
 
-func (b *builder) workspace(name string, s *section) {
+func (b *configBuilder) workspace(name string, s *section) {
 	b.cfg.Workspaces[name] = config.WorkspaceConfig{
 		KeySHA256:   s.list("key_sha256"),
 		Weight:      s.float("weight", defaultWeight),
 		DefaultRank: s.text("default_rank", ""),
-		MaxQueued:   s.number("max_queued", defaultQueue),
+		MaxQueued:   s.number("max_queued", defaultMaxQueued),
 		MaxInFlight: s.number("max_in_flight", 0),
 	}
 }
 
-func (b *builder) limits(s *section) {
+func (b *configBuilder) limits(s *section) {
 	b.cfg.Limits = config.Limits{
-		MaxQueued:     s.number("max_queued", defaultPoolQueue),
+		MaxQueued:     s.number("max_queued", defaultPoolMaxQueued),
 		RetryRatio:    s.float("retry_ratio", defaultRetryRatio),
-		UrgentReserve: s.float("urgent_reserve", defaultReserve),
+		UrgentReserve: s.float("urgent_reserve", defaultUrgentReserve),
 		StepTimeout:   s.duration("step_timeout", defaultStepTimeout),
 		PoisonTTL:     s.duration("poison_ttl", defaultPoisonTTL),
 	}
--- a/node/config/diff.go
+++ b/node/config/diff.go
@@ -9,8 +9,9 @@
 	"masticbank.example/core/config"
 )
 
-// Diff returns one line for each section that differs: "+" for an added one,
-// "-" for a removed one, "~" for a changed one. A nil configuration is empty.
+// Diff returns one line for each section that differs, in the order of their names.
+// The line begins with "+" for an added section, "-" for a removed one and "~" for a
+// changed one. A nil configuration has no sections.
 func Diff(from, to *config.Config) []string {
 	a, b := sections(from), sections(to)
 	names := slices.Collect(maps.Keys(a))
@@ -36,29 +37,29 @@
 	return out
 }
 
-// sections returns the JSON of each section by its name.
+// sections returns the sections of c in JSON by name.
 func sections(c *config.Config) map[string]string {
 	out := map[string]string{}
 	if c == nil {
 		return out
 	}
 	for i, r := range c.Ranks {
-		out[fmt.Sprintf("rank.%s", r.Name)] = fmt.Sprintf("priority %d %s", i, text(r))
+		out[fmt.Sprintf("rank.%s", r.Name)] = fmt.Sprintf("priority %d %s", i, jsonText(r))
 	}
 	for name, m := range c.Models {
-		out["model."+name] = text(m)
+		out["model."+name] = jsonText(m)
 	}
 	for name, s := range c.Services {
-		out["service."+name] = text(s)
+		out["service."+name] = jsonText(s)
 	}
 	for name, w := range c.Workspaces {
-		out["workspace."+name] = text(w)
+		out["workspace."+name] = jsonText(w)
 	}
-	out["limits"] = text(c.Limits)
+	out["limits"] = jsonText(c.Limits)
 	return out
 }
 
-func text(v any) string {
+func jsonText(v any) string {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/node/config/load.go
+++ b/node/config/load.go
@@ -1,6 +1,6 @@
-// Package config reads the operators' configuration from a folder of INI
-// files, merged in the order of their names: a later file replaces single keys
-// of an earlier one.
+// Package config loads the configuration from a directory of INI files. The files
+// are merged in the order of their names; keys of a later file override those of an
+// earlier one.
 package config
 
 import (
@@ -18,21 +18,21 @@
 // maxFileBytes is the largest configuration file accepted.
 const maxFileBytes = 4 << 20
 
-// File is one named source of configuration.
+// File is one INI file of the configuration.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// LoadDir reads every *.ini file in dir, merges and validates them. The error
-// is an *inifile.Error.
+// LoadDir reads and merges all *.ini files in dir and validates the result. The
+// error is an *inifile.Error.
 func LoadDir(dir string) (*config.Config, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.ini"))
 	if err != nil {
 		return nil, &inifile.Error{File: dir, Reason: err.Error()}
 	}
 	if len(names) == 0 {
-		return nil, &inifile.Error{File: dir, Reason: "holds no *.ini file"}
+		return nil, &inifile.Error{File: dir, Reason: "contains no *.ini file"}
 	}
 	files := make([]File, 0, len(names))
 	for _, name := range names {
@@ -50,7 +50,7 @@
 func Merge(files []File) (*config.Config, error) {
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(a, b File) int { return strings.Compare(a.Name, b.Name) })
-	m := merged{sections: map[string]map[string]value{}}
+	m := mergedFiles{sections: map[string]map[string]fileValue{}}
 	for _, f := range files {
 		if err := m.add(f); err != nil {
 			return nil, err
@@ -66,17 +66,18 @@
 	return cfg, nil
 }
 
-// value is the text of one key and the file that set it last.
-type value struct {
+// fileValue is the text of one key and the name of the last file that sets it.
+type fileValue struct {
 	text string
 	file string
 }
 
-type merged struct {
-	sections map[string]map[string]value
+// mergedFiles holds the merged values by section and key.
+type mergedFiles struct {
+	sections map[string]map[string]fileValue
 }
 
-func (m *merged) add(f File) error {
+func (m *mergedFiles) add(f File) error {
 	if len(f.Data) > maxFileBytes {
 		return &inifile.Error{File: f.Name, Reason: fmt.Sprintf("is larger than %d bytes", maxFileBytes)}
 	}
@@ -87,16 +88,17 @@
 	for _, sec := range parsed.Sections() {
 		for _, key := range sec.Keys() {
 			if m.sections[sec.Name()] == nil {
-				m.sections[sec.Name()] = map[string]value{}
+				m.sections[sec.Name()] = map[string]fileValue{}
 			}
-			m.sections[sec.Name()][key.Name()] = value{text: strings.TrimSpace(key.String()), file: f.Name}
+			m.sections[sec.Name()][key.Name()] = fileValue{text: strings.TrimSpace(key.String()), file: f.Name}
 		}
 	}
 	return nil
 }
 
-// locate adds the file to a validation error.
-func (m *merged) locate(err error) error {
+// locate converts a validation error to an *inifile.Error that names the file of the
+// invalid key, or else any file that has the section.
+func (m *mergedFiles) locate(err error) error {
 	var fe *config.FieldError
 	if !errors.As(err, &fe) {
 		return &inifile.Error{File: "configuration", Reason: err.Error()}
--- a/node/inifile/inifile.go
+++ b/node/inifile/inifile.go
@@ -1,4 +1,5 @@
-// Package inifile parses INI sources and names the place of a problem in them.
+// Package inifile parses INI files and provides an error type that names the file,
+// section and key of an invalid value.
 package inifile
 
 import (
@@ -7,7 +8,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Error is an invalid value in an INI source.
+// Error reports a problem with an INI file. Section and Key are empty when it
+// concerns the whole file.
 type Error struct {
 	File    string
 	Section string
@@ -15,7 +17,7 @@
 	Reason  string
 }
 
-// Error returns file, section, key and reason in one line.
+// Error implements error.
 func (e *Error) Error() string {
 	if e.Section == "" {
 		return fmt.Sprintf("%s: %s", e.File, e.Reason)
@@ -23,8 +25,8 @@
 	return fmt.Sprintf("%s: section [%s] key %q: %s", e.File, e.Section, e.Key, e.Reason)
 }
 
-// Parse parses source, a path or the content as []byte, which errors call name.
-// The error is an *Error.
+// Parse parses source, which is a path (string) or the content ([]byte). The error is
+// an *Error whose File is name.
 func Parse(name string, source any) (*ini.File, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, source)
 	if err != nil {
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings of one process from an INI file. The
-// settings are fixed while the process runs; what operators change at run time
-// is configuration, which package config reads.
+// Package settings loads the settings of one process from an INI file. Settings are
+// read once at startup. What operators change at run time is the configuration, see
+// package config.
 package settings
 
 import (
@@ -25,21 +25,22 @@
 	Policy   Policy
 }
 
-// Instance identifies the process.
+// Instance identifies the entry instance and its location.
 type Instance struct {
 	ID     string
 	Zone   string
 	Region string
 }
 
-// Listen holds the addresses the process listens on, as IP:port.
+// Listen holds the addresses on which the process listens, as IP:port. Without an
+// address for Peers, the instance has no connections to other entry instances.
 type Listen struct {
 	Callers string
 	Admin   string
 	Peers   string
 }
 
-// Platform holds the base URLs of the platform's services.
+// Platform holds the base URLs of the platform's services and how they are used.
 type Platform struct {
 	InstanceList   string
 	InstancePeriod time.Duration
@@ -68,7 +69,7 @@
 	Level string
 }
 
-// Limits bounds what the process accepts.
+// Limits holds limits on requests, connections and the duration of the shutdown.
 type Limits struct {
 	MaxBodyBytes    int
 	MaxRequests     int
@@ -78,14 +79,14 @@
 	UnreadyDelay    time.Duration
 }
 
-// Policy selects the decision rules; values other than the defaults serve
-// measurement.
+// Policy selects the algorithms of routing and admission. Values other than the
+// defaults exist for comparison in measurements.
 type Policy struct {
 	Route     string
 	Admission string
 }
 
-// Load reads and checks the settings file at path. The error is an
+// Load loads and validates the settings file at path. The error is an
 // *inifile.Error.
 func Load(path string) (*Settings, error) {
 	f, err := inifile.Parse(path, path)
@@ -95,8 +96,8 @@
 	return parse(path, f)
 }
 
-// Parse reads and checks settings from memory. The error is an *inifile.Error
-// that names the source as name.
+// Parse parses and validates settings from memory. The error is an *inifile.Error
+// whose File is name.
 func Parse(name string, data []byte) (*Settings, error) {
 	f, err := inifile.Parse(name, data)
 	if err != nil {
@@ -110,8 +111,8 @@
 		return nil, err
 	}
 	s := &Settings{}
-	for _, field := range fields {
-		if err := field.read(name, f, s); err != nil {
+	for _, field := range settingSpecs {
+		if err := field.load(name, f, s); err != nil {
 			return nil, err
 		}
 	}
@@ -121,10 +122,11 @@
 	return s, nil
 }
 
+// rejectUnknown returns an error if f has a section or key that no setting has.
 func rejectUnknown(name string, f *ini.File) error {
 	known := map[string]bool{}
 	sections := map[string]bool{}
-	for _, field := range fields {
+	for _, field := range settingSpecs {
 		known[field.section+"\x00"+field.key] = true
 		sections[field.section] = true
 	}
@@ -141,6 +143,8 @@
 	return nil
 }
 
+// checkListeners checks that the listening addresses differ and that a listener for
+// peers has a shared key.
 func (s *Settings) checkListeners(name string) error {
 	seen := map[string]string{}
 	for _, l := range []struct{ key, address string }{
@@ -148,7 +152,7 @@
 		{"admin", s.Listen.Admin},
 		{"peers", s.Listen.Peers},
 	} {
-		// Port 0 takes a free port each time.
+		// Port 0 selects a free port, so equal addresses do not collide.
 		if l.address == "" || strings.HasSuffix(l.address, ":0") {
 			continue
 		}
--- a/node/settings/table.go
+++ b/node/settings/table.go
@@ -14,22 +14,24 @@
 	"masticbank.example/node/inifile"
 )
 
-// minKeyBytes is the shortest shared key accepted.
+// minKeyBytes is the minimum length of the administration key and of the peers'
+// shared key.
 const minKeyBytes = 16
 
-// field describes one setting: where it stands, its default, its meaning, and
-// how its text is stored.
-type field struct {
-	section  string
-	key      string
-	fallback string
-	required bool
-	help     string
-	set      func(*Settings, string) error
+// settingSpec describes one setting: its section and key, its default value, its help
+// text, and a function that parses the text and stores it in Settings.
+type settingSpec struct {
+	section      string
+	key          string
+	defaultValue string
+	required     bool
+	help         string
+	set          func(*Settings, string) error
 }
 
-func (d field) read(name string, f *ini.File, s *Settings) error {
-	value := d.fallback
+// load stores the value of the setting in s: the one in f, or else the default.
+func (d settingSpec) load(name string, f *ini.File, s *Settings) error {
+	value := d.defaultValue
 	if sec, err := f.GetSection(d.section); err == nil && sec.HasKey(d.key) {
 		value = strings.TrimSpace(sec.Key(d.key).String())
 	}
@@ -45,7 +47,8 @@
 	return nil
 }
 
-var fields = []field{
+// settingSpecs lists all settings in the order of the reference.
+var settingSpecs = []settingSpec{
 	{"instance", "id", "", true, "Unique ID of the instance.", func(s *Settings, v string) error { return text(&s.Instance.ID, v) }},
 	{"instance", "zone", "", true, "Availability zone of the instance.", func(s *Settings, v string) error { return text(&s.Instance.Zone, v) }},
 	{"instance", "region", "", false, "Region of the instance.", func(s *Settings, v string) error { return text(&s.Instance.Region, v) }},
@@ -61,21 +64,21 @@
 	{"platform", "order_stream", "masticbank.orders", false, "Log stream of non-idempotent calls.", func(s *Settings, v string) error { return text(&s.Platform.OrderStream, v) }},
 	{"platform", "lease_stream", "masticbank.leases", false, "Log stream of leases.", func(s *Settings, v string) error { return text(&s.Platform.LeaseStream, v) }},
 	{"platform", "log_retention", "24h", false, "Time for which the log service keeps a record.", func(s *Settings, v string) error { return duration(&s.Platform.LogRetention, v) }},
-	{"platform", "load_models", "false", false, "Whether the instances order engines to load models, through a duty that one of them holds.", func(s *Settings, v string) error { return boolean(&s.Platform.LoadModels, v) }},
-	{"platform", "max_loads", "2", false, "Loads at once that the weight store gives.", func(s *Settings, v string) error { return positive(&s.Platform.MaxLoads, v) }},
+	{"platform", "load_models", "false", false, "Whether the instances order engines to load models, through a duty that one of them holds.", func(s *Settings, v string) error { return boolValue(&s.Platform.LoadModels, v) }},
+	{"platform", "max_loads", "2", false, "Loads at once that the weight store gives.", func(s *Settings, v string) error { return positiveInt(&s.Platform.MaxLoads, v) }},
 
 	{"peers", "key", "", false, "Shared key by which entry instances authenticate each other.", func(s *Settings, v string) error { return text(&s.Peers.Key, v) }},
 	{"peers", "digest_period", "200ms", false, "Least time between two demand digests; without changes, one is sent each second or each period, whichever is longer.", func(s *Settings, v string) error { return duration(&s.Peers.DigestPeriod, v) }},
 
-	{"admin", "key", "", true, "Key that the administration API asks for as a bearer token.", func(s *Settings, v string) error { return secret(&s.Admin.Key, v) }},
+	{"admin", "key", "", true, "Key that the administration API asks for as a bearer token.", func(s *Settings, v string) error { return secretKey(&s.Admin.Key, v) }},
 
 	{"log", "level", "info", false, "Lowest level logged: debug, info, warn or error.", func(s *Settings, v string) error {
 		return oneOf(&s.Log.Level, v, "debug", "info", "warn", "error")
 	}},
 
-	{"limits", "max_body_bytes", "1048576", false, "Largest request body in bytes.", func(s *Settings, v string) error { return positive(&s.Limits.MaxBodyBytes, v) }},
-	{"limits", "max_requests", "8192", false, "Largest number of requests held at once, queued ones included.", func(s *Settings, v string) error { return positive(&s.Limits.MaxRequests, v) }},
-	{"limits", "max_connections", "16384", false, "Largest number of open caller connections.", func(s *Settings, v string) error { return positive(&s.Limits.MaxConnections, v) }},
+	{"limits", "max_body_bytes", "1048576", false, "Largest request body in bytes.", func(s *Settings, v string) error { return positiveInt(&s.Limits.MaxBodyBytes, v) }},
+	{"limits", "max_requests", "8192", false, "Largest number of requests held at once, queued ones included.", func(s *Settings, v string) error { return positiveInt(&s.Limits.MaxRequests, v) }},
+	{"limits", "max_connections", "16384", false, "Largest number of open caller connections.", func(s *Settings, v string) error { return positiveInt(&s.Limits.MaxConnections, v) }},
 	{"limits", "idle_timeout", "10m", false, "Time after which a caller connection without a new request is closed. Answers are bounded by the deadlines of their requests.", func(s *Settings, v string) error { return duration(&s.Limits.IdleTimeout, v) }},
 	{"limits", "shutdown_timeout", "60s", false, "Time that requests in progress get at shutdown.", func(s *Settings, v string) error { return duration(&s.Limits.ShutdownTimeout, v) }},
 	{"limits", "unready_delay", "2s", false, "Time between reporting not ready and refusing new connections at shutdown.", func(s *Settings, v string) error { return duration(&s.Limits.UnreadyDelay, v) }},
@@ -88,14 +91,14 @@
 	}},
 }
 
-// Reference returns a Markdown table of every setting, made from the table
-// that Load uses.
+// Reference returns a Markdown table of all settings. It is generated from the same
+// list that Load uses.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("| section | key | default | meaning |\n| --- | --- | --- | --- |\n")
-	for _, d := range fields {
-		fallback := "`" + d.fallback + "`"
-		if d.fallback == "" {
+	for _, d := range settingSpecs {
+		fallback := "`" + d.defaultValue + "`"
+		if d.defaultValue == "" {
 			fallback = "empty"
 		}
 		if d.required {
@@ -111,7 +114,8 @@
 	return nil
 }
 
-func secret(dst *string, v string) error {
+// secretKey accepts keys of at least minKeyBytes.
+func secretKey(dst *string, v string) error {
 	if len(v) < minKeyBytes {
 		return fmt.Errorf("must have at least %d characters", minKeyBytes)
 	}
@@ -127,6 +131,7 @@
 	return nil
 }
 
+// baseURL accepts http and https URLs and removes a trailing slash.
 func baseURL(dst *string, v string) error {
 	u, err := url.Parse(v)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -145,7 +150,7 @@
 	return nil
 }
 
-func positive(dst *int, v string) error {
+func positiveInt(dst *int, v string) error {
 	n, err := strconv.Atoi(v)
 	if err != nil || n < 1 {
 		return fmt.Errorf("%q is not a positive number", v)
@@ -154,7 +159,7 @@
 	return nil
 }
 
-func boolean(dst *bool, v string) error {
+func boolValue(dst *bool, v string) error {
 	b, err := strconv.ParseBool(v)
 	if err != nil {
 		return fmt.Errorf("%q is neither true nor false", v)
