--- a/node/api/service.go
+++ b/node/api/service.go
@@ -8,9 +8,9 @@
 	"masticbank.example/node/router"
 )
 
-// unforwardedHeaders are the headers that are not forwarded between clients and services:
-// the hop-by-hop headers (RFC 9110, section 7.6.1), and the length and host, which
-// are set anew.
+// unforwardedHeaders are the headers that are not forwarded between clients and
+// services: the hop-by-hop headers (RFC 9110, section 7.6.1), and the length and host,
+// which are set anew.
 var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Host",
--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -23,11 +23,11 @@
 	// digestBytesPerSecond limits the bandwidth that an instance spends on sending
 	// digests, summed over all peers.
 	digestBytesPerSecond = 5000
-	// poisonCheckPeriod is the interval between checks for poison evidence and blocks to
-	// send to the peers.
+	// poisonCheckPeriod is the interval between checks for poison evidence and blocks
+	// to send to the peers.
 	poisonCheckPeriod = 250 * time.Millisecond
-	// poisonResendPeriod is the interval after which a blocked fingerprint is sent again,
-	// as a message may have been lost.
+	// poisonResendPeriod is the interval after which a blocked fingerprint is sent
+	// again, as a message may have been lost.
 	poisonResendPeriod = 30 * time.Second
 )
 
--- a/node/app/status.go
+++ b/node/app/status.go
@@ -34,8 +34,8 @@
 	return s
 }
 
-// reasonLogUnavailable is the log reason of an instance that already has a configuration
-// while the log is unavailable.
+// reasonLogUnavailable is the log reason of an instance that already has a
+// configuration while the log is unavailable.
 const reasonLogUnavailable = "the log is unavailable; the configuration in force stays"
 
 // logReason returns why the log cannot be followed at present, or "" if it can.
--- a/node/httpserver/churn_test.go
+++ b/node/httpserver/churn_test.go
@@ -11,9 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEveryNewConnectionIsAnswered sends each request on a connection of its own,
-// many at once. Each must get its own answer.
-func TestEveryNewConnectionIsAnswered(t *testing.T) {
+// TestEveryNewConnectionGetsItsResponse sends each request over a connection of its
+// own, many concurrently, and checks that each gets its own response. When both sides
+// close a connection at the same time, nbio may close a new connection that got the
+// same file descriptor (see deferClose).
+func TestEveryNewConnectionGetsItsResponse(t *testing.T) {
 	const callers, requests = 32, 1500
 	s := start(t, func(w http.ResponseWriter, r *http.Request) {
 		body := r.URL.Query().Get("mark")
@@ -41,6 +43,6 @@
 		})
 	}
 	wg.Wait()
-	require.Zero(t, wrong.Load(), "answers of another request")
-	require.Zero(t, unanswered.Load(), "requests without an answer")
+	require.Zero(t, wrong.Load(), "responses to another request")
+	require.Zero(t, unanswered.Load(), "requests without a response")
 }
--- a/node/httpserver/answer.go
+++ b/node/httpserver/response.go
@@ -6,9 +6,9 @@
 	"net/http"
 )
 
-// rawAnswer encodes an answer outside of nbhttp's response writer, which needs
-// a parsed request.
-func rawAnswer(status int, body []byte) []byte {
+// rawResponse encodes an error response without nbhttp's response writer, which
+// requires a parsed request.
+func rawResponse(status int, body []byte) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	fmt.Fprintf(&b, "Content-Type: application/json\r\nContent-Length: %d\r\n", len(body))
--- a/node/httpserver/server.go
+++ b/node/httpserver/server.go
@@ -1,8 +1,8 @@
 // Package httpserver runs a net/http handler on nbhttp.
 //
-// It adds what nbhttp leaves to its user: a request context that ends when the
-// caller closes the connection, an HTTP answer to a message that cannot be
-// parsed, and a shutdown that waits for requests in progress.
+// It adds what nbhttp does not provide: a request context that is canceled when the
+// client closes the connection, an HTTP response to a message that cannot be parsed,
+// and a graceful shutdown that waits for requests in progress.
 package httpserver
 
 import (
@@ -21,36 +21,39 @@
 )
 
 const (
-	// headerBytes is the part of a message allowed beyond its body.
-	headerBytes = 64 << 10
-	// watchPeriod is the usual time between two checks for closed connections.
-	watchPeriod = 20 * time.Millisecond
-	// closeLinger is the time that a caller gets to close its connection.
-	closeLinger = 2 * time.Second
-	// rejectLinger is how long a rejected connection stays open, so that the
-	// caller can read the answer.
-	rejectLinger = time.Second
+	// maxHeaderBytes is the maximum size of a message without its body.
+	maxHeaderBytes = 64 << 10
+	// defaultCheckPeriod is the default interval between checks for closed connections
+	// and for responses that are completely written.
+	defaultCheckPeriod = 20 * time.Millisecond
+	// closeGracePeriod is the time for which the server waits for a client to close its
+	// connection before it does so itself.
+	closeGracePeriod = 2 * time.Second
+	// rejectGracePeriod is the time for which a connection stays open after the
+	// response to a message that cannot be parsed, so that the client can read it.
+	rejectGracePeriod = time.Second
 )
 
 // Options configures a Server.
 type Options struct {
-	// Address is IP:port; port 0 takes a free one.
+	// Address is IP:port; port 0 selects a free port.
 	Address string
-	// MaxBodyBytes is the largest request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int
-	// MaxConnections is the largest number of open connections.
+	// MaxConnections is the maximum number of open connections.
 	MaxConnections int
-	// MaxRequests is the largest number of requests handled at once.
+	// MaxRequests is the maximum number of requests handled concurrently.
 	MaxRequests int
-	// IdleTimeout closes a connection that sends no request.
+	// IdleTimeout is the time after which a connection without a request is closed.
 	IdleTimeout time.Duration
-	// WatchPeriod is the time between two checks for callers that have left; 0 means
-	// 20 ms. Each check wakes the process.
+	// WatchPeriod is the interval between checks for connections that clients have
+	// closed; 0 means 20 ms. Each check wakes the process.
 	WatchPeriod time.Duration
-	// Handler serves the requests.
+	// Handler handles the requests.
 	Handler http.Handler
-	// Malformed writes the body of an answer to a message that cannot be
-	// parsed. It must be safe for concurrent use.
+	// Malformed returns the body of a response that the server writes by itself: to a
+	// message that cannot be parsed, or to a request during shutdown. It must be safe
+	// for concurrent use.
 	Malformed func(status int) []byte
 }
 
@@ -62,52 +65,56 @@
 	inFlight atomic.Int64
 	mu       sync.Mutex
 	closing  bool
-	// draining answers ask callers to close their connections.
+	// draining is set while responses ask clients to close their connections.
 	draining atomic.Bool
+	// requests holds the cancel functions of requests in progress.
 	requests map[*nbio.Conn]context.CancelFunc
-	// answering holds the connections whose handler has returned while nbhttp
-	// may still be writing the end of the answer.
-	answering map[*nbio.Conn]struct{}
-	rejected  sync.Map // *nbio.Conn -> struct{}
-	// opened counts connections. The accepting goroutine adds to it before the
-	// polling goroutine sees the connection, and that one loads it: the kernel
-	// orders the two already, the counter tells the race detector so.
-	opened    atomic.Uint64
-	stopWatch context.CancelFunc
-	watchDone chan struct{}
+	// unflushed holds the connections whose handler has returned while nbhttp may
+	// still be writing the end of the response.
+	unflushed map[*nbio.Conn]struct{}
+	// rejected is the set of connections that sent a message that cannot be parsed;
+	// the keys are of type *nbio.Conn.
+	rejected sync.Map
+	// openedCount counts connections. The accepting goroutine increments it before the
+	// polling goroutine gets the connection and loads the counter. The kernel already
+	// orders these two events; the counter makes the order visible to the race
+	// detector.
+	openedCount atomic.Uint64
+	stopWatch   context.CancelFunc
+	watchDone   chan struct{}
 }
 
-// Start listens and serves until Shutdown.
+// Start starts a server, which runs until Shutdown.
 func Start(o Options) (*Server, error) {
 	logging.SetLevel(logging.LevelNone)
 	if o.WatchPeriod <= 0 {
-		o.WatchPeriod = watchPeriod
+		o.WatchPeriod = defaultCheckPeriod
 	}
-	s := &Server{opts: o, requests: map[*nbio.Conn]context.CancelFunc{}, answering: map[*nbio.Conn]struct{}{}, watchDone: make(chan struct{})}
+	s := &Server{opts: o, requests: map[*nbio.Conn]context.CancelFunc{}, unflushed: map[*nbio.Conn]struct{}{}, watchDone: make(chan struct{})}
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Network:                 "tcp",
 		Addrs:                   []string{o.Address},
 		MaxLoad:                 o.MaxConnections,
 		MessageHandlerPoolSize:  o.MaxRequests,
-		ReadLimit:               o.MaxBodyBytes + headerBytes,
+		ReadLimit:               o.MaxBodyBytes + maxHeaderBytes,
 		MaxHTTPBodySize:         o.MaxBodyBytes,
 		KeepaliveTime:           o.IdleTimeout,
 		ReleaseWebsocketPayload: true,
 		Handler:                 http.HandlerFunc(s.serve),
 		SupportServerOnly:       true,
 	})
-	s.engine.OnOpen(func(net.Conn) { s.opened.Add(1) })
+	s.engine.OnOpen(func(net.Conn) { s.openedCount.Add(1) })
 	s.engine.OnData(s.onData)
 	if err := s.engine.Start(); err != nil {
 		return nil, trace.Wrap(err, "listening on %s", o.Address)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stopWatch = cancel
-	go s.watch(ctx)
+	go s.watchConnections(ctx)
 	return s, nil
 }
 
-// Addr returns the address listened on.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string {
 	return s.engine.Addrs[0]
 }
@@ -117,8 +124,8 @@
 	return int(s.inFlight.Load())
 }
 
-// Shutdown refuses new requests, waits until the requests in progress are
-// answered or ctx ends, and closes all connections.
+// Shutdown refuses new requests, waits until the responses to all requests in
+// progress are written or ctx ends, and closes all connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
@@ -126,7 +133,7 @@
 	done := make(chan struct{})
 	go func() {
 		s.active.Wait()
-		s.waitAnswered(ctx)
+		s.waitFlushed(ctx)
 		close(done)
 	}()
 	var err error
@@ -141,23 +148,23 @@
 	return err
 }
 
-// Drain makes every answer from now on ask the caller to close its connection.
-// Requests are served until Shutdown.
+// Drain makes all later responses ask the client to close the connection. Requests
+// are still served until Shutdown.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Abort closes the connection of an answer that cannot be completed, so that it
-// does not look complete to the caller.
+// Abort closes the connection of a response that cannot be completed, so that the
+// client does not take it for a complete one.
 func Abort(w http.ResponseWriter) {
 	if aw, ok := w.(*writer); ok && aw.conn != nil {
 		_ = aw.conn.CloseWithError(errAborted)
 	}
 }
 
-var errAborted = errors.New("answer cannot be completed")
+var errAborted = errors.New("response cannot be completed")
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	if !s.enter() {
-		s.refuse(w)
+	if !s.beginRequest() {
+		s.refuseDuringShutdown(w)
 		return
 	}
 	defer s.active.Done()
@@ -171,7 +178,7 @@
 			r.Close = true
 		}
 		deferClose(w, r, conn)
-		// The idle timeout counts between requests, not during one.
+		// The idle timeout applies between requests, not during one.
 		_ = conn.SetReadDeadline(time.Time{})
 		s.track(conn, cancel)
 		defer s.untrack(conn)
@@ -179,30 +186,33 @@
 	s.opts.Handler.ServeHTTP(newWriter(w, conn), r.WithContext(ctx))
 }
 
-// deferClose leaves it to a caller that asked for it to close the connection, and
-// closes it only some time later. nbhttp would close it with the answer, while
-// the caller does the same: the poller then may hold an event of the closed
-// connection for a descriptor that a new one has got, and close that one.
+// deferClose handles requests with "Connection: close" of HTTP/1.1 clients. It lets the
+// client close the connection and closes it only after
+// closeGracePeriod. nbhttp would
+// close it with the response, at the same time as the client. Then the poller may
+// still hold an event for the closed connection when its file descriptor has been
+// reused by a new connection, and would close the new one.
 func deferClose(w http.ResponseWriter, r *http.Request, conn *nbio.Conn) {
 	if !r.Close || !r.ProtoAtLeast(1, 1) {
 		return
 	}
 	r.Close = false
 	w.Header().Set("Connection", "close")
-	time.AfterFunc(closeLinger, func() { closeIdle(conn) })
+	time.AfterFunc(closeGracePeriod, func() { closeIdle(conn) })
 }
 
-// closeIdle closes a connection once it has no answer to send.
+// closeIdle closes a connection as soon as it has no response left to write.
 func closeIdle(conn *nbio.Conn) {
 	if conn.ExecuteLen() > 0 {
-		time.AfterFunc(closeLinger, func() { closeIdle(conn) })
+		time.AfterFunc(closeGracePeriod, func() { closeIdle(conn) })
 		return
 	}
 	_ = conn.Close()
 }
 
-// enter counts a request, or returns false when the server shuts down.
-func (s *Server) enter() bool {
+// beginRequest registers a request with Shutdown. It returns false if the server is
+// already shutting down.
+func (s *Server) beginRequest() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing {
@@ -212,8 +222,9 @@
 	return true
 }
 
-// refuse answers a request that came after Shutdown.
-func (s *Server) refuse(w http.ResponseWriter) {
+// refuseDuringShutdown writes the error response to a request that arrived during
+// shutdown.
+func (s *Server) refuseDuringShutdown(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Connection", "close")
 	h.Set("Content-Type", "application/json")
@@ -223,6 +234,7 @@
 	_, _ = w.Write(s.opts.Malformed(http.StatusServiceUnavailable))
 }
 
+// connOf returns the connection of a response, or nil if it is unknown.
 func connOf(w http.ResponseWriter) *nbio.Conn {
 	res, ok := w.(*nbhttp.Response)
 	if !ok || res.Parser == nil {
@@ -242,24 +254,28 @@
 	}
 }
 
+// track registers the cancel function of a request in progress.
 func (s *Server) track(c *nbio.Conn, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests[c] = cancel
 }
 
+// untrack removes a request whose handler has returned and records its connection as
+// unflushed.
 func (s *Server) untrack(c *nbio.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.requests, c)
-	s.answering[c] = struct{}{}
+	s.unflushed[c] = struct{}{}
 }
 
-// waitAnswered waits until the answers of all returned handlers are written.
-func (s *Server) waitAnswered(ctx context.Context) {
-	ticker := time.NewTicker(watchPeriod)
+// waitFlushed waits until the responses of all returned handlers are written or ctx
+// ends.
+func (s *Server) waitFlushed(ctx context.Context) {
+	ticker := time.NewTicker(defaultCheckPeriod)
 	defer ticker.Stop()
-	for s.dropAnswered() > 0 {
+	for s.removeFlushed() > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -268,24 +284,24 @@
 	}
 }
 
-// dropAnswered forgets the connections whose answers are written and returns the
-// number of the others. nbhttp writes the end of an answer in the job that ran
-// the handler.
-func (s *Server) dropAnswered() int {
+// removeFlushed removes the connections whose responses are completely written from
+// unflushed and returns the number of the remaining ones. nbhttp writes the end of a
+// response in the job that ran the handler, so a connection without jobs is done.
+func (s *Server) removeFlushed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.answering {
+	for c := range s.unflushed {
 		if closed, _ := c.IsClosed(); closed || c.ExecuteLen() == 0 {
-			delete(s.answering, c)
+			delete(s.unflushed, c)
 		}
 	}
-	return len(s.answering)
+	return len(s.unflushed)
 }
 
-// watch cancels requests whose connection was closed. nbio runs its own close
-// callback on the connection's job queue, behind the handler that is to be
-// told, so the state is polled.
-func (s *Server) watch(ctx context.Context) {
+// watchConnections cancels requests whose connection was closed. It polls the
+// connections, because nbio runs its close callback on the connection's job queue, and
+// so only after the handler that should be canceled.
+func (s *Server) watchConnections(ctx context.Context) {
 	defer close(s.watchDone)
 	ticker := time.NewTicker(s.opts.WatchPeriod)
 	defer ticker.Stop()
@@ -295,7 +311,7 @@
 			return
 		case <-ticker.C:
 			s.cancelClosed()
-			s.dropAnswered()
+			s.removeFlushed()
 		}
 	}
 }
@@ -311,10 +327,10 @@
 	}
 }
 
-// onData parses input; a message that cannot be parsed gets an answer before
-// its connection is closed.
+// onData parses received data. A message that cannot be parsed gets an error response
+// before its connection is closed.
 func (s *Server) onData(c *nbio.Conn, data []byte) {
-	s.opened.Load()
+	s.openedCount.Load()
 	if _, ok := s.rejected.Load(c); ok {
 		return
 	}
@@ -329,6 +345,9 @@
 	s.reject(c, err)
 }
 
+// reject writes the error response to a message that cannot be parsed and closes the
+// connection after rejectGracePeriod. If a handler is still running on the connection,
+// it is closed at once, as a response could mix with that of the handler.
 func (s *Server) reject(c *nbio.Conn, cause error) {
 	if c.ExecuteLen() > 0 {
 		_ = c.CloseWithError(cause)
@@ -339,10 +358,10 @@
 		status = http.StatusRequestEntityTooLarge
 	}
 	s.rejected.Store(c, struct{}{})
-	if _, err := c.Write(rawAnswer(status, s.opts.Malformed(status))); err != nil {
+	if _, err := c.Write(rawResponse(status, s.opts.Malformed(status))); err != nil {
 		_ = c.CloseWithError(cause)
 	}
-	time.AfterFunc(rejectLinger, func() {
+	time.AfterFunc(rejectGracePeriod, func() {
 		_ = c.CloseWithError(cause)
 		s.rejected.Delete(c)
 	})
--- a/node/httpserver/server_test.go
+++ b/node/httpserver/server_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-func TestOversizeBodyIsAnswered(t *testing.T) {
+func TestOversizeBodyGetsErrorResponse(t *testing.T) {
 	s := start(t, func(http.ResponseWriter, *http.Request) { t.Error("handler called") })
 	defer func() { require.NoError(t, s.Shutdown(context.Background())) }()
 	c, err := net.Dial("tcp", s.Addr())
@@ -43,7 +43,7 @@
 	require.Equal(t, "not_run", resp.Header.Get("X-Masticbank-Execution"))
 }
 
-func TestClosedConnectionEndsContext(t *testing.T) {
+func TestClosedConnectionCancelsContext(t *testing.T) {
 	entered := make(chan struct{})
 	left := make(chan struct{})
 	s := start(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -93,9 +93,10 @@
 	require.NoError(t, <-done)
 }
 
-// TestShutdownSendsTheEndOfAnswers shuts down the moment a handler returns; nbhttp
-// writes a buffered answer only after that.
-func TestShutdownSendsTheEndOfAnswers(t *testing.T) {
+// TestShutdownSendsCompleteResponses checks that a shutdown while a handler returns
+// does not truncate the response. nbhttp writes a buffered response only after the
+// handler has returned.
+func TestShutdownSendsCompleteResponses(t *testing.T) {
 	body := strings.Repeat("x", 1<<16)
 	for range 30 {
 		entered := make(chan struct{})
@@ -118,9 +119,11 @@
 	}
 }
 
-// TestLargeAnswersDoNotMix sends large answers of unknown length, of one write and
-// of several, to many callers at once; each must get only its own bytes.
-func TestLargeAnswersDoNotMix(t *testing.T) {
+// TestLargeResponsesDoNotMix writes large responses of unknown length, in one and in
+// several writes, to many clients concurrently, and checks that each client gets only
+// its own bytes. nbhttp mixes responses with chunks of 64 KiB or more (see
+// maxChunkBytes).
+func TestLargeResponsesDoNotMix(t *testing.T) {
 	s := start(t, func(w http.ResponseWriter, r *http.Request) {
 		mark := r.URL.Query().Get("mark")
 		_, _ = io.WriteString(w, strings.Repeat(mark, 70_000))
@@ -151,7 +154,8 @@
 	require.NoError(t, s.Shutdown(context.Background()))
 }
 
-// TestUnknownStatusKeepsItsClass answers with statuses that have no text.
+// TestUnknownStatusKeepsItsClass checks how statuses that nbhttp does not know are
+// sent.
 func TestUnknownStatusKeepsItsClass(t *testing.T) {
 	s := start(t, func(w http.ResponseWriter, r *http.Request) {
 		status, err := strconv.Atoi(r.URL.Path[1:])
--- a/node/httpserver/writer.go
+++ b/node/httpserver/writer.go
@@ -6,13 +6,14 @@
 	"github.com/lesismal/nbio"
 )
 
-// pieceBytes is the largest part of an answer of unknown length that is handed to
-// nbhttp at once. From 64 KiB on, its chunked writer goes on using a buffer that
-// it has given back to the pool that all connections share, so that answers can
-// mix.
-const pieceBytes = 16 << 10
+// maxChunkBytes is the maximum number of bytes of a response of unknown length that is
+// passed to nbhttp in one write. For 64 KiB or more, nbhttp's chunked writer continues
+// to use a buffer after returning it to the pool shared by all connections, so that
+// responses of different connections can mix.
+const maxChunkBytes = 16 << 10
 
-// writer keeps chunked answers within pieceBytes between two flushes.
+// writer is a response writer that splits writes of chunked responses into parts of
+// at most maxChunkBytes and flushes after each.
 type writer struct {
 	http.ResponseWriter
 	flusher http.Flusher
@@ -24,12 +25,12 @@
 	return &writer{ResponseWriter: w, flusher: f, conn: conn}
 }
 
-// statusClass is the number of statuses in one class.
+// statusClass is the number of status codes in one class, such as 4xx.
 const statusClass = 100
 
-// WriteHeader implements http.ResponseWriter. nbhttp answers 200 in place of a
-// status that it does not know; such a status is sent as the x00 of its class,
-// which is how callers must read it (RFC 9110, section 15).
+// WriteHeader implements http.ResponseWriter. nbhttp sends 200 instead of a status
+// that it does not know. WriteHeader replaces such a status by the x00 status of its
+// class, as which clients must treat it (RFC 9110, section 15).
 func (w *writer) WriteHeader(status int) {
 	if http.StatusText(status) == "" {
 		status -= status % statusClass
@@ -47,12 +48,12 @@
 	}
 	written := 0
 	for written < len(data) {
-		piece := data[written:min(len(data), written+pieceBytes)]
-		n, err := w.ResponseWriter.Write(piece)
+		chunk := data[written:min(len(data), written+maxChunkBytes)]
+		n, err := w.ResponseWriter.Write(chunk)
 		if err != nil {
 			return written + max(n, 0), err
 		}
-		written += len(piece)
+		written += len(chunk)
 		w.Flush()
 	}
 	return written, nil
--- a/node/openai/request.go
+++ b/node/openai/request.go
@@ -1,5 +1,5 @@
-// Package openai reads requests and writes answers of the OpenAI-compatible
-// completion API. It does no I/O beyond the writers that it is given.
+// Package openai parses requests and encodes responses of the OpenAI-compatible
+// completion API. Its only I/O is to the writers passed to it.
 package openai
 
 import (
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Kind is the endpoint that a request came through.
+// Kind is the endpoint that received a request.
 type Kind uint8
 
 const (
@@ -18,25 +18,26 @@
 	KindText
 )
 
-// Completion is a checked completion request.
+// Completion is a validated completion request.
 type Completion struct {
 	Kind   Kind
 	Model  string
 	Prompt string
-	// MaxTokens is 0 when the request names none.
+	// MaxTokens is 0 when the request sets no limit.
 	MaxTokens int
 	Stream    bool
-	// IncludeUsage asks for a usage object at the end of a stream.
+	// IncludeUsage requests a usage object at the end of a stream.
 	IncludeUsage bool
 }
 
-// RequestError is a request that cannot be served as it stands.
+// RequestError reports an invalid or unsupported request. Param is empty when it
+// concerns the whole body.
 type RequestError struct {
 	Param  string
 	Reason string
 }
 
-// Error returns the parameter and the reason.
+// Error implements error.
 func (e *RequestError) Error() string {
 	if e.Param == "" {
 		return e.Reason
@@ -69,7 +70,8 @@
 	Text string `json:"text"`
 }
 
-// Parse reads the body of a completion request. The error is a *RequestError.
+// Parse parses and validates the body of a completion request. The error is a
+// *RequestError.
 func Parse(kind Kind, body []byte) (Completion, error) {
 	var raw requestBody
 	if err := json.Unmarshal(body, &raw); err != nil {
@@ -98,9 +100,9 @@
 		return &RequestError{Param: "model", Reason: "is required"}
 	case r.N != nil && *r.N != 1:
 		return &RequestError{Param: "n", Reason: "only 1 is supported"}
-	case present(r.Stop):
+	case hasValue(r.Stop):
 		return &RequestError{Param: "stop", Reason: "is not supported"}
-	case present(r.Tools):
+	case hasValue(r.Tools):
 		return &RequestError{Param: "tools", Reason: "is not supported"}
 	case r.MaxTokens != nil && *r.MaxTokens < 1:
 		return &RequestError{Param: "max_tokens", Reason: "must be positive"}
@@ -110,7 +112,8 @@
 	return nil
 }
 
-func present(raw json.RawMessage) bool {
+// hasValue reports whether an optional parameter has a value other than null or [].
+func hasValue(raw json.RawMessage) bool {
 	s := string(raw)
 	return s != "" && s != "null" && s != "[]"
 }
@@ -125,6 +128,8 @@
 	return 0
 }
 
+// prompt returns the prompt of a text completion, or the messages of a chat joined as
+// lines of role and text.
 func (r *requestBody) prompt(kind Kind) (string, error) {
 	if kind == KindText {
 		return textPrompt(r.Prompt)
@@ -154,6 +159,7 @@
 	return s, nil
 }
 
+// text returns the content of a message, which is a string or a list of text parts.
 func (m message) text() (string, error) {
 	var s string
 	if err := json.Unmarshal(m.Content, &s); err == nil {
--- a/node/openai/answer.go
+++ b/node/openai/response.go
@@ -13,7 +13,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Answer describes the answer to one request.
+// Answer holds the properties that all parts of the response to one request share.
 type Answer struct {
 	ID      string
 	Kind    Kind
@@ -21,7 +21,7 @@
 	Created time.Time
 }
 
-type answerBody struct {
+type completionBody struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -43,7 +43,7 @@
 	Content string `json:"content"`
 }
 
-// Whole returns the body of a complete answer.
+// Whole returns the body of a response that is not streamed.
 func (a Answer) Whole(text, finish string, usage Usage) ([]byte, error) {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
@@ -53,10 +53,11 @@
 	} else {
 		c.Text = &text
 	}
-	return json.Marshal(a.body(object, []choice{c}, &usage))
+	return json.Marshal(a.newBody(object, []choice{c}, &usage))
 }
 
-// WriteChunk writes one event of a stream. Finish is empty until the last one.
+// WriteChunk writes one event of a stream. Finish is the finish reason; it is empty
+// except in the last event.
 func (a Answer) WriteChunk(w io.Writer, text, finish string) error {
 	c := choice{}
 	if finish != "" {
@@ -69,33 +70,34 @@
 	} else {
 		c.Text = &text
 	}
-	return writeEvent(w, a.body(object, []choice{c}, nil))
+	return writeEvent(w, a.newBody(object, []choice{c}, nil))
 }
 
-// WriteUsage writes the event that carries the usage of a stream.
+// WriteUsage writes the event that reports the token usage of a stream.
 func (a Answer) WriteUsage(w io.Writer, usage Usage) error {
 	object := "text_completion"
 	if a.Kind == KindChat {
 		object = "chat.completion.chunk"
 	}
-	return writeEvent(w, a.body(object, []choice{}, &usage))
+	return writeEvent(w, a.newBody(object, []choice{}, &usage))
 }
 
-// WriteDone writes the end mark of a complete stream.
+// WriteDone writes the [DONE] event, which ends a complete stream.
 func WriteDone(w io.Writer) error {
 	_, err := io.WriteString(w, "data: [DONE]\n\n")
 	return err
 }
 
-// WriteError writes an error event; no end mark follows it.
+// WriteError writes an error event, which ends a stream without a [DONE] event.
 func WriteError(w io.Writer, e ErrorBody) error {
 	return writeEvent(w, e)
 }
 
-func (a Answer) body(object string, choices []choice, usage *Usage) answerBody {
-	return answerBody{ID: a.ID, Object: object, Created: a.Created.Unix(), Model: a.Model, Choices: choices, Usage: usage}
+func (a Answer) newBody(object string, choices []choice, usage *Usage) completionBody {
+	return completionBody{ID: a.ID, Object: object, Created: a.Created.Unix(), Model: a.Model, Choices: choices, Usage: usage}
 }
 
+// writeEvent writes v in JSON as a server-sent event, in one call of Write.
 func writeEvent(w io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -109,12 +111,12 @@
 	return err
 }
 
-// ErrorBody is the body of an unsuccessful answer.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail tells what went wrong and whether the request ran.
+// ErrorDetail describes an error and whether the request was executed.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -123,11 +125,12 @@
 	// Execution is "not_run", "unknown" or "ran".
 	Execution string `json:"execution"`
 	RequestID string `json:"request_id,omitempty"`
-	// RetryAfterSeconds is set when the request may be sent again later.
+	// RetryAfterSeconds is the time after which the client may retry; 0 if there is
+	// none to recommend.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
 }
 
-// ModelList is the answer of /v1/models.
+// ModelList is the response of /v1/models.
 type ModelList struct {
 	Object string      `json:"object"`
 	Data   []ModelItem `json:"data"`
