--- a/node/bounded/bounded.go
+++ b/node/bounded/bounded.go
@@ -1,5 +1,5 @@
-// Package bounded reads what other processes send into memory, up to a bound. What is
-// longer is an error, never cut.
+// Package bounded reads data from other processes into memory with a size limit. Data
+// beyond the limit is an error; it is never truncated.
 package bounded
 
 import (
@@ -11,14 +11,15 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// HeadBytes bounds the head of an answer, interim answers included. Heads have some
-// hundred bytes; servers of the web usually allow 8 to 32 KiB.
+// HeadBytes is the maximum size of the header of an HTTP response, interim (1xx)
+// responses included. Usual headers have some hundred bytes; web servers usually allow
+// 8 to 32 KiB.
 const HeadBytes = 32 << 10
 
-// ErrTooLarge means that more bytes came than allowed.
+// ErrTooLarge means that the data exceeds the limit or the shared memory.
 var ErrTooLarge = errors.New("more bytes than allowed")
 
-// DefaultClient is http.DefaultClient with bounded heads.
+// DefaultClient is http.DefaultClient with response headers limited to HeadBytes.
 var DefaultClient = &http.Client{Transport: defaultTransport()}
 
 func defaultTransport() *http.Transport {
@@ -27,7 +28,8 @@
 	return tr
 }
 
-// ReadAll reads up to the end, which must come within limit bytes.
+// ReadAll reads r to its end. It returns ErrTooLarge if there are more than limit
+// bytes.
 func ReadAll(r io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err == nil && int64(len(data)) > limit {
@@ -37,43 +39,44 @@
 }
 
 const (
-	// freeBytes of each body are not counted: nearly all bodies are smaller.
-	freeBytes = 64 << 10
-	// firstBytes is the size of the first buffer.
-	firstBytes = 4 << 10
-	// growth is the size of the steps in which larger bodies are counted.
-	growth = 256 << 10
+	// uncountedBytes is the buffer size up to which a body does not count towards the
+	// shared memory. Nearly all bodies are smaller.
+	uncountedBytes = 64 << 10
+	// initialBytes is the initial size of a buffer.
+	initialBytes = 4 << 10
+	// growthBytes is the size of the steps in which larger buffers grow.
+	growthBytes = 256 << 10
 )
 
-// Memory is shared by the bodies that are held at the same time. It is safe for
-// concurrent use.
+// Memory is a limit on the total memory of the bodies held at the same time. It is
+// safe for concurrent use.
 type Memory struct {
 	bytes *semaphore.Weighted
 }
 
-// NewMemory returns a memory of a number of bytes.
+// NewMemory returns a Memory of size bytes.
 func NewMemory(size int64) *Memory { return &Memory{bytes: semaphore.NewWeighted(size)} }
 
-// Hold is a part of the memory, taken by one request. It is not safe for concurrent
-// use.
+// Hold is the part of a Memory that one request has reserved. It is not safe for
+// concurrent use.
 type Hold struct {
-	memory *Memory
-	taken  int64
+	memory   *Memory
+	reserved int64
 }
 
-// Hold returns an empty part.
+// Hold returns a Hold that has reserved nothing yet.
 func (m *Memory) Hold() *Hold { return &Hold{memory: m} }
 
-// Release gives the part back.
+// Release returns the reserved bytes to the Memory.
 func (h *Hold) Release() {
-	h.memory.bytes.Release(h.taken)
-	h.taken = 0
+	h.memory.bytes.Release(h.reserved)
+	h.reserved = 0
 }
 
-// ReadAll reads up to the end, which must come within limit bytes and while there is
-// memory left.
+// ReadAll reads r to its end. It returns ErrTooLarge if there are more than limit bytes
+// or the memory is exhausted. What it reserves stays reserved until Release.
 func (h *Hold) ReadAll(r io.Reader, limit int64) ([]byte, error) {
-	data := make([]byte, 0, firstBytes)
+	data := make([]byte, 0, initialBytes)
 	for {
 		if len(data) == cap(data) {
 			var err error
@@ -94,13 +97,15 @@
 	}
 }
 
+// grow enlarges the buffer of data: it doubles a small one, and reserves memory for a
+// larger one.
 func (h *Hold) grow(data []byte) ([]byte, error) {
-	if cap(data) < freeBytes {
+	if cap(data) < uncountedBytes {
 		return slices.Grow(data, cap(data)), nil
 	}
-	if !h.memory.bytes.TryAcquire(growth) {
+	if !h.memory.bytes.TryAcquire(growthBytes) {
 		return nil, ErrTooLarge
 	}
-	h.taken += growth
-	return slices.Grow(data, growth), nil
+	h.reserved += growthBytes
+	return slices.Grow(data, growthBytes), nil
 }
--- a/node/bounded/bounded_test.go
+++ b/node/bounded/bounded_test.go
@@ -12,7 +12,7 @@
 	"masticbank.example/node/bounded"
 )
 
-func TestReadAllNeverCuts(t *testing.T) {
+func TestReadAllNeverTruncates(t *testing.T) {
 	for size := range 12 {
 		data, err := bounded.ReadAll(strings.NewReader(strings.Repeat("a", size)), 10)
 		if size > 10 {
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestMemoryIsShared(t *testing.T) {
+func TestMemoryLimitIsShared(t *testing.T) {
 	const size = 1 << 20
 	m := bounded.NewMemory(2 * size)
 	first, second, small := m.Hold(), m.Hold(), m.Hold()
@@ -33,7 +33,7 @@
 	require.NoError(t, err)
 	require.Equal(t, body, data)
 	_, err = second.ReadAll(io.MultiReader(bytes.NewReader(body), bytes.NewReader(body)), 2*size)
-	require.ErrorIs(t, err, bounded.ErrTooLarge, "the memory is used up")
+	require.ErrorIs(t, err, bounded.ErrTooLarge, "the memory is exhausted")
 	second.Release()
 	data, err = small.ReadAll(strings.NewReader("small"), size)
 	require.NoError(t, err)
@@ -44,5 +44,5 @@
 	_, err = small.ReadAll(iotest.ErrReader(io.ErrUnexpectedEOF), size)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	_, err = first.ReadAll(bytes.NewReader(append(body, 'b')), size)
-	require.ErrorIs(t, err, bounded.ErrTooLarge, "over the limit of one body")
+	require.ErrorIs(t, err, bounded.ErrTooLarge, "larger than the limit of one body")
 }
--- a/node/bounded/boundedtest/boundedtest.go
+++ b/node/bounded/boundedtest/boundedtest.go
@@ -1,4 +1,5 @@
-// Package boundedtest has a server that sends bytes without end.
+// Package boundedtest provides a server that sends endless responses, for tests of
+// clients that must limit what they read.
 package boundedtest
 
 import (
@@ -8,16 +9,17 @@
 	"testing"
 )
 
-// Most is the number of bytes that the server sends before it takes the reader for one
-// without a bound. It is above the largest bound, 64 MiB of the log, and the buffers of a
-// connection, which Linux lets grow to 32 MiB at the receiver and 4 MiB at the sender.
+// Most is the number of bytes after which the server stops, as the client evidently has
+// no limit. It exceeds the sum of the largest limit, 64 MiB for the log, and the
+// buffers of a connection, which grow on Linux to 32 MiB at the receiver and 4 MiB at
+// the sender.
 const Most = 128 << 20
 
 // blockBytes is the size of one write.
 const blockBytes = 64 << 10
 
-// Heads are answers to HTTP requests whose head has no end: the beginning, and what
-// follows again and again.
+// Heads are HTTP responses with an endless header. Each consists of a beginning and a
+// part that is repeated.
 var Heads = map[string][2]string{
 	"header lines":     {"HTTP/1.1 200 OK\r\n", "X-Filler: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n"},
 	"one header line":  {"HTTP/1.1 200 OK\r\nX-Filler: ", "a"},
@@ -27,7 +29,7 @@
 	"only line breaks": {"", "\r\n"},
 }
 
-// Bodies are answers whose body has no end.
+// Bodies are HTTP responses with an endless body, in the same form.
 var Bodies = map[string][2]string{
 	"until close":    {"HTTP/1.1 200 OK\r\n\r\n", "[1,"},
 	"chunks":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "40\r\n" + strings.Repeat("[1,2", 16) + "\r\n"},
@@ -39,8 +41,8 @@
 	"empty elements": {"HTTP/1.1 200 OK\r\n\r\n", " "},
 }
 
-// Server sends, on each connection, a beginning and then a part again and again until
-// the other side closes.
+// Server sends an endless response over each connection until the client closes it or
+// Most bytes are sent.
 type Server struct {
 	listener net.Listener
 
@@ -49,7 +51,8 @@
 	open map[net.Conn]bool
 }
 
-// Start runs a server until the test ends.
+// Start starts a server, which runs until the test ends. Answer is the beginning and
+// the repeated part of the response.
 func Start(t *testing.T, answer [2]string) *Server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,10 +85,10 @@
 	return s
 }
 
-// Address returns IP:port.
+// Address returns the address of the server as IP:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Sent returns the number of bytes that were sent.
+// Sent returns the number of bytes sent over all connections.
 func (s *Server) Sent() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/logsink/logsink.go
+++ b/node/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever blocking the code that logs: a
-// slow reader of the output loses lines, which are counted.
+// Package logsink writes log lines asynchronously, so that a slow output never blocks
+// the code that logs. When the queue is full, lines are dropped and counted.
 package logsink
 
 import (
@@ -14,30 +14,31 @@
 )
 
 const (
-	// queueLines bounds the lines that wait for the output.
-	queueLines = 4096
-	// flushTimeout bounds the wait for the output at the end.
+	// maxQueuedLines is the maximum number of queued lines.
+	maxQueuedLines = 4096
+	// flushTimeout is the maximum time that Close waits for the output.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Sink is a zapcore.WriteSyncer. It is safe for concurrent use.
+// Sink is a zapcore.WriteSyncer with a queue in front of the output. It is safe for
+// concurrent use.
 type Sink struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	done    chan struct{}
-	close   sync.Once
-	stop    chan struct{}
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Uint64
+	done      chan struct{}
+	closeOnce sync.Once
+	stop      chan struct{}
 }
 
 // New returns a sink that writes to out.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{}), stop: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), stop: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write queues one line; it never fails and never blocks.
+// Write queues one line, or drops it if the queue is full. It never blocks or fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
@@ -47,15 +48,15 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines are written as they come.
+// Sync does nothing, as lines are written in the background.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped returns the number of lines that were lost.
+// Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() uint64 { return s.dropped.Load() }
 
-// Close writes the lines that wait, for a short time at most.
+// Close writes the queued lines. It returns after flushTimeout if the output blocks.
 func (s *Sink) Close() {
-	s.close.Do(func() { close(s.stop) })
+	s.closeOnce.Do(func() { close(s.stop) })
 	t := time.NewTimer(flushTimeout)
 	defer t.Stop()
 	select {
@@ -66,12 +67,12 @@
 
 func (s *Sink) run() {
 	defer close(s.done)
-	told := uint64(0)
+	reported := uint64(0)
 	for {
 		select {
 		case line := <-s.lines:
 			s.write(line)
-			told = s.tell(told)
+			reported = s.reportDropped(reported)
 		case <-s.stop:
 			s.drain()
 			return
@@ -79,6 +80,7 @@
 	}
 }
 
+// drain writes the lines that are still queued.
 func (s *Sink) drain() {
 	for {
 		select {
@@ -90,16 +92,18 @@
 	}
 }
 
-// tell writes a line about lost ones.
-func (s *Sink) tell(told uint64) uint64 {
+// reportDropped writes a line with the number of dropped lines if it has changed since
+// told, and returns that number.
+func (s *Sink) reportDropped(reported uint64) uint64 {
 	n := s.Dropped()
-	if n != told {
+	if n != reported {
 		s.write(fmt.Appendf(nil, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"total\":%d}\n", n))
 	}
 	return n
 }
 
-// write hands a line to the output. There is nowhere to report its failure.
+// write writes a line to the output. An error is ignored, as there is no other place to
+// report it.
 func (s *Sink) write(line []byte) { _, _ = s.out.Write(line) }
 
 // Logger returns a logger that writes JSON lines to the sink.
--- a/node/logsink/logsink_test.go
+++ b/node/logsink/logsink_test.go
@@ -12,26 +12,26 @@
 	"masticbank.example/node/logsink"
 )
 
-// output blocks while its lock is held by the test.
-type output struct {
+// blockableOutput is a writer that blocks while the test holds its lock.
+type blockableOutput struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *blockableOutput) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.b.Write(p)
 }
 
-func (o *output) text() string {
+func (o *blockableOutput) text() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.b.String()
 }
 
 func TestLinesAreWrittenInOrder(t *testing.T) {
-	out := &output{}
+	out := &blockableOutput{}
 	s := logsink.New(out)
 	log := logsink.Logger(s, zap.NewAtomicLevel())
 	log.Info("first", zap.String("request", "a"))
@@ -44,10 +44,10 @@
 	require.Contains(t, lines[1], `"level":"warn"`)
 }
 
-// TestSlowOutputLosesLines blocks the output: the writer must go on, and what was
-// lost is told.
-func TestSlowOutputLosesLines(t *testing.T) {
-	out := &output{}
+// TestBlockedOutputDropsLines checks that a blocked output does not block the writer,
+// and that the number of dropped lines is logged later.
+func TestBlockedOutputDropsLines(t *testing.T) {
+	out := &blockableOutput{}
 	out.mu.Lock()
 	s := logsink.New(out)
 	const lines = 10_000
--- a/node/logstream/appender.go
+++ b/node/logstream/appender.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Defaults of AppenderOptions.
+// Defaults of AppenderOptions, and timing of retries.
 const (
 	defaultMaxQueued   = 4096
 	defaultMaxRecords  = 256
@@ -18,27 +18,29 @@
 	defaultMinInterval = 20 * time.Millisecond
 	minBackoff         = 20 * time.Millisecond
 	maxBackoff         = time.Second
-	failingPeriod      = time.Second
+	failingTime        = time.Second
 )
 
-// AppenderOptions sets up an Appender. The zero value takes the defaults.
+// AppenderOptions configures an Appender. Zero values select the defaults.
 type AppenderOptions struct {
-	// MaxQueued bounds the records waiting.
+	// MaxQueued is the maximum number of queued records.
 	MaxQueued int
-	// MaxRecords bounds the records of one append; 1 turns group commit off.
+	// MaxRecords is the maximum number of records in one append; 1 disables group
+	// commit.
 	MaxRecords int
-	// MaxBytes bounds the size of one append; a larger single record goes alone.
+	// MaxBytes is the maximum size of one append. A larger record is appended on its
+	// own.
 	MaxBytes int
-	// MinInterval is the least time between the starts of two appends. It keeps
-	// one instance within its share of the log's append limit; a negative value
-	// means none.
+	// MinInterval is the minimum time between the starts of two appends. It keeps
+	// one instance within its share of the log's append rate limit. A negative value
+	// disables it.
 	MinInterval time.Duration
 }
 
-// Appender appends the records of one instance to one stream, at most one
-// append at a time; records that arrive meanwhile share the next one. After a
-// failure or a lost answer it repeats the same records until their callers give
-// up, so readers may see copies. It is safe for concurrent use.
+// Appender appends the records of one instance to one stream with group commit: only
+// one append is in progress at a time, and records that arrive meanwhile share the
+// next one. After a failure or a lost response it retries the same records until their
+// contexts end, so readers may see duplicates. It is safe for concurrent use.
 type Appender struct {
 	log    Log
 	stream string
@@ -50,14 +52,14 @@
 	queued  int
 	appends int64
 	records int64
-	// failed is when the last append had no answer, or zero; retrying is set
-	// while its records wait to be repeated.
-	failed   time.Time
+	// failedAt is the time of the last append without a response; it is zero after a
+	// success. retrying is set while the records of that append are to be retried.
+	failedAt time.Time
 	retrying bool
 	stopped  bool
 }
 
-// pending are records that share one append.
+// pending is a group of records that were queued together and so share one append.
 type pending struct {
 	ctx     context.Context
 	records [][]byte
@@ -65,8 +67,7 @@
 	done    chan error
 }
 
-// NewAppender returns an Appender for stream; Run must be running for it to
-// append.
+// NewAppender returns an Appender for stream. It appends only while Run is running.
 func NewAppender(log Log, stream string, opts AppenderOptions) *Appender {
 	if opts.MaxQueued == 0 {
 		opts.MaxQueued = defaultMaxQueued
@@ -84,10 +85,9 @@
 }
 
 // Start queues records, which will share one append, and returns a channel that
-// yields one result: nil once they are in the log; an error matching ErrRejected
-// if they will never be; or the error of ctx, after which they may or may not be
-// in the log. It fails at once with ErrQueueFull if there is no room, and with
-// ErrStopped after Run has ended.
+// receives one result: nil when the records are in the log, an error matching
+// ErrRejected if they never will be, or the error of ctx if the outcome is unknown. It
+// returns ErrQueueFull if the queue is full, and ErrStopped after Run has returned.
 func (a *Appender) Start(ctx context.Context, records ...[]byte) (<-chan error, error) {
 	p := &pending{ctx: ctx, records: records, done: make(chan error, 1)}
 	for _, data := range records {
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// Append queues data and waits for the result described at Start.
+// Append queues one record and waits for the result, which is the same as that of
+// Start.
 func (a *Appender) Append(ctx context.Context, data []byte) error {
 	done, err := a.Start(ctx, data)
 	if err != nil {
@@ -131,22 +132,21 @@
 	}
 }
 
-// Counts returns the numbers of append requests answered by the log and of
-// records in them.
+// Counts returns the number of successful appends and the number of records in them.
 func (a *Appender) Counts() (appends, records int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.appends, a.records
 }
 
-// Run appends until ctx ends and returns its error. Records still queued get
-// that error.
+// Run appends queued records until ctx ends. It returns the error of ctx, which is
+// also the result of the records still queued.
 func (a *Appender) Run(ctx context.Context) error {
 	var batch []*pending
 	defer func() { a.abandon(ctx, batch) }()
 	failures := 0
 	for {
-		batch = a.fill(batch)
+		batch = a.nextBatch(batch)
 		if len(batch) == 0 {
 			select {
 			case <-a.wake:
@@ -180,11 +180,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if errors.Is(err, ErrUnavailable) {
-		a.failed = time.Now()
+		a.failedAt = time.Now()
 		a.retrying = true
 	}
 	if err == nil {
-		a.failed = time.Time{}
+		a.failedAt = time.Time{}
 		a.retrying = false
 		a.appends++
 		a.records += int64(len(records))
@@ -192,17 +192,18 @@
 	return err
 }
 
-// Failing tells whether the last append had no answer and is being repeated, or
-// had none less than a second ago. Later a caller may try again.
+// Failing reports whether the last append had no response and is being retried, or had
+// none within the last second. After that second callers may try again.
 func (a *Appender) Failing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	recent := !a.failed.IsZero() && time.Since(a.failed) < failingPeriod
+	recent := !a.failedAt.IsZero() && time.Since(a.failedAt) < failingTime
 	return a.retrying || recent
 }
 
-// fill drops the records whose callers gave up and adds queued ones.
-func (a *Appender) fill(batch []*pending) []*pending {
+// nextBatch returns the records of the next append: those of batch and the queued ones,
+// up to the limits of one append. Records whose contexts have ended are removed.
+func (a *Appender) nextBatch(batch []*pending) []*pending {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	candidates := append(batch, a.queue...)
@@ -230,6 +231,7 @@
 	return kept
 }
 
+// abandon ends the Appender. All remaining records get the error of ctx.
 func (a *Appender) abandon(ctx context.Context, batch []*pending) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -244,7 +246,8 @@
 	}
 }
 
-// backoff returns a delay with full jitter that doubles with each failure.
+// backoff returns a random delay, whose range doubles with each failure up to
+// maxBackoff.
 func backoff(failures int) time.Duration {
 	limit := minBackoff << min(failures, 10)
 	return minBackoff + rand.N(min(limit, maxBackoff))
--- a/node/logstream/endless_test.go
+++ b/node/logstream/endless_test.go
@@ -11,8 +11,9 @@
 	"masticbank.example/node/logstream"
 )
 
-// TestAnswersWithoutEndAreErrors leaves a timeout far away: a bound ends the call.
-func TestAnswersWithoutEndAreErrors(t *testing.T) {
+// TestEndlessResponsesAreErrors checks that a size limit ends a call with an endless
+// response. The timeout is too long to do so.
+func TestEndlessResponsesAreErrors(t *testing.T) {
 	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
 		for name, answer := range kind {
 			t.Run(name, func(t *testing.T) {
--- a/node/logstream/http.go
+++ b/node/logstream/http.go
@@ -23,14 +23,15 @@
 	maxErrorText     = 256
 )
 
-// HTTP is the adapter for the log's HTTP interface. It is safe for concurrent
-// use.
+// HTTP is a Log that uses the HTTP interface of the platform's log. It is safe for
+// concurrent use.
 type HTTP struct {
-	// Base is the URL of the service without a trailing slash.
+	// Base is the base URL of the log service without a trailing slash.
 	Base string
-	// Client makes the requests; nil means bounded.DefaultClient.
+	// Client sends the requests; nil means bounded.DefaultClient.
 	Client *http.Client
-	// Timeout bounds one request beyond its long-poll wait; 0 means 2 s.
+	// Timeout is the maximum duration of a request in addition to its long-poll wait;
+	// 0 means 2 s.
 	Timeout time.Duration
 }
 
@@ -67,7 +68,7 @@
 	return batch, nil
 }
 
-func (h *HTTP) do(ctx context.Context, method, path string, body []byte, wait time.Duration, into any) error {
+func (h *HTTP) do(ctx context.Context, method, path string, body []byte, wait time.Duration, result any) error {
 	timeout := h.Timeout
 	if timeout == 0 {
 		timeout = defaultTimeout
@@ -78,7 +79,8 @@
 	if err != nil {
 		return trace.Wrap(ErrRejected, err.Error())
 	}
-	// A stale connection must not make the client repeat an append unseen.
+	// Without GetBody, net/http does not retry an append on its own after a stale
+	// connection was closed.
 	req.GetBody = nil
 	resp, err := h.client().Do(req)
 	if err != nil {
@@ -92,7 +94,7 @@
 	if err != nil {
 		return trace.Wrap(ErrUnavailable, err.Error())
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, result); err != nil {
 		return trace.Wrap(ErrUnavailable, err.Error())
 	}
 	return nil
@@ -105,6 +107,8 @@
 	return bounded.DefaultClient
 }
 
+// statusError converts an unsuccessful response to an error of this package, with the
+// beginning of its body as text.
 func statusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 	switch {
--- a/node/logstream/logstream.go
+++ b/node/logstream/logstream.go
@@ -1,5 +1,5 @@
-// Package logstream is the port to the platform's append-only log, with an
-// adapter for its HTTP interface and an Appender that groups appends.
+// Package logstream is the interface to the platform's append-only log. It contains a
+// client for the log's HTTP interface and an Appender with group commit.
 package logstream
 
 import (
@@ -11,26 +11,27 @@
 )
 
 var (
-	// ErrUnavailable means that the log gave no answer; an append may have taken
+	// ErrUnavailable means that the log did not respond. An append may have taken
 	// effect.
 	ErrUnavailable = errors.New("log unavailable")
-	// ErrThrottled means that the log refused an append for its limit.
+	// ErrThrottled means that the log refused an append because of its rate limit.
 	ErrThrottled = errors.New("log append limit reached")
-	// ErrRejected means that the log will never take this append.
+	// ErrRejected means that the log will never accept this append.
 	ErrRejected = errors.New("log rejected the request")
-	// ErrQueueFull means that the Appender's queue has no room; nothing was
+	// ErrQueueFull means that the queue of the Appender is full. Nothing was
 	// appended.
 	ErrQueueFull = errors.New("append queue full")
-	// ErrStopped means that the Appender has ended; nothing was appended.
+	// ErrStopped means that the Appender is no longer running. Nothing was appended.
 	ErrStopped = errors.New("appender stopped")
 )
 
 // Log is the platform's log. Implementations are safe for concurrent use.
 type Log interface {
-	// Append adds the records as one unit and returns the first one's offset.
-	// After ErrUnavailable the records may have been added all the same.
+	// Append appends the records atomically and returns the offset of the first one.
+	// After ErrUnavailable the records may still have been appended.
 	Append(ctx context.Context, stream string, records [][]byte) (uint64, error)
-	// Read returns at most limit records from offset on, or from the first kept
-	// one. With none to return it waits up to wait for one.
+	// Read returns at most limit records, starting at offset from or, if the log no
+	// longer has that record, at its oldest one. If there is none to return, it waits
+	// for one for at most wait.
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (record.Batch, error)
 }
--- a/node/logstream/logtest/logtest.go
+++ b/node/logstream/logtest/logtest.go
@@ -1,5 +1,4 @@
-// Package logtest provides an in-memory logstream.Log with faults for tests of
-// the packages that use one.
+// Package logtest provides an in-memory logstream.Log with fault injection for tests.
 package logtest
 
 import (
@@ -11,18 +10,18 @@
 	"masticbank.example/node/logstream"
 )
 
-// Log is an in-memory log. Its zero value is ready; it is safe for concurrent
+// Log is an in-memory log. The zero value is an empty log. It is safe for concurrent
 // use.
 type Log struct {
-	// Delay is how long each append takes. Set it before use.
+	// Delay is the duration of each append. It must be set before the first use.
 	Delay time.Duration
 
-	mu      sync.Mutex
-	streams map[string]*stream
-	down    bool
-	lose    int
-	appends int
-	records int
+	mu              sync.Mutex
+	streams         map[string]*stream
+	down            bool
+	responsesToLose int
+	appends         int
+	records         int
 }
 
 type stream struct {
@@ -33,7 +32,7 @@
 
 var _ logstream.Log = (*Log)(nil)
 
-// SetDown makes every call fail until it is called with false.
+// SetDown makes all calls fail with ErrUnavailable while down is true.
 func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,14 +42,15 @@
 	}
 }
 
-// LoseNext lets the next n appends take effect without an answer.
+// LoseNext makes the next n appends take effect but return ErrUnavailable, as if the
+// response was lost.
 func (l *Log) LoseNext(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lose = n
+	l.responsesToLose = n
 }
 
-// Truncate forgets the records of the stream below offset first.
+// Truncate removes the records of the stream before offset first.
 func (l *Log) Truncate(name string, first uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,8 +96,8 @@
 	l.appends++
 	l.records += len(records)
 	s.wake()
-	if l.lose > 0 {
-		l.lose--
+	if l.responsesToLose > 0 {
+		l.responsesToLose--
 		return 0, logstream.ErrUnavailable
 	}
 	return offset, nil
@@ -150,6 +150,7 @@
 	return s
 }
 
+// wake ends the waits of readers.
 func (s *stream) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
