--- a/node/instancelist/endless_test.go
+++ b/node/instancelist/endless_test.go
@@ -10,8 +10,9 @@
 	"masticbank.example/node/instancelist"
 )
 
-// TestAnswersWithoutEndAreErrors has no deadline: only a bound ends the call.
-func TestAnswersWithoutEndAreErrors(t *testing.T) {
+// TestEndlessResponsesAreErrors checks that a size limit ends a call with an endless
+// response. The call has no deadline.
+func TestEndlessResponsesAreErrors(t *testing.T) {
 	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
 		for name, answer := range kind {
 			t.Run(name, func(t *testing.T) {
--- a/node/instancelist/instancelist.go
+++ b/node/instancelist/instancelist.go
@@ -1,5 +1,5 @@
-// Package instancelist reads the platform's list of instances. The list may lag
-// behind the truth, so each copy is handed out with its age.
+// Package instancelist reads the platform's list of instances. The list may be
+// outdated, so every copy is returned with its age.
 package instancelist
 
 import (
@@ -15,17 +15,17 @@
 	"masticbank.example/node/wire"
 )
 
-// MaxListBytes bounds the size of one answer of the platform.
+// MaxListBytes is the maximum size of the list in JSON.
 const MaxListBytes = 16 << 20
 
 // Lister reads the platform's list. Implementations are safe for concurrent use.
 type Lister interface {
-	// List returns the instances of all roles, live and leaving.
+	// List returns the instances of all roles, leaving ones included.
 	List(ctx context.Context) ([]wire.Instance, error)
 }
 
-// HTTP reads the list from a platform that answers wire.PathInstances. It is
-// safe for concurrent use.
+// HTTP reads the list from the platform's HTTP endpoint wire.PathInstances. It is safe
+// for concurrent use.
 type HTTP struct {
 	client *http.Client
 	url    string
@@ -49,8 +49,8 @@
 	return &HTTP{client: client, url: u.JoinPath(wire.PathInstances).String()}, nil
 }
 
-// List implements Lister. Entries without an ID are left out; of entries with
-// the same ID one remains.
+// List implements Lister. Entries without an ID are omitted and entries with the same
+// ID are merged.
 func (h *HTTP) List(ctx context.Context) ([]wire.Instance, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.url, nil)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return merge(list.Instances), nil
 }
 
-// merge drops entries without an ID and makes one of entries with the same ID:
-// the last one, leaving if any of them was.
+// merge removes entries without an ID and merges entries with the same ID: the last one
+// is used, and it is leaving if any of them is.
 func merge(instances []wire.Instance) []wire.Instance {
 	index := make(map[string]int, len(instances))
 	merged := make([]wire.Instance, 0, len(instances))
--- a/node/instancelist/instancelist_test.go
+++ b/node/instancelist/instancelist_test.go
@@ -55,21 +55,21 @@
 
 func (f listerFunc) List(ctx context.Context) ([]wire.Instance, error) { return f(ctx) }
 
-// Modes of the platform in TestPollerKeepsLastCopyWhileListIsAway.
+// Modes of the platform in TestPollerKeepsLastCopyWhileListIsUnavailable.
 const (
 	working = iota
 	failing
-	silent
+	unresponsive
 )
 
-func TestPollerKeepsLastCopyWhileListIsAway(t *testing.T) {
+func TestPollerKeepsLastCopyWhileListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mode atomic.Int32
 		lister := listerFunc(func(ctx context.Context) ([]wire.Instance, error) {
 			switch mode.Load() {
 			case failing:
-				return nil, errors.New("away")
-			case silent:
+				return nil, errors.New("unavailable")
+			case unresponsive:
 				<-ctx.Done()
 				return nil, ctx.Err()
 			default:
@@ -95,7 +95,7 @@
 		age, _ := last.Age(time.Now())
 		require.Equal(t, 10*DefaultInterval, age)
 
-		mode.Store(silent)
+		mode.Store(unresponsive)
 		time.Sleep(3 * (DefaultInterval + DefaultTimeout))
 		require.Equal(t, int32(1), updates.Load())
 		mode.Store(working)
--- a/node/loader/calls.go
+++ b/node/loader/calls.go
@@ -14,163 +14,170 @@
 	"masticbank.example/node/wire"
 )
 
-// reading is the last state of an engine.
-type reading struct {
+// observedState is the last known state of an engine.
+type observedState struct {
 	state wire.EngineState
-	// tried is when the engine was last asked.
-	tried time.Time
-	// silent is when it first did not answer since; zero when it answered.
-	silent time.Time
-	// answered is false when there is no state, or none that still counts.
-	answered bool
+	// lastQuery is the time of the last query.
+	lastQuery time.Time
+	// unresponsiveSince is the time of the first failed query since the last response;
+	// it is zero after a response.
+	unresponsiveSince time.Time
+	// valid is false when there is no state or it has expired (see stateExpiry).
+	valid bool
 }
 
-// changing tells whether the state is about to change, or known to be wrong.
-func (r reading) changing(target placement.Assignment) bool {
-	return r.answered && r.silent.IsZero() && (r.state.Loading || target != held(r.state))
+// changing reports whether the engine is loading or its state differs from target, so
+// that the state has to be queried in every round.
+func (r observedState) changing(target placement.Assignment) bool {
+	return r.valid && r.unresponsiveSince.IsZero() && (r.state.Loading || target != heldBy(r.state))
 }
 
-// read refreshes the readings that are due and tells whether a state changed.
-func (l *Loader) read(ctx context.Context, targets []Engine) (changed bool) {
-	due := l.due(targets)
+// queryDue queries the states that are due and reports whether one has changed.
+func (l *Loader) queryDue(ctx context.Context, targets []Engine) (changed bool) {
+	due := l.dueEngines(targets)
 	states := make([]*wire.EngineState, len(due))
 	var group errgroup.Group
-	group.SetLimit(callsAtOnce)
+	group.SetLimit(maxConcurrentCalls)
 	for i := range due {
 		group.Go(func() error {
-			states[i] = l.readOne(ctx, due[i].Target)
+			states[i] = l.queryState(ctx, due[i].Target)
 			return nil
 		})
 	}
 	_ = group.Wait()
 	for i, t := range due {
-		before := l.known[t.Target.ID]
-		l.noteState(t.Target.ID, states[i])
-		changed = changed || l.known[t.Target.ID].state != before.state
+		before := l.observed[t.Target.ID]
+		l.recordState(t.Target.ID, states[i])
+		changed = changed || l.observed[t.Target.ID].state != before.state
 	}
 	return changed
 }
 
-// due returns the engines that change, the silent ones once a period, and of the
-// others those that were read longest ago.
-func (l *Loader) due(targets []Engine) []Engine {
+// dueEngines returns the engines to query in this round: all that are changing, each
+// unresponsive one once a period, and of the others those queried longest ago, as far
+// as the number of reads in a round allows.
+func (l *Loader) dueEngines(targets []Engine) []Engine {
 	now := time.Now()
 	reads := l.opts.Reads
 	if l.active {
-		reads = (reads + activeRounds - 1) / activeRounds
+		reads = (reads + activeRoundsPerPeriod - 1) / activeRoundsPerPeriod
 	}
 	var due, rest []Engine
 	for _, t := range targets {
-		last := l.known[t.Target.ID]
+		last := l.observed[t.Target.ID]
 		target, _ := l.planner.Target(t.Target.ID)
-		silent := !last.answered || !last.silent.IsZero()
+		unresponsive := !last.valid || !last.unresponsiveSince.IsZero()
 		switch {
-		case last.changing(target), silent && now.Sub(last.tried) >= l.opts.Period:
+		case last.changing(target), unresponsive && now.Sub(last.lastQuery) >= l.opts.Period:
 			due = append(due, t)
-		case !silent:
+		case !unresponsive:
 			rest = append(rest, t)
 		}
 	}
 	slices.SortStableFunc(rest, func(a, b Engine) int {
-		return l.known[a.Target.ID].tried.Compare(l.known[b.Target.ID].tried)
+		return l.observed[a.Target.ID].lastQuery.Compare(l.observed[b.Target.ID].lastQuery)
 	})
 	return append(due, rest[:min(len(rest), max(0, reads-len(due)))]...)
 }
 
-// readOne returns nil when the engine does not answer.
-func (l *Loader) readOne(ctx context.Context, t engine.Target) *wire.EngineState {
+// queryState queries the state of one engine. It returns nil if the engine does not
+// respond.
+func (l *Loader) queryState(ctx context.Context, t engine.Target) *wire.EngineState {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	state, err := l.opts.Engines.State(ctx, t)
 	if err != nil {
-		l.opts.Logger.Debug("engine state can't be read", zap.String("upstream", t.ID), zap.Error(err))
+		l.opts.Logger.Debug("failed to query engine state", zap.String("upstream", t.ID), zap.Error(err))
 		return nil
 	}
 	return state
 }
 
-// noteState takes the answer of an engine, nil for none.
-func (l *Loader) noteState(id string, state *wire.EngineState) {
+// recordState records the result of a query; state is nil if the engine did not
+// respond.
+func (l *Loader) recordState(id string, state *wire.EngineState) {
 	now := time.Now()
-	last := l.known[id]
+	last := l.observed[id]
 	if state == nil {
-		last.tried = now
-		if last.silent.IsZero() {
-			last.silent = now
+		last.lastQuery = now
+		if last.unresponsiveSince.IsZero() {
+			last.unresponsiveSince = now
 		}
-		l.known[id] = last
+		l.observed[id] = last
 		return
 	}
-	if last.state.Loading && !state.Loading && held(last.state) == held(*state) {
+	if last.state.Loading && !state.Loading && heldBy(last.state) == heldBy(*state) {
 		l.limit.Finished()
 	}
-	l.known[id] = reading{state: *state, tried: now, answered: true}
+	l.observed[id] = observedState{state: *state, lastQuery: now, valid: true}
 }
 
-// engines returns the engines that have answered and forgets those that are no
-// longer listed.
-func (l *Loader) engines(targets []Engine) []placement.Engine {
+// plannerEngines returns the engines with a known state as input for the planner. It
+// removes the states of engines that are no longer listed.
+func (l *Loader) plannerEngines(targets []Engine) []placement.Engine {
 	now := time.Now()
-	known := make(map[string]reading, len(targets))
+	known := make(map[string]observedState, len(targets))
 	engines := make([]placement.Engine, 0, len(targets))
 	for _, t := range targets {
-		last := l.known[t.Target.ID]
-		silent := !last.silent.IsZero()
-		silence := now.Sub(last.silent)
-		last.answered = last.answered && (!silent || silence < forgetAfter)
+		last := l.observed[t.Target.ID]
+		unresponsive := !last.unresponsiveSince.IsZero()
+		unresponsiveFor := now.Sub(last.unresponsiveSince)
+		last.valid = last.valid && (!unresponsive || unresponsiveFor < stateExpiry)
 		known[t.Target.ID] = last
-		if !last.answered {
+		if !last.valid {
 			continue
 		}
-		down := t.Down || (silent && silence >= l.downAfter())
+		down := t.Down || (unresponsive && unresponsiveFor >= l.downAfter())
 		engines = append(engines, placement.Engine{
 			ID: t.Target.ID, Zone: t.Zone, Accelerator: t.Accelerator, MaxLayers: t.MaxLayers,
-			Held: held(last.state), Loading: last.state.Loading,
+			Held: heldBy(last.state), Loading: last.state.Loading,
 			Fence: last.state.Fence, Fencing: last.state.Fencing,
-			Live: !down, Silent: silent, Leaving: t.Leaving, Units: t.Units,
+			Live: !down, Silent: unresponsive, Leaving: t.Leaving, Units: t.Units,
 		})
 	}
-	l.known = known
+	l.observed = known
 	return engines
 }
 
-func held(s wire.EngineState) placement.Assignment {
+// heldBy returns what an engine in state s holds or is loading.
+func heldBy(s wire.EngineState) placement.Assignment {
 	return placement.Assignment{Model: s.Model, Version: s.Version, First: s.FirstLayer, Last: s.LastLayer}
 }
 
-// send sends the orders while the duty is valid and returns how many were sent
-// and how many of those failed.
-func (l *Loader) send(ctx context.Context, epoch uint64, engines []Engine, plan placement.Plan) (sent, failed int) {
+// sendOrders sends the orders of a plan as long as this instance is the leader. It
+// returns the number of orders sent and of those that failed.
+func (l *Loader) sendOrders(ctx context.Context, epoch uint64, engines []Engine, plan placement.Plan) (sent, failed int) {
 	targets := make(map[string]engine.Target, len(engines))
 	for _, t := range engines {
 		targets[t.Target.ID] = t.Target
 	}
-	results := make([]result, len(plan.Orders))
+	results := make([]orderResult, len(plan.Orders))
 	var group errgroup.Group
-	group.SetLimit(callsAtOnce)
+	group.SetLimit(maxConcurrentCalls)
 	for i, o := range plan.Orders {
 		group.Go(func() error {
-			results[i] = l.sendOne(ctx, epoch, targets[o.Engine], o)
+			results[i] = l.sendOrder(ctx, epoch, targets[o.Engine], o)
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return l.count(plan, results)
+	return l.recordResults(plan, results)
 }
 
-// result is what became of one order.
-type result uint8
+// orderResult is the outcome of one order.
+type orderResult uint8
 
 const (
-	resultNotSent result = iota
-	resultTaken
+	resultNotSent orderResult = iota
+	resultAccepted
 	resultFailed
-	// resultBusy means that the engine was refused by the weight store.
+	// resultBusy means that the weight store refused the load.
 	resultBusy
 )
 
-// sendOne checks the duty immediately before it sends.
-func (l *Loader) sendOne(ctx context.Context, epoch uint64, t engine.Target, o placement.Order) result {
+// sendOrder sends one order. It checks immediately before that this instance is still
+// the leader in the same epoch.
+func (l *Loader) sendOrder(ctx context.Context, epoch uint64, t engine.Target, o placement.Order) orderResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	order := &wire.Order{
@@ -186,34 +193,35 @@
 	case errors.As(err, &refused) && refused.Code == wire.CodeOverloaded:
 		return resultBusy
 	case err != nil:
-		l.opts.Logger.Warn("order has no answer", zap.String("upstream", t.ID), zap.Error(err))
+		l.opts.Logger.Warn("order failed", zap.String("upstream", t.ID), zap.Error(err))
 		return resultFailed
 	case !response.Accepted:
-		l.opts.Logger.Warn("order was refused", zap.String("upstream", t.ID), zap.Uint64("fence", response.Fence))
+		l.opts.Logger.Warn("order refused by engine", zap.String("upstream", t.ID), zap.Uint64("fence", response.Fence))
 		return resultFailed
 	}
 	if o.Reason != placement.ReasonFence {
-		l.opts.Logger.Info("engine was ordered to load", zap.String("upstream", t.ID), zap.Any("target", o.Target))
+		l.opts.Logger.Info("load ordered", zap.String("upstream", t.ID), zap.Any("target", o.Target))
 	}
-	return resultTaken
+	return resultAccepted
 }
 
-// noteFence notes that an engine has seen the fence of an order.
-func (l *Loader) noteFence(o placement.Order) {
-	last := l.known[o.Engine]
+// recordFence records that an engine has accepted the fence of an order.
+func (l *Loader) recordFence(o placement.Order) {
+	last := l.observed[o.Engine]
 	last.state.Fence = max(last.state.Fence, o.Fence)
-	l.known[o.Engine] = last
+	l.observed[o.Engine] = last
 }
 
-// count adds the results up and lowers the limit when the store refused a load.
-func (l *Loader) count(plan placement.Plan, results []result) (sent, failed int) {
+// recordResults records the results of the orders and returns their numbers. It reduces
+// the limit on concurrent loads if the weight store refused one.
+func (l *Loader) recordResults(plan placement.Plan, results []orderResult) (sent, failed int) {
 	running, busy := plan.Loading, 0
 	for i, r := range results {
 		switch r {
 		case resultNotSent:
 			continue
-		case resultTaken:
-			l.noteFence(plan.Orders[i])
+		case resultAccepted:
+			l.recordFence(plan.Orders[i])
 			if plan.Orders[i].Reason != placement.ReasonFence {
 				running++
 			}
--- a/node/loader/loader.go
+++ b/node/loader/loader.go
@@ -1,5 +1,6 @@
-// Package loader orders engines to load models. Package core/placement decides;
-// this one reads the engines' states, sends the orders and reads back.
+// Package loader orders engines to load models. It queries the states of the engines,
+// passes them to the planner in core/placement, sends the resulting orders and verifies
+// their effect with the next queries. Only the leader of this task does so.
 package loader
 
 import (
@@ -15,117 +16,123 @@
 	"masticbank.example/node/engine"
 )
 
-// Duty is the duty of ordering engines to load models.
+// Duty is the name of the leader task of ordering engines to load models.
 const Duty = "loading"
 
 const (
 	defaultPeriod   = 5 * time.Second
 	defaultMaxLoads = 2
-	// callTimeout bounds one call to an engine.
+	// callTimeout is the timeout of one call to an engine.
 	callTimeout = 2 * time.Second
-	// callsAtOnce bounds the calls in progress.
-	callsAtOnce = 64
-	// activeRounds is the number of rounds in a period while engines load.
-	activeRounds = 10
-	// downRounds is the number of periods after which a silent engine is down.
-	downRounds = 3
-	// forgetAfter is how long the loads of a silent engine count.
-	forgetAfter = 30 * time.Second
-	// defaultReads is the usual number of states read in a period.
+	// maxConcurrentCalls is the maximum number of concurrent calls to engines.
+	maxConcurrentCalls = 64
+	// activeRoundsPerPeriod is the number of rounds in a period while engines are
+	// loading.
+	activeRoundsPerPeriod = 10
+	// downAfterPeriods is the number of periods after which an unresponsive engine
+	// counts as down.
+	downAfterPeriods = 3
+	// stateExpiry is the time after which the last state of an unresponsive engine
+	// expires; until then its loads count towards the limit.
+	stateExpiry = 30 * time.Second
+	// defaultReads is the default number of states queried in a period.
 	defaultReads = 64
 )
 
-// Keeper tells whether this instance may act for a duty now, and with which
+// Keeper reports whether this instance is currently the leader of a task, and in which
 // epoch. Implementations are safe for concurrent use.
 type Keeper interface {
 	Valid(duty string) (epoch uint64, ok bool)
 }
 
-// Engine is one engine that the platform lists.
+// Engine is one engine of the platform's instance list.
 type Engine struct {
 	Target      engine.Target
 	Zone        string
 	Accelerator string
-	// MaxLayers is the number of layers that it can hold; 0 means as many as any
-	// engine with the same accelerator holds.
+	// MaxLayers is the number of layers that fit on the engine; 0 means the largest
+	// number that any engine with the same accelerator holds.
 	MaxLayers int
-	// Leaving is true when the engine takes no new work.
+	// Leaving is true when the engine accepts no new requests.
 	Leaving bool
-	// Down is true when the engine is known to be down, from traffic and probes.
+	// Down is true when requests and probes have shown that the engine is down.
 	Down bool
-	// Units is the number of sequences carried at once; 0 means 1.
+	// Units is the number of sequences that the engine serves concurrently; 0 means 1.
 	Units int
 }
 
-// Options sets up a Loader. Engines, Keeper, Targets and Wanted are required.
-// The functions are called by Run, one at a time.
+// Options configures a Loader. Engines, Keeper, Targets and Wanted are required. Run
+// calls the functions, never concurrently.
 type Options struct {
 	Engines engine.Client
 	Keeper  Keeper
-	// Duty names the duty; empty means Duty.
+	// Duty is the name of the leader task; empty means the constant of the same name.
 	Duty string
-	// Targets returns the engines to look after.
+	// Targets returns the engines to manage.
 	Targets func() []Engine
 	// Wanted returns the configured models by name.
 	Wanted func() map[string]config.ModelConfig
-	// Demand returns the sequences that a model is to carry at once; nil means
-	// one for each model.
+	// Demand returns the number of sequences that a model has to serve concurrently;
+	// nil means one for each model.
 	Demand func(model string) int
-	// MaxLoads is the number of loads at once that the weight store gives; 0
-	// means 2.
+	// MaxLoads is the number of concurrent loads that the weight store allows; 0 means
+	// 2.
 	MaxLoads int
-	// Period is the time between decisions; 0 means 5 s.
+	// Period is the interval between decisions; 0 means 5 s.
 	Period time.Duration
-	// Reads is the number of states read in a period; 0 means 64. All engines are
-	// read when the duty begins; engines that load or were ordered to change are
-	// read in every round, and silent ones in every period.
+	// Reads is the number of states queried in a period; 0 means 64. It does not limit
+	// the queries of all engines when this instance becomes the leader, of changing
+	// engines in every round, and of unresponsive ones in every period.
 	Reads int
-	// Terms are the planner's margins; zero means the usual ones.
+	// Terms are the planner's margins; zero means the default ones.
 	Terms  placement.Terms
 	Logger *zap.Logger
 }
 
-// Status is what the last decision found.
+// Status is the state of a Loader after its last decision.
 type Status struct {
-	// Holding is true while this instance holds the duty with Epoch.
+	// Holding is true while this instance is the leader, in the given epoch.
 	Holding bool
 	Epoch   uint64
-	// Engines is the number of engines decided on, Silent of those that do not
-	// answer, Loading of those that load.
+	// Engines is the number of engines with a known state. Silent counts those of them
+	// that are unresponsive or down, and Loading those that are loading.
 	Engines int
 	Silent  int
 	Loading int
-	// MaxLoads is the number of loads at once as learnt from refusals.
+	// MaxLoads is the current limit on concurrent loads, as adapted to refusals of the
+	// weight store.
 	MaxLoads int
-	// Outdated is the number of engines with an old version of a wanted model.
+	// Outdated is the number of engines with an old version of a configured model.
 	Outdated int
 	Short    []placement.Shortage
-	// Sent is the number of orders sent since the start, Failed of those
-	// without an answer or refused.
+	// Sent is the number of orders sent since the start. Failed counts those of them
+	// that had no response or were refused.
 	Sent   int
 	Failed int
 }
 
-// Loader keeps engines at their target states while its instance holds the duty.
-// Status is safe for concurrent use.
+// Loader brings engines to their target states while its instance is the leader of
+// the task. Status is safe for concurrent use.
 type Loader struct {
-	opts    Options
-	planner *placement.Planner
-	limit   *placement.Limit
-	known   map[string]reading
-	// epoch is that of the readings, which began at since.
-	epoch uint64
-	since time.Time
-	// active is true while engines load or are ordered to.
+	opts     Options
+	planner  *placement.Planner
+	limit    *placement.Limit
+	observed map[string]observedState
+	// epoch is the leader epoch in which the states were queried. It began at
+	// leaderSince.
+	epoch       uint64
+	leaderSince time.Time
+	// active is true while engines are loading or were ordered to load. Rounds are
+	// more frequent then.
 	active bool
-	// decided is the time of the last decision.
-	decided time.Time
+	// lastDecision is the time of the last decision.
+	lastDecision time.Time
 
 	mu     sync.Mutex
 	status Status
 }
 
-// New returns a Loader; Run must be running for it to do anything.
+// New returns a Loader. It is active only while Run is running.
 func New(o Options) *Loader {
 	if o.Duty == "" {
 		o.Duty = Duty
@@ -146,22 +153,22 @@
 		o.Logger = zap.NewNop()
 	}
 	return &Loader{
-		opts:    o,
-		planner: placement.New(o.Terms),
-		limit:   placement.NewLimit(o.MaxLoads),
-		known:   map[string]reading{},
+		opts:     o,
+		planner:  placement.New(o.Terms),
+		limit:    placement.NewLimit(o.MaxLoads),
+		observed: map[string]observedState{},
 	}
 }
 
-// Status returns what the last decision found.
+// Status returns the state after the last decision.
 func (l *Loader) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.status
 }
 
-// Run decides once a period, and when a state has changed while engines load,
-// until ctx ends, and returns its error. All calls have ended when it returns.
+// Run decides once a period, and additionally when a state changes while engines are
+// loading. It runs until ctx ends and returns its error after all calls have ended.
 func (l *Loader) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -171,86 +178,90 @@
 			return trace.Wrap(ctx.Err())
 		case <-timer.C:
 			l.round(ctx)
-			timer.Reset(l.wait())
+			timer.Reset(l.roundInterval())
 		}
 	}
 }
 
-// wait returns the time to the next round.
-func (l *Loader) wait() time.Duration {
+// roundInterval returns the interval until the next round.
+func (l *Loader) roundInterval() time.Duration {
 	if l.active {
-		return l.opts.Period / activeRounds
+		return l.opts.Period / activeRoundsPerPeriod
 	}
 	return l.opts.Period
 }
 
-// round reads engines, decides and sends the orders. What an order has done is
-// seen by the next round's reading.
+// round queries the engines and, if necessary, decides and sends the orders. The
+// effects of the orders are observed by the queries of the next rounds.
 func (l *Loader) round(ctx context.Context) {
 	epoch, ok := l.opts.Keeper.Valid(l.opts.Duty)
 	if !ok {
 		l.active = false
-		l.note(func(s *Status) { *s = Status{Sent: s.Sent, Failed: s.Failed} })
+		l.updateStatus(func(s *Status) { *s = Status{Sent: s.Sent, Failed: s.Failed} })
 		return
 	}
 	if epoch != l.epoch {
-		l.epoch, l.since = epoch, time.Now()
-		clear(l.known)
+		l.epoch, l.leaderSince = epoch, time.Now()
+		clear(l.observed)
 	}
 	targets := l.opts.Targets()
-	changed := l.read(ctx, targets)
-	if ctx.Err() != nil || l.incomplete(targets) {
+	changed := l.queryDue(ctx, targets)
+	if ctx.Err() != nil || l.awaitsFirstStates(targets) {
 		return
 	}
-	if changed || time.Since(l.decided) >= l.opts.Period {
+	if changed || time.Since(l.lastDecision) >= l.opts.Period {
 		l.decide(ctx, epoch, targets)
 	}
 }
 
-// incomplete tells whether engines have not answered since the duty began, while
-// they may just be slow. A decision without them would replace them.
-func (l *Loader) incomplete(targets []Engine) bool {
-	if time.Since(l.since) >= l.downAfter() {
+// awaitsFirstStates reports whether engines that may just be slow have not responded
+// since this instance became the leader. A decision without them would replace them.
+func (l *Loader) awaitsFirstStates(targets []Engine) bool {
+	if time.Since(l.leaderSince) >= l.downAfter() {
 		return false
 	}
 	for _, t := range targets {
-		if !l.known[t.Target.ID].answered && !t.Down {
+		if !l.observed[t.Target.ID].valid && !t.Down {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *Loader) downAfter() time.Duration { return downRounds * l.opts.Period }
+// downAfter returns the time after which an unresponsive engine counts as down.
+func (l *Loader) downAfter() time.Duration { return downAfterPeriods * l.opts.Period }
 
+// decide lets the planner compute the orders, sends them and updates the status.
 func (l *Loader) decide(ctx context.Context, epoch uint64, targets []Engine) {
-	l.decided = time.Now()
-	engines := l.engines(targets)
+	l.lastDecision = time.Now()
+	engines := l.plannerEngines(targets)
 	plan := l.planner.Step(placement.Input{
 		Epoch:    epoch,
 		Engines:  engines,
-		Models:   l.models(),
+		Models:   l.plannerModels(),
 		MaxLoads: l.limit.Value(),
 	})
 	l.active = plan.Loading > 0 || len(plan.Orders) > 0
-	sent, failed := l.send(ctx, epoch, targets, plan)
-	l.note(func(s *Status) {
+	sent, failed := l.sendOrders(ctx, epoch, targets, plan)
+	l.updateStatus(func(s *Status) {
 		*s = Status{
 			Holding: true, Epoch: epoch,
-			Engines: len(engines), Silent: silent(engines), Loading: plan.Loading,
+			Engines: len(engines), Silent: countUnresponsive(engines), Loading: plan.Loading,
 			MaxLoads: l.limit.Value(), Outdated: plan.Outdated, Short: plan.Short,
 			Sent: s.Sent + sent, Failed: s.Failed + failed,
 		}
 	})
 }
 
-func (l *Loader) note(change func(*Status)) {
+func (l *Loader) updateStatus(change func(*Status)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.status)
 }
 
-func (l *Loader) models() []placement.Model {
+// plannerModels returns the configured models with their demand as input for the
+// planner.
+func (l *Loader) plannerModels() []placement.Model {
 	var models []placement.Model
 	for name, m := range l.opts.Wanted() {
 		demand := 0
@@ -262,7 +273,8 @@
 	return models
 }
 
-func silent(engines []placement.Engine) int {
+// countUnresponsive counts the engines that are unresponsive or down.
+func countUnresponsive(engines []placement.Engine) int {
 	n := 0
 	for i := range engines {
 		if engines[i].Silent || !engines[i].Live {
--- a/node/loader/loader_test.go
+++ b/node/loader/loader_test.go
@@ -24,21 +24,21 @@
 	readTime = 10 * time.Millisecond
 )
 
-// engines is a fake of all engines. The embedded Client is nil: no other call is
-// expected.
-type engines struct {
+// fakeEngines is an engine client with simulated engines. The embedded Client is nil,
+// as no other method should be called.
+type fakeEngines struct {
 	engine.Client
 
-	mu     sync.Mutex
-	states map[string]wire.EngineState
-	orders []wire.Order
-	lost   int // next orders that take effect without an answer
-	gives  int // loads at once that the store gives; 0 means no bound
-	peak   int
-	down   bool // traffic says that hidden engines are down
+	mu              sync.Mutex
+	states          map[string]wire.EngineState
+	orders          []wire.Order
+	responsesToLose int  // number of next orders that take effect without a response
+	maxLoads        int  // maximum number of concurrent loads; 0 means no limit
+	peakLoads       int  // highest number of concurrent loads
+	reportDown      bool // withDown marks unresponsive engines as down
 }
 
-func (e *engines) State(_ context.Context, t engine.Target) (*wire.EngineState, error) {
+func (e *fakeEngines) State(_ context.Context, t engine.Target) (*wire.EngineState, error) {
 	time.Sleep(readTime)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,26 +49,26 @@
 	return &s, nil
 }
 
-func (e *engines) Order(_ context.Context, t engine.Target, o *wire.Order) (*wire.OrderResponse, error) {
+func (e *fakeEngines) Order(_ context.Context, t engine.Target, o *wire.Order) (*wire.OrderResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, *o)
-	if e.gives > 0 && e.loading() >= e.gives {
+	if e.maxLoads > 0 && e.loading() >= e.maxLoads {
 		return nil, &engine.CallError{Proof: engine.ProofRefused, Code: wire.CodeOverloaded}
 	}
 	s := e.states[t.ID]
 	s.Model, s.Version, s.FirstLayer, s.LastLayer, s.Loading = o.Model, o.Version, o.FirstLayer, o.LastLayer, true
 	e.states[t.ID] = s
-	e.peak = max(e.peak, e.loading())
+	e.peakLoads = max(e.peakLoads, e.loading())
 	time.AfterFunc(loadTime, func() { e.loaded(t.ID) })
-	if e.lost > 0 {
-		e.lost--
-		return nil, &engine.CallError{Code: engine.CodeTimeout, Err: errors.New("answer lost")}
+	if e.responsesToLose > 0 {
+		e.responsesToLose--
+		return nil, &engine.CallError{Code: engine.CodeTimeout, Err: errors.New("response lost")}
 	}
 	return &wire.OrderResponse{Accepted: true, Fence: o.Fence}, nil
 }
 
-func (e *engines) loaded(id string) {
+func (e *fakeEngines) loaded(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.states[id]
@@ -76,8 +76,8 @@
 	e.states[id] = s
 }
 
-// hide lets an engine go silent and returns its state.
-func (e *engines) hide(id string) wire.EngineState {
+// stopResponding makes an engine unresponsive and returns its state.
+func (e *fakeEngines) stopResponding(id string) wire.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.states[id]
@@ -85,25 +85,27 @@
 	return s
 }
 
-// listed returns the targets with what traffic says about them.
-func (e *engines) listed(targets []Engine) []Engine {
+// withDown returns a copy of targets. If e.reportDown is set, unresponsive engines are
+// marked as down in it.
+func (e *fakeEngines) withDown(targets []Engine) []Engine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := slices.Clone(targets)
 	for i := range out {
 		_, ok := e.states[out[i].Target.ID]
-		out[i].Down = e.down && !ok
+		out[i].Down = e.reportDown && !ok
 	}
 	return out
 }
 
-func (e *engines) show(id string, s wire.EngineState) {
+// resumeResponding makes an engine respond again, with the given state.
+func (e *fakeEngines) resumeResponding(id string, s wire.EngineState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.states[id] = s
 }
 
-func (e *engines) loading() int {
+func (e *fakeEngines) loading() int {
 	n := 0
 	for _, s := range e.states {
 		if s.Loading {
@@ -113,22 +115,23 @@
 	return n
 }
 
-// keeper holds the duty for a number of questions; below 0 for good.
-type keeper struct {
-	mu   sync.Mutex
-	left int
+// fakeKeeper reports this instance as the leader for the next queriesLeft queries, or
+// always if that is negative.
+type fakeKeeper struct {
+	mu          sync.Mutex
+	queriesLeft int
 }
 
-func (k *keeper) Valid(string) (uint64, bool) {
+func (k *fakeKeeper) Valid(string) (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.left--
-	return 7, k.left != -1
+	k.queriesLeft--
+	return 7, k.queriesLeft != -1
 }
 
-// start runs a loader for two replicas of two ranges, of which version 2 is
-// wanted.
-func start(ctx context.Context, e *engines, k Keeper, maxLoads int) (l *Loader, done chan error) {
+// start runs a loader for two layer ranges with two replicas each. The replicas hold
+// version 1 and the configuration requires version 2.
+func start(ctx context.Context, e *fakeEngines, k Keeper, maxLoads int) (l *Loader, done chan error) {
 	e.states = map[string]wire.EngineState{}
 	var targets []Engine
 	for i, id := range []string{"x0", "x1", "y0", "y1"} {
@@ -138,7 +141,7 @@
 	}
 	l = New(Options{
 		Engines: e, Keeper: k, MaxLoads: maxLoads, Period: time.Second,
-		Targets: func() []Engine { return e.listed(targets) },
+		Targets: func() []Engine { return e.withDown(targets) },
 		Wanted: func() map[string]config.ModelConfig {
 			return map[string]config.ModelConfig{"m": {Layers: 8, Version: "2"}}
 		},
@@ -148,13 +151,13 @@
 	return l, done
 }
 
-// All engines get the new version although answers are lost and the store gives
-// fewer loads than is set; every order carries the epoch.
-func TestLoadsInSpiteOfLostAnswersAndRefusals(t *testing.T) {
+// All engines get the new version although responses are lost and the weight store
+// allows fewer concurrent loads than configured. Every order has the epoch as fence.
+func TestLoadsDespiteLostResponsesAndRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		e := &engines{lost: 2, gives: 1}
-		l, done := start(ctx, e, &keeper{left: -1}, 3)
+		e := &fakeEngines{responsesToLose: 2, maxLoads: 1}
+		l, done := start(ctx, e, &fakeKeeper{queriesLeft: -1}, 3)
 		time.Sleep(3 * loadTime)
 		require.Less(t, l.Status().MaxLoads, 3)
 		time.Sleep(20 * loadTime)
@@ -164,7 +167,7 @@
 		require.Zero(t, s.Outdated)
 		require.Empty(t, s.Short)
 		require.Equal(t, uint64(7), s.Epoch)
-		require.Equal(t, 1, e.peak)
+		require.Equal(t, 1, e.peakLoads)
 		for id, state := range e.states {
 			require.Equal(t, "2", state.Version, id)
 		}
@@ -174,12 +177,13 @@
 	})
 }
 
-// A duty that ends while the engines are read sends nothing.
-func TestChecksDutyBeforeEachOrder(t *testing.T) {
+// No orders are sent after this instance has lost leadership. The fake keeper ends it
+// after the first order.
+func TestChecksLeadershipBeforeEachOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		e := &engines{}
-		_, done := start(ctx, e, &keeper{left: 2}, 3)
+		e := &fakeEngines{}
+		_, done := start(ctx, e, &fakeKeeper{queriesLeft: 2}, 3)
 		time.Sleep(readTime + time.Millisecond)
 		cancel()
 		require.ErrorIs(t, <-done, context.Canceled)
@@ -187,44 +191,45 @@
 	})
 }
 
-// A silent engine is not replaced at once, but when it stays silent or is known to
-// be down; all listed engines are awaited when the duty begins.
-func TestSilentEngines(t *testing.T) {
+// An unresponsive engine is replaced only if it stays unresponsive or is known to be
+// down. After this instance became the leader, nothing is decided before all listed
+// engines have responded or may count as down.
+func TestUnresponsiveEngines(t *testing.T) {
 	for _, down := range []bool{false, true} {
-		synctest.Test(t, func(t *testing.T) { checkSilentEngines(t, down) })
+		synctest.Test(t, func(t *testing.T) { checkUnresponsiveEngines(t, down) })
 	}
 }
 
-func checkSilentEngines(t *testing.T, down bool) {
+func checkUnresponsiveEngines(t *testing.T, down bool) {
 	ctx, cancel := context.WithCancel(t.Context())
-	e := &engines{}
-	l, done := start(ctx, e, &keeper{left: -1}, 1)
-	hidden := e.hide("x0")
+	e := &fakeEngines{}
+	l, done := start(ctx, e, &fakeKeeper{queriesLeft: -1}, 1)
+	hidden := e.stopResponding("x0")
 	time.Sleep(2 * time.Second)
 	require.Empty(t, e.orders)
-	e.show("x0", hidden)
+	e.resumeResponding("x0", hidden)
 	time.Sleep(30 * loadTime)
 	require.Equal(t, 4, l.Status().Engines)
-	x0, x1 := e.hide("x0"), e.hide("x1")
+	x0, x1 := e.stopResponding("x0"), e.stopResponding("x1")
 	sent := l.Status().Sent
 	time.Sleep(2 * time.Second)
 	require.Equal(t, 2, l.Status().Silent)
 	require.Equal(t, sent, l.Status().Sent)
 	if down {
 		e.mu.Lock()
-		e.down = true
+		e.reportDown = true
 		e.mu.Unlock()
 		time.Sleep(l.opts.Period)
 		require.Greater(t, l.Status().Sent, sent)
 	}
 	time.Sleep(2 * time.Second)
-	y0, y1 := e.hide("y0"), e.hide("y1")
+	y0, y1 := e.stopResponding("y0"), e.stopResponding("y1")
 	require.NotEqual(t, y0.FirstLayer, y1.FirstLayer)
-	e.show("y0", y0)
-	e.show("y1", y1)
-	e.show("x0", x0)
-	e.show("x1", x1)
-	time.Sleep(forgetAfter)
+	e.resumeResponding("y0", y0)
+	e.resumeResponding("y1", y1)
+	e.resumeResponding("x0", x0)
+	e.resumeResponding("x1", x1)
+	time.Sleep(stateExpiry)
 	require.Empty(t, l.Status().Short)
 	cancel()
 	require.ErrorIs(t, <-done, context.Canceled)
--- a/node/logsink/logsink.go
+++ b/node/logsink/logsink.go
@@ -93,7 +93,7 @@
 }
 
 // reportDropped writes a line with the number of dropped lines if it has changed since
-// told, and returns that number.
+// reported, and returns that number.
 func (s *Sink) reportDropped(reported uint64) uint64 {
 	n := s.Dropped()
 	if n != reported {
