--- a/node/metrics/benchmark_test.go
+++ b/node/metrics/benchmark_test.go
@@ -8,7 +8,7 @@
 	"masticbank.example/core/execution"
 )
 
-// BenchmarkObserve is the cost of one time of one request.
+// BenchmarkObserve measures recording one duration of a request.
 func BenchmarkObserve(b *testing.B) {
 	q := New(Options{}).Request(0, "w")
 	b.ReportAllocs()
@@ -17,8 +17,8 @@
 	}
 }
 
-// BenchmarkRequest is the cost of a whole request with ten tokens, over many
-// goroutines.
+// BenchmarkRequest measures recording a complete request with ten tokens, from many
+// goroutines concurrently.
 func BenchmarkRequest(b *testing.B) {
 	r := New(Options{})
 	b.ReportAllocs()
@@ -46,7 +46,7 @@
 	}
 }
 
-// BenchmarkRotate is the cost of one rotation every slicePeriod.
+// BenchmarkRotate measures one rotation, which takes place every slicePeriod.
 func BenchmarkRotate(b *testing.B) {
 	for _, n := range []int{10, 50, 2000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkSnapshot is the cost of reading everything once.
+// BenchmarkSnapshot measures one snapshot of all metrics.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{10, 50, 2000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
--- a/node/metrics/histogram.go
+++ b/node/metrics/histogram.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// minMicros and maxMicros are the trackable range: 1 us to 10 min. Values
-	// outside are recorded as the nearest limit.
+	// minMicros and maxMicros are the range of a histogram: 1 us to 10 min. Values
+	// outside of it are clamped.
 	minMicros = 1
 	maxMicros = int64(10 * time.Minute / time.Microsecond)
-	// significantFigures bounds the relative error of a percentile to 1 %.
+	// significantFigures limits the relative error of a percentile to 1 %.
 	significantFigures = 2
-	// sliceCount is the number of slices that make up the window.
+	// sliceCount is the number of slices in the sliding window.
 	sliceCount = 3
-	// slicePeriod is the time between rotations.
+	// slicePeriod is the interval between rotations, and so the duration of a slice.
 	slicePeriod = 20 * time.Second
 )
 
-// percentiles are those of a Distribution, in order.
+// percentiles lists the percentiles of a Distribution, in the order of its fields.
 var percentiles = []float64{50, 90, 95, 99}
 
-// Distribution summarizes recorded times, in microseconds.
+// Distribution summarizes recorded durations, in microseconds.
 type Distribution struct {
 	Count int64 `json:"count"`
 	Mean  int64 `json:"mean_us"`
@@ -34,9 +34,9 @@
 	Max   int64 `json:"max_us"`
 }
 
-// Percentiles holds the distributions of one metric.
+// Percentiles holds the two distributions of one metric.
 type Percentiles struct {
-	// Window covers the last 40 to 60 s.
+	// Window covers the last 40 to 60 s: the current slice and the two before it.
 	Window Distribution `json:"window"`
 	// Cumulative covers the time since the start.
 	Cumulative Distribution `json:"cumulative"`
@@ -46,18 +46,18 @@
 	return hdrhistogram.New(minMicros, maxMicros, significantFigures)
 }
 
-// histogram records times into the present slice of a window; a slice that
-// leaves the window is added to past. Safe for concurrent use.
+// histogram records durations in a sliding window of slices. A slice that leaves the
+// window is added to past. It is safe for concurrent use.
 type histogram struct {
-	mu      sync.Mutex
-	slices  [sliceCount]*hdrhistogram.Histogram
-	current int
-	past    *hdrhistogram.Histogram
-	// successor takes over what is recorded after the histogram was folded.
-	successor *histogram
+	mu           sync.Mutex
+	slices       [sliceCount]*hdrhistogram.Histogram
+	currentSlice int
+	past         *hdrhistogram.Histogram
+	// foldedInto is the histogram that records later values after foldInto; nil before.
+	foldedInto *histogram
 }
 
-func newWindow() *histogram {
+func newSlidingHistogram() *histogram {
 	h := &histogram{past: newHistogram()}
 	for i := range h.slices {
 		h.slices[i] = newHistogram()
@@ -72,9 +72,9 @@
 
 func (h *histogram) recordMicros(micros int64) {
 	h.mu.Lock()
-	next := h.successor
+	next := h.foldedInto
 	if next == nil {
-		_ = h.slices[h.current].RecordValue(micros)
+		_ = h.slices[h.currentSlice].RecordValue(micros)
 	}
 	h.mu.Unlock()
 	if next != nil {
@@ -82,20 +82,20 @@
 	}
 }
 
-// rotate starts the next slice.
+// rotate adds the oldest slice to past and reuses it as the current one.
 func (h *histogram) rotate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.current = (h.current + 1) % sliceCount
-	oldest := h.slices[h.current]
+	h.currentSlice = (h.currentSlice + 1) % sliceCount
+	oldest := h.slices[h.currentSlice]
 	if oldest.TotalCount() > 0 {
 		h.past.Merge(oldest)
 		oldest.Reset()
 	}
 }
 
-// foldInto adds everything recorded to the cumulative part of other, which
-// records from now on.
+// foldInto adds all recorded values to the cumulative distribution of other. Values
+// that are recorded later are recorded in other.
 func (h *histogram) foldInto(other *histogram) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,10 +105,10 @@
 	for _, s := range h.slices {
 		other.past.Merge(s)
 	}
-	h.successor = other
+	h.foldedInto = other
 }
 
-// percentiles reads both distributions; scratch is overwritten.
+// percentiles computes both distributions. It overwrites scratch.
 func (h *histogram) percentiles(scratch *hdrhistogram.Histogram) Percentiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -21,10 +21,11 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-// naive keeps every value of each slice.
-type naive [][]int64
+// referenceHistogram is a reference implementation of a histogram that keeps all values
+// by slice.
+type referenceHistogram [][]int64
 
-func (n naive) window() []int64 {
+func (n referenceHistogram) window() []int64 {
 	return slices.Concat(n[max(0, len(n)-sliceCount):]...)
 }
 
@@ -41,10 +42,10 @@
 	}
 }
 
-// Both distributions agree with a list of all values within 1 %.
+// Both distributions of a histogram agree within 1 % with those of naive.
 func TestHistogramAgainstSortedValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, all := newWindow(), naive{nil}
+		h, all := newSlidingHistogram(), referenceHistogram{nil}
 		for range rapid.IntRange(1, 60).Draw(t, "actions") {
 			if rapid.IntRange(0, 9).Draw(t, "action") == 0 {
 				h.rotate()
@@ -61,8 +62,8 @@
 	})
 }
 
-// Whatever workspaces come and go, their number is bounded, nothing recorded
-// is lost and the most used one has a series of its own.
+// For random sequences of requests, the number of series of workspaces is limited,
+// nothing recorded is lost, and the most used workspace has its own series.
 func TestWorkspacesAreBounded(t *testing.T) {
 	const limit = 3
 	rapid.Check(t, func(t *rapid.T) {
@@ -93,8 +94,8 @@
 	})
 }
 
-// total returns the number of finished requests over all workspaces; it checks
-// that as many times were recorded.
+// total returns the number of finished requests of all workspaces, or -1 if it differs
+// from the number of recorded durations.
 func total(s Snapshot) int {
 	counted, timed := 0, 0
 	for _, w := range append(slices.Collect(mapValues(s.Workspaces)), s.Other) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// Folding loses nothing while requests are in progress.
+// Folding series during concurrent requests loses no recorded value.
 func TestConcurrentUse(t *testing.T) {
 	const workers, each = 8, 400
 	r := New(Options{MaxWorkspaces: 2, Ranks: []string{"urgent"}})
--- a/node/metrics/registry.go
+++ b/node/metrics/registry.go
@@ -1,10 +1,10 @@
-// Package metrics records times, outcomes, counters and gauges of one instance
-// and shows them through expvar. Times are kept in HDR histograms by rank and
-// by workspace, in microseconds, with an error of at most 1 %.
+// Package metrics records durations, outcomes, counters and gauges of one instance and
+// publishes them in expvar. Durations are recorded in HDR histograms by rank and by
+// workspace, in microseconds, with an error of at most 1 %.
 //
-// Memory: one series holds four metrics of four histograms of 24 KiB each,
-// about 390 KiB (see BytesPerSeries). There is one for each rank in use, one
-// for each of the MaxWorkspaces most used workspaces and one for the rest.
+// A series holds four metrics of four histograms of 24 KiB each and so uses about
+// 390 KiB (see BytesPerSeries). There is one series for each rank in use, one for each
+// of the MaxWorkspaces most used workspaces, and one for all other workspaces.
 package metrics
 
 import (
@@ -18,25 +18,25 @@
 )
 
 const (
-	// DefaultMaxWorkspaces is the number of workspaces with series of their own.
+	// DefaultMaxWorkspaces is the default of Options.MaxWorkspaces.
 	DefaultMaxWorkspaces = 50
-	// maxRanks bounds the ranks with series of their own.
+	// maxRanks is the maximum number of ranks with their own series.
 	maxRanks = 8
 )
 
-// ErrPublished reports that the name is taken in expvar.
-var ErrPublished = errors.New("name is published already")
+// ErrPublished means that the name is already in use in expvar.
+var ErrPublished = errors.New("name is already published")
 
 // Options configures a Registry.
 type Options struct {
-	// Ranks are the names of the ranks, the most urgent first.
+	// Ranks are the names of the ranks, starting with the most urgent one.
 	Ranks []string
-	// MaxWorkspaces bounds the workspaces with series of their own; 0 means
+	// MaxWorkspaces is the maximum number of workspaces with their own series; 0 means
 	// DefaultMaxWorkspaces.
 	MaxWorkspaces int
 }
 
-// Registry holds the metrics of one instance. Safe for concurrent use.
+// Registry holds the metrics of one instance. It is safe for concurrent use.
 type Registry struct {
 	mu         sync.Mutex
 	rankNames  []string
@@ -57,22 +57,22 @@
 	}
 }
 
-// SetRanks replaces the names of the ranks, the most urgent first.
+// SetRanks replaces the names of the ranks, starting with the most urgent one.
 func (r *Registry) SetRanks(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rankNames = names
 }
 
-// Request records the times and the outcome of one request. Safe for
+// Request records the durations and the outcome of one request. It is safe for
 // concurrent use.
 type Request struct {
 	rank      *series
 	workspace *series
 }
 
-// Request counts one use of the workspace and returns the recorder for one
-// request. Ranks above the seventh share one series.
+// Request returns a recorder for one request and counts a use of the workspace. Ranks
+// from 7 on share one series.
 func (r *Registry) Request(rank int, workspace string) Request {
 	rank = min(max(rank, 0), maxRanks-1)
 	r.mu.Lock()
@@ -83,31 +83,32 @@
 	return Request{rank: r.ranks[rank], workspace: r.workspaces.use(workspace)}
 }
 
-// Observe records a time.
+// Observe records a duration.
 func (q Request) Observe(m Metric, d time.Duration) {
 	q.rank.observe(m, d)
 	q.workspace.observe(m, d)
 }
 
-// Finish counts the end of the request.
+// Finish records the outcome of the request.
 func (q Request) Finish(o Outcome, status execution.Status) {
 	q.rank.finish(o, status)
 	q.workspace.finish(o, status)
 }
 
-// Rotate moves the window of every histogram on by one slice and gives series
-// to the workspaces that are used most. Run calls it.
+// Rotate advances the window of all histograms by one slice and reassigns the series to
+// the most used workspaces. Run calls it every slicePeriod.
 func (r *Registry) Rotate() {
-	for _, s := range r.review() {
+	for _, s := range r.rebalance() {
 		s.rotate()
 	}
 }
 
-// review returns the series to rotate, which need no lock of the registry.
-func (r *Registry) review() []*series {
+// rebalance reassigns the series of workspaces and returns all series. Rotating these
+// does not require the lock of the registry.
+func (r *Registry) rebalance() []*series {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.workspaces.review()
+	r.workspaces.rebalance()
 	all := r.workspaces.all()
 	for _, s := range r.ranks {
 		if s != nil {
@@ -117,7 +118,7 @@
 	return all
 }
 
-// Run rotates the windows until ctx ends.
+// Run calls Rotate periodically until ctx ends.
 func (r *Registry) Run(ctx context.Context) {
 	ticker := time.NewTicker(slicePeriod)
 	defer ticker.Stop()
@@ -131,12 +132,14 @@
 	}
 }
 
-var publishing sync.Mutex
+// publishMu makes the check for the name and its publication atomic.
+var publishMu sync.Mutex
 
-// Publish shows the registry in expvar under name, or returns ErrPublished.
+// Publish publishes the snapshots of the registry in expvar under name. It returns
+// ErrPublished if the name is already in use.
 func (r *Registry) Publish(name string) error {
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMu.Lock()
+	defer publishMu.Unlock()
 	if expvar.Get(name) != nil {
 		return ErrPublished
 	}
--- a/node/metrics/series.go
+++ b/node/metrics/series.go
@@ -9,7 +9,7 @@
 	"masticbank.example/core/execution"
 )
 
-// Metric names a measured time.
+// Metric is a kind of duration.
 type Metric int
 
 const (
@@ -17,26 +17,26 @@
 	QueueWait Metric = iota
 	// FirstToken is the time from arrival to the first token.
 	FirstToken
-	// BetweenTokens is the time between two tokens.
+	// BetweenTokens is the time between two consecutive tokens.
 	BetweenTokens
-	// Total is the time from arrival to the end of the answer.
+	// Total is the time from arrival to the end of the response.
 	Total
 	metricCount
 )
 
-// Outcome names how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome int
 
 const (
-	// Completed means that the caller got the whole answer.
+	// Completed means that the client got the complete response.
 	Completed Outcome = iota
-	// Refused means that the request was refused before it was dispatched.
+	// Refused means that the request was refused before dispatch.
 	Refused
-	// Failed means that the request failed after it was dispatched.
+	// Failed means that the request failed after dispatch.
 	Failed
 	// Expired means that the deadline passed.
 	Expired
-	// Cancelled means that the caller left.
+	// Cancelled means that the client canceled the request or disconnected.
 	Cancelled
 	outcomeCount
 )
@@ -53,24 +53,24 @@
 // executions is the number of values of execution.Status.
 const executions = int(execution.Ran) + 1
 
-// series holds the times and outcomes of one rank or workspace. Safe for
+// series holds the durations and outcomes of one rank or workspace. It is safe for
 // concurrent use.
 type series struct {
 	times [metricCount]*histogram
 
 	mu       sync.Mutex
 	outcomes outcomes
-	// successor takes over what is counted after the series was folded.
-	successor *series
+	// foldedInto is the series that counts later outcomes after foldInto; nil before.
+	foldedInto *series
 }
 
-// outcomes counts finished requests.
+// outcomes counts finished requests by outcome and execution status.
 type outcomes [outcomeCount][executions]uint64
 
 func newSeries() *series {
 	s := new(series)
 	for i := range s.times {
-		s.times[i] = newWindow()
+		s.times[i] = newSlidingHistogram()
 	}
 	return s
 }
@@ -81,7 +81,7 @@
 
 func (s *series) finish(o Outcome, status execution.Status) {
 	s.mu.Lock()
-	next := s.successor
+	next := s.foldedInto
 	if next == nil {
 		s.outcomes[o][status]++
 	}
@@ -97,7 +97,8 @@
 	}
 }
 
-// foldInto moves everything recorded into other, which records from now on.
+// foldInto adds everything recorded to other. What is recorded later is recorded in
+// other.
 func (s *series) foldInto(other *series) {
 	for i, h := range s.times {
 		h.foldInto(other.times[i])
@@ -111,7 +112,7 @@
 			other.outcomes[o][e] += n
 		}
 	}
-	s.successor = other
+	s.foldedInto = other
 }
 
 // Series is the snapshot of one rank or workspace.
@@ -120,7 +121,7 @@
 	FirstToken    Percentiles `json:"first_token"`
 	BetweenTokens Percentiles `json:"between_tokens"`
 	Total         Percentiles `json:"total"`
-	// Outcomes counts finished requests by outcome, then by execution.
+	// Outcomes counts finished requests by outcome and execution status.
 	Outcomes map[string]map[string]uint64 `json:"outcomes"`
 }
 
--- a/node/metrics/size_test.go
+++ b/node/metrics/size_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The figure in the package comment bounds the memory of one series.
+// The memory of a series does not exceed the number in the package comment.
 func TestBytesPerSeries(t *testing.T) {
 	require.LessOrEqual(t, BytesPerSeries(), 400<<10)
 }
--- a/node/metrics/snapshot.go
+++ b/node/metrics/snapshot.go
@@ -9,7 +9,7 @@
 type Snapshot struct {
 	Ranks      map[string]Series `json:"ranks"`
 	Workspaces map[string]Series `json:"workspaces"`
-	// Other is the series of all workspaces that have none of their own.
+	// Other is the series of all workspaces without their own series.
 	Other    Series            `json:"other_workspaces"`
 	Counters map[string]uint64 `json:"counters"`
 	// Refusals counts refused requests by reason.
@@ -17,7 +17,7 @@
 	Gauges   map[string]int64  `json:"gauges"`
 }
 
-// Snapshot returns the present state.
+// Snapshot returns the current state.
 func (r *Registry) Snapshot() Snapshot {
 	ranks, named := r.copySeries()
 	scratch := newHistogram()
@@ -44,8 +44,8 @@
 	return out
 }
 
-// copySeries returns the series by name, so that reading them holds no lock of
-// the registry.
+// copySeries returns the series of ranks and workspaces by name, so that they can be
+// read without the lock of the registry.
 func (r *Registry) copySeries() (ranks, named map[string]*series) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,6 +58,7 @@
 	return ranks, maps.Clone(r.workspaces.named)
 }
 
+// rankName returns the name of rank i, or its number if it has no name.
 func (r *Registry) rankName(i int) string {
 	if i < len(r.rankNames) {
 		return r.rankNames[i]
@@ -65,8 +66,7 @@
 	return strconv.Itoa(i)
 }
 
-// BytesPerSeries returns the memory of the histograms of one rank or
-// workspace.
+// BytesPerSeries returns the memory used by the histograms of one series.
 func BytesPerSeries() int {
 	return int(metricCount) * (sliceCount + 1) * newHistogram().ByteSize()
 }
--- a/node/metrics/values.go
+++ b/node/metrics/values.go
@@ -5,23 +5,23 @@
 	"sync/atomic"
 )
 
-// Counter names a count that only rises.
+// Counter identifies a value that only increases.
 type Counter int
 
 // Counters of an instance.
 const (
-	// Attempts counts the attempts started on upstreams.
+	// Attempts counts the attempts sent to upstreams.
 	Attempts Counter = iota
-	// Retries counts the attempts after a request's first.
+	// Retries counts the attempts after the first one of each request.
 	Retries
-	// LateAnswers counts the answers dropped because they came late, twice or
+	// LateAnswers counts the responses discarded because they were late, duplicate or
 	// for another attempt.
 	LateAnswers
-	// Ejections counts the upstreams taken out of use.
+	// Ejections counts the ejections of failing upstreams.
 	Ejections
-	// ReplacedConnections counts the silent connections that were replaced.
+	// ReplacedConnections counts the replacements of unresponsive connections.
 	ReplacedConnections
-	// PoisonRefusals counts the requests refused as poison.
+	// PoisonRefusals counts the requests refused because they crash upstreams.
 	PoisonRefusals
 	counterCount
 )
@@ -31,22 +31,23 @@
 	"poison_refusals",
 }
 
-// Gauge names a value that rises and falls.
+// Gauge identifies a value that can increase and decrease.
 type Gauge int
 
 // Gauges of an instance.
 const (
-	// ConfigRevision is the configuration revision in force.
+	// ConfigRevision is the revision of the active configuration.
 	ConfigRevision Gauge = iota
-	// LogLagMillis is the time since the log was read up to its end.
+	// LogLagMillis is the time in milliseconds since the configuration stream of the
+	// log was last read to its end.
 	LogLagMillis
 	// InFlight is the number of requests in progress.
 	InFlight
-	// Queued is the number of requests that wait.
+	// Queued is the number of queued requests.
 	Queued
-	// Peers is the number of connected peers.
+	// Peers is the number of other entry instances that are ready.
 	Peers
-	// Upstreams is the number of upstreams in use.
+	// Upstreams is the number of upstreams that get new requests.
 	Upstreams
 	gaugeCount
 )
@@ -56,13 +57,14 @@
 }
 
 const (
-	// maxReasons bounds the distinct reasons of refusals.
+	// maxReasons is the maximum number of distinct reasons of refusals.
 	maxReasons = 32
-	// otherReason counts the refusals over that bound.
+	// otherReason is the reason used for refusals beyond that limit.
 	otherReason = "other"
 )
 
-// values holds the counters and gauges. Safe for concurrent use.
+// values holds the counters, the gauges and the refusals by reason. It is safe for
+// concurrent use.
 type values struct {
 	counters [counterCount]atomic.Uint64
 	gauges   [gaugeCount]atomic.Int64
@@ -75,7 +77,7 @@
 	return values{reasons: make(map[string]*atomic.Uint64)}
 }
 
-// Add raises a counter by n.
+// Add increases a counter by n.
 func (r *Registry) Add(c Counter, n uint64) { r.values.counters[c].Add(n) }
 
 // Set sets a gauge.
@@ -84,9 +86,11 @@
 // Shift changes a gauge by delta.
 func (r *Registry) Shift(g Gauge, delta int64) { r.values.gauges[g].Add(delta) }
 
-// Refuse counts one refusal with a reason, a short fixed word.
+// Refuse counts one refusal. The reason should be one of a few fixed strings, such as an
+// error code.
 func (r *Registry) Refuse(reason string) { r.values.reason(reason).Add(1) }
 
+// reason returns the counter of a reason, or that of otherReason if there are too many.
 func (v *values) reason(name string) *atomic.Uint64 {
 	v.mu.RLock()
 	n := v.reasons[name]
--- a/node/metrics/workspace.go
+++ b/node/metrics/workspace.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// maxTracked bounds the workspaces whose use is counted.
-	maxTracked = 8192
-	// useDecay weighs the use before the last rotation.
+	// maxTrackedWorkspaces is the maximum number of workspaces whose use is counted.
+	maxTrackedWorkspaces = 8192
+	// useDecay is the factor by which the use counts decay at each rotation.
 	useDecay = 0.8
-	// minUse is the use below which a workspace is forgotten.
-	minUse = 0.01
-	// promotionFactor is how much more a workspace must be used than a named
-	// one to take its place.
+	// minTrackedUse is the use count below which a workspace is no longer tracked.
+	minTrackedUse = 0.01
+	// promotionFactor is the ratio of use by which a workspace must exceed one with its
+	// own series to replace it.
 	promotionFactor = 1.25
 )
 
-// workspaces gives series of their own to the most used workspaces and one
-// common series to all others. Registry.mu guards it.
+// workspaces assigns the most used workspaces their own (named) series and all others a
+// common one. It is guarded by Registry.mu.
 type workspaces struct {
-	limit  int
-	named  map[string]*series
-	other  *series
-	counts map[string]float64
+	limit     int
+	named     map[string]*series
+	other     *series
+	useCounts map[string]float64
 }
 
 func newWorkspaces(limit int) *workspaces {
 	return &workspaces{
-		limit:  limit,
-		named:  make(map[string]*series),
-		other:  newSeries(),
-		counts: make(map[string]float64),
+		limit:     limit,
+		named:     make(map[string]*series),
+		other:     newSeries(),
+		useCounts: make(map[string]float64),
 	}
 }
 
-// use counts one request of a workspace and returns the series to record in.
+// use counts one request of a workspace and returns the series in which to record it.
 func (w *workspaces) use(name string) *series {
-	if _, ok := w.counts[name]; ok || len(w.counts) < maxTracked {
-		w.counts[name]++
+	if _, ok := w.useCounts[name]; ok || len(w.useCounts) < maxTrackedWorkspaces {
+		w.useCounts[name]++
 	}
 	if s, ok := w.named[name]; ok {
 		return s
@@ -57,26 +57,28 @@
 	return append(slices.Collect(maps.Values(w.named)), w.other)
 }
 
-// review gives series to the workspaces used most and lets old use fade.
-func (w *workspaces) review() {
-	w.rename()
-	for name, n := range w.counts {
-		if n *= useDecay; n < minUse {
-			delete(w.counts, name)
+// rebalance reassigns the named series to the most used workspaces and decays the
+// counts.
+func (w *workspaces) rebalance() {
+	w.reassign()
+	for name, n := range w.useCounts {
+		if n *= useDecay; n < minTrackedUse {
+			delete(w.useCounts, name)
 			continue
 		}
-		w.counts[name] = n
+		w.useCounts[name] = n
 	}
 }
 
-// rename folds the least used named workspaces into the others where another
-// one is used clearly more. The newly named start empty.
-func (w *workspaces) rename() {
-	candidates := w.ranked(func(name string) bool { return w.named[name] == nil })
-	named := w.ranked(func(name string) bool { return w.named[name] != nil })
+// reassign replaces the least used named workspaces by others that are used more by a
+// factor above promotionFactor. The replaced series are folded into the common one; the new
+// ones start empty.
+func (w *workspaces) reassign() {
+	candidates := w.sortedByUse(func(name string) bool { return w.named[name] == nil })
+	named := w.sortedByUse(func(name string) bool { return w.named[name] != nil })
 	for i, candidate := range candidates {
 		last := len(named) - 1 - i
-		if last < 0 || w.counts[candidate] <= promotionFactor*w.counts[named[last]] {
+		if last < 0 || w.useCounts[candidate] <= promotionFactor*w.useCounts[named[last]] {
 			return
 		}
 		w.named[named[last]].foldInto(w.other)
@@ -85,22 +87,22 @@
 	}
 }
 
-// ranked returns the names that pass keep, the most used first. Named
-// workspaces whose use was forgotten come last.
-func (w *workspaces) ranked(keep func(string) bool) []string {
+// sortedByUse returns the names for which keep returns true, starting with the most
+// used. Named workspaces that are no longer tracked come last.
+func (w *workspaces) sortedByUse(keep func(string) bool) []string {
 	var names []string
-	for name := range w.counts {
+	for name := range w.useCounts {
 		if keep(name) {
 			names = append(names, name)
 		}
 	}
 	for name := range w.named {
-		if _, counted := w.counts[name]; !counted && keep(name) {
+		if _, counted := w.useCounts[name]; !counted && keep(name) {
 			names = append(names, name)
 		}
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(cmp.Compare(w.counts[b], w.counts[a]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(w.useCounts[b], w.useCounts[a]), cmp.Compare(a, b))
 	})
 	return names
 }
