--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -19,9 +19,9 @@
 // Instance is the entry instance that the administration API inspects and controls.
 // Implementations are safe for concurrent use.
 type Instance interface {
-	// Advertised reports whether the load balancer should send requests to the
+	// AcceptsRequests reports whether the load balancer should send requests to the
 	// instance, and if not, why.
-	Advertised() (bool, string)
+	AcceptsRequests() (bool, string)
 	// Status returns the state of the instance, its pools and its peers.
 	Status() Status
 	// Config returns the active configuration and its revision. The configuration is
@@ -98,7 +98,7 @@
 }
 
 func (s *Server) readiness(w http.ResponseWriter, _ *http.Request) {
-	ok, reason := s.opts.Instance.Advertised()
+	ok, reason := s.opts.Instance.AcceptsRequests()
 	if !ok {
 		writeJSON(w, http.StatusServiceUnavailable, Readiness{Reason: reason})
 		return
--- a/node/api/completion.go
+++ b/node/api/completion.go
@@ -28,7 +28,7 @@
 			s.writeError(w, c.id, f)
 			return
 		}
-		response := openai.Answer{ID: c.id, Kind: kind, Model: parsed.Model, Created: c.arrived}
+		response := openai.CompletionResponse{ID: c.id, Kind: kind, Model: parsed.Model, Created: c.arrived}
 		w.Header().Set(HeaderRequestID, c.id)
 		if parsed.Stream {
 			s.respondStream(w, r, req, parsed, response)
@@ -40,10 +40,10 @@
 
 // readCompletion reads and checks the body of a completion request. The configured
 // maximum of output tokens of the model limits the requested one.
-func (s *Server) readCompletion(kind openai.Kind, c *call, r *http.Request) (*router.Request, openai.Completion, *apiError) {
+func (s *Server) readCompletion(kind openai.Kind, c *call, r *http.Request) (*router.Request, openai.CompletionRequest, *apiError) {
 	body, f := s.readBody(r)
 	if f != nil {
-		return nil, openai.Completion{}, f
+		return nil, openai.CompletionRequest{}, f
 	}
 	parsed, err := openai.Parse(kind, body)
 	if err != nil {
@@ -104,14 +104,14 @@
 
 // respondWhole responds with one JSON body after the last token was generated; an
 // incomplete text is never sent.
-func (s *Server) respondWhole(w http.ResponseWriter, r *http.Request, req *router.Request, response openai.Answer) {
+func (s *Server) respondWhole(w http.ResponseWriter, r *http.Request, req *router.Request, response openai.CompletionResponse) {
 	sink := &textSink{}
 	result := s.opts.Router.Generate(r.Context(), req, sink)
 	if !result.Complete {
 		writeResultError(w, &result)
 		return
 	}
-	body, err := response.Whole(sink.text.String(), sink.finish, usage(req, &result))
+	body, err := response.Body(sink.text.String(), sink.finish, usage(req, &result))
 	if err != nil {
 		writeResultError(w, &result)
 		return
@@ -124,7 +124,7 @@
 // with the first token, so that a request that fails earlier gets an error status.
 type streamSink struct {
 	w        http.ResponseWriter
-	response openai.Answer
+	response openai.CompletionResponse
 	started  bool
 }
 
@@ -153,7 +153,7 @@
 
 // respondStream responds with server-sent events. Only a complete response ends with
 // the [DONE] event.
-func (s *Server) respondStream(w http.ResponseWriter, r *http.Request, req *router.Request, parsed openai.Completion, response openai.Answer) {
+func (s *Server) respondStream(w http.ResponseWriter, r *http.Request, req *router.Request, parsed openai.CompletionRequest, response openai.CompletionResponse) {
 	sink := &streamSink{w: w, response: response}
 	result := s.opts.Router.Generate(r.Context(), req, sink)
 	switch {
--- a/node/app/app.go
+++ b/node/app/app.go
@@ -154,14 +154,14 @@
 func (a *App) onInstances(s instancelist.Snapshot) {
 	a.router.SetInstances(s.Instances)
 	a.setPeers(s.Instances)
-	a.state.listed.Store(true)
+	a.state.instancesRead.Store(true)
 }
 
 func (a *App) startServers() error {
 	l := a.opts.Settings.Limits
 	var err error
 	a.clientServer, err = httpserver.Start(httpserver.Options{
-		Address:        a.opts.Settings.Listen.Callers,
+		Address:        a.opts.Settings.Listen.Clients,
 		MaxBodyBytes:   l.MaxBodyBytes,
 		MaxConnections: l.MaxConnections,
 		MaxRequests:    l.MaxRequests,
--- a/node/app/observer.go
+++ b/node/app/observer.go
@@ -24,7 +24,7 @@
 
 // Dropped implements router.Metrics.
 func (o *observer) Dropped(attempt.DropKind) {
-	o.registry.Add(metrics.LateAnswers, 1)
+	o.registry.Add(metrics.LateResponses, 1)
 }
 
 // ConnectionReplaced implements router.Metrics.
@@ -44,12 +44,12 @@
 
 // TokenGap implements router.Metrics.
 func (o *observer) TokenGap(workspace string, rank config.Rank, d time.Duration) {
-	o.registry.Request(int(rank), workspace).Observe(metrics.BetweenTokens, d)
+	o.registry.NewRequest(int(rank), workspace).Observe(metrics.BetweenTokens, d)
 }
 
 // Finished implements router.Metrics.
 func (o *observer) Finished(r *router.Result) {
-	q := o.registry.Request(int(r.Rank), r.Workspace)
+	q := o.registry.NewRequest(int(r.Rank), r.Workspace)
 	if r.Attempts > 0 {
 		q.Observe(metrics.QueueWait, r.QueueWait)
 	}
@@ -61,7 +61,7 @@
 	o.registry.Add(metrics.Attempts, uint64(r.Attempts))
 	o.registry.Add(metrics.Retries, uint64(r.Retries))
 	if !r.Complete {
-		o.registry.Refuse(string(r.Code))
+		o.registry.CountRefusal(string(r.Code))
 	}
 	if r.Code == router.CodePoison && r.Attempts == 0 {
 		o.registry.Add(metrics.PoisonRefusals, 1)
--- a/node/app/state.go
+++ b/node/app/state.go
@@ -6,9 +6,9 @@
 
 // state holds the conditions of the instance's readiness.
 type state struct {
-	revision atomic.Uint64 // of the active configuration; 0 before the first
-	listed   atomic.Bool   // the platform's instance list was read
-	leaving  atomic.Bool   // shutdown has started
+	revision      atomic.Uint64 // of the active configuration; 0 before the first
+	instancesRead atomic.Bool   // the platform's instance list was read
+	leaving       atomic.Bool   // shutdown has started
 }
 
 // ready reports whether clients are served, and if not, why. An instance that is
@@ -17,15 +17,15 @@
 	if s.revision.Load() == 0 {
 		return false, "no configuration: neither the log nor a peer has given one"
 	}
-	if !s.listed.Load() {
+	if !s.instancesRead.Load() {
 		return false, "the platform's instance list was not read yet"
 	}
 	return true, ""
 }
 
-// advertised reports whether the load balancer should send new requests, and if
+// acceptsRequests reports whether the load balancer should send new requests, and if
 // not, why.
-func (s *state) advertised() (bool, string) {
+func (s *state) acceptsRequests() (bool, string) {
 	if s.leaving.Load() {
 		return false, "the instance is leaving"
 	}
--- a/node/app/status.go
+++ b/node/app/status.go
@@ -9,12 +9,12 @@
 
 var _ admin.Instance = (*App)(nil)
 
-// Advertised implements admin.Instance.
-func (a *App) Advertised() (bool, string) { return a.state.advertised() }
+// AcceptsRequests implements admin.Instance.
+func (a *App) AcceptsRequests() (bool, string) { return a.state.acceptsRequests() }
 
 // Status implements admin.Instance.
 func (a *App) Status() admin.Status {
-	ready, reason := a.state.advertised()
+	ready, reason := a.state.acceptsRequests()
 	s := admin.Status{
 		Instance: a.opts.Settings.Instance.ID,
 		Zone:     a.opts.Settings.Instance.Zone,
--- a/node/loader/loader.go
+++ b/node/loader/loader.go
@@ -35,8 +35,8 @@
 	// stateExpiry is the time after which the last state of an unresponsive engine
 	// expires; until then its loads count towards the limit.
 	stateExpiry = 30 * time.Second
-	// defaultReads is the default number of states queried in a period.
-	defaultReads = 64
+	// defaultQueriesPerPeriod is the default number of states queried in a period.
+	defaultQueriesPerPeriod = 64
 )
 
 // Keeper reports whether this instance is currently the leader of a task, and in which
@@ -141,7 +141,7 @@
 		o.Period = defaultPeriod
 	}
 	if o.Reads <= 0 {
-		o.Reads = defaultReads
+		o.Reads = defaultQueriesPerPeriod
 	}
 	if o.MaxLoads <= 0 {
 		o.MaxLoads = defaultMaxLoads
--- a/node/metrics/benchmark_test.go
+++ b/node/metrics/benchmark_test.go
@@ -10,7 +10,7 @@
 
 // BenchmarkObserve measures recording one duration of a request.
 func BenchmarkObserve(b *testing.B) {
-	q := New(Options{}).Request(0, "w")
+	q := New(Options{}).NewRequest(0, "w")
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		q.Observe(BetweenTokens, time.Duration(i%100_000)*time.Microsecond)
@@ -24,7 +24,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
-			q := r.Request(i%3, "w")
+			q := r.NewRequest(i%3, "w")
 			q.Observe(QueueWait, time.Millisecond)
 			q.Observe(FirstToken, time.Millisecond)
 			for range 10 {
@@ -39,7 +39,7 @@
 // fill records one request of each of n workspaces.
 func fill(r *Registry, n int) {
 	for i := range n {
-		q := r.Request(i%3, fmt.Sprint(i))
+		q := r.NewRequest(i%3, fmt.Sprint(i))
 		for m := range metricCount {
 			q.Observe(m, time.Duration(i+1)*time.Millisecond)
 		}
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -71,7 +71,7 @@
 		finished := 0
 		record := func(name string, n int) {
 			for range n {
-				q := r.Request(0, name)
+				q := r.NewRequest(0, name)
 				q.Observe(Total, time.Second)
 				q.Finish(Completed, execution.Ran)
 			}
@@ -126,14 +126,14 @@
 	for worker := range workers {
 		group.Go(func() {
 			for i := range each {
-				q := r.Request(worker%2, fmt.Sprint((worker+i/50)%6))
+				q := r.NewRequest(worker%2, fmt.Sprint((worker+i/50)%6))
 				if i%25 == 0 {
 					r.Rotate()
 				}
 				q.Observe(Total, time.Millisecond)
 				q.Finish(Completed, execution.Ran)
 				r.Add(Attempts, 1)
-				r.Refuse(fmt.Sprint(i))
+				r.CountRefusal(fmt.Sprint(i))
 			}
 		})
 	}
@@ -151,7 +151,7 @@
 		r := New(Options{Ranks: []string{"urgent"}})
 		ctx, stop := context.WithCancel(t.Context())
 		go r.Run(ctx)
-		r.Request(0, "w").Observe(FirstToken, 1500*time.Microsecond)
+		r.NewRequest(0, "w").Observe(FirstToken, 1500*time.Microsecond)
 		time.Sleep(2*slicePeriod + 1)
 		require.Equal(t, int64(1), r.Snapshot().Ranks["urgent"].FirstToken.Window.Count)
 		time.Sleep(slicePeriod)
--- a/node/metrics/registry.go
+++ b/node/metrics/registry.go
@@ -64,33 +64,33 @@
 	r.rankNames = names
 }
 
-// Request records the durations and the outcome of one request. It is safe for
+// RequestRecorder records the durations and the outcome of one request. It is safe for
 // concurrent use.
-type Request struct {
+type RequestRecorder struct {
 	rank      *series
 	workspace *series
 }
 
-// Request returns a recorder for one request and counts a use of the workspace. Ranks
-// from 7 on share one series.
-func (r *Registry) Request(rank int, workspace string) Request {
+// NewRequest returns a recorder for one request and counts a use of the workspace.
+// Ranks from 7 on share one series.
+func (r *Registry) NewRequest(rank int, workspace string) RequestRecorder {
 	rank = min(max(rank, 0), maxRanks-1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ranks[rank] == nil {
 		r.ranks[rank] = newSeries()
 	}
-	return Request{rank: r.ranks[rank], workspace: r.workspaces.use(workspace)}
+	return RequestRecorder{rank: r.ranks[rank], workspace: r.workspaces.use(workspace)}
 }
 
 // Observe records a duration.
-func (q Request) Observe(m Metric, d time.Duration) {
+func (q RequestRecorder) Observe(m Metric, d time.Duration) {
 	q.rank.observe(m, d)
 	q.workspace.observe(m, d)
 }
 
 // Finish records the outcome of the request.
-func (q Request) Finish(o Outcome, status execution.Status) {
+func (q RequestRecorder) Finish(o Outcome, status execution.Status) {
 	q.rank.finish(o, status)
 	q.workspace.finish(o, status)
 }
--- a/node/metrics/values.go
+++ b/node/metrics/values.go
@@ -14,9 +14,9 @@
 	Attempts Counter = iota
 	// Retries counts the attempts after the first one of each request.
 	Retries
-	// LateAnswers counts the responses discarded because they were late, duplicate or
+	// LateResponses counts the responses discarded because they were late, duplicate or
 	// for another attempt.
-	LateAnswers
+	LateResponses
 	// Ejections counts the ejections of failing upstreams.
 	Ejections
 	// ReplacedConnections counts the replacements of unresponsive connections.
@@ -86,9 +86,9 @@
 // Shift changes a gauge by delta.
 func (r *Registry) Shift(g Gauge, delta int64) { r.values.gauges[g].Add(delta) }
 
-// Refuse counts one refusal. The reason should be one of a few fixed strings, such as an
-// error code.
-func (r *Registry) Refuse(reason string) { r.values.reason(reason).Add(1) }
+// CountRefusal counts one refusal. The reason should be one of a few fixed strings,
+// such as an error code.
+func (r *Registry) CountRefusal(reason string) { r.values.reason(reason).Add(1) }
 
 // reason returns the counter of a reason, or that of otherReason if there are too many.
 func (v *values) reason(name string) *atomic.Uint64 {
--- a/node/metrics/workspace.go
+++ b/node/metrics/workspace.go
@@ -71,8 +71,8 @@
 }
 
 // reassign replaces the least used named workspaces by others that are used more by a
-// factor above promotionFactor. The replaced series are folded into the common one; the new
-// ones start empty.
+// factor above promotionFactor. The replaced series are folded into the common one; the
+// new ones start empty.
 func (w *workspaces) reassign() {
 	candidates := w.sortedByUse(func(name string) bool { return w.named[name] == nil })
 	named := w.sortedByUse(func(name string) bool { return w.named[name] != nil })
--- a/node/openai/request.go
+++ b/node/openai/request.go
@@ -18,8 +18,8 @@
 	KindText
 )
 
-// Completion is a validated completion request.
-type Completion struct {
+// CompletionRequest is a validated completion request.
+type CompletionRequest struct {
 	Kind   Kind
 	Model  string
 	Prompt string
@@ -72,19 +72,19 @@
 
 // Parse parses and validates the body of a completion request. The error is a
 // *RequestError.
-func Parse(kind Kind, body []byte) (Completion, error) {
+func Parse(kind Kind, body []byte) (CompletionRequest, error) {
 	var raw requestBody
 	if err := json.Unmarshal(body, &raw); err != nil {
-		return Completion{}, &RequestError{Reason: "malformed JSON: " + err.Error()}
+		return CompletionRequest{}, &RequestError{Reason: "malformed JSON: " + err.Error()}
 	}
 	if err := raw.check(); err != nil {
-		return Completion{}, err
+		return CompletionRequest{}, err
 	}
 	prompt, err := raw.prompt(kind)
 	if err != nil {
-		return Completion{}, err
+		return CompletionRequest{}, err
 	}
-	return Completion{
+	return CompletionRequest{
 		Kind:         kind,
 		Model:        raw.Model,
 		Prompt:       prompt,
--- a/node/openai/request_test.go
+++ b/node/openai/request_test.go
@@ -9,7 +9,7 @@
 func TestParse(t *testing.T) {
 	c, err := Parse(KindChat, []byte(`{"model":"m","messages":[{"role":"system","content":"a"},{"role":"user","content":[{"type":"text","text":"b"}]}],"max_tokens":3,"stream":true}`))
 	require.NoError(t, err)
-	require.Equal(t, Completion{Kind: KindChat, Model: "m", Prompt: "system: a\nuser: b", MaxTokens: 3, Stream: true}, c)
+	require.Equal(t, CompletionRequest{Kind: KindChat, Model: "m", Prompt: "system: a\nuser: b", MaxTokens: 3, Stream: true}, c)
 	c, err = Parse(KindText, []byte(`{"model":"m","prompt":"p"}`))
 	require.NoError(t, err)
 	require.Equal(t, "p", c.Prompt)
--- a/node/openai/response.go
+++ b/node/openai/response.go
@@ -13,8 +13,9 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Answer holds the properties that all parts of the response to one request share.
-type Answer struct {
+// CompletionResponse holds the properties that all parts of the response to one request
+// share.
+type CompletionResponse struct {
 	ID      string
 	Kind    Kind
 	Model   string
@@ -43,8 +44,8 @@
 	Content string `json:"content"`
 }
 
-// Whole returns the body of a response that is not streamed.
-func (a Answer) Whole(text, finish string, usage Usage) ([]byte, error) {
+// Body returns the body of a response that is not streamed.
+func (a CompletionResponse) Body(text, finish string, usage Usage) ([]byte, error) {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
 	if a.Kind == KindChat {
@@ -58,7 +59,7 @@
 
 // WriteChunk writes one event of a stream. Finish is the finish reason; it is empty
 // except in the last event.
-func (a Answer) WriteChunk(w io.Writer, text, finish string) error {
+func (a CompletionResponse) WriteChunk(w io.Writer, text, finish string) error {
 	c := choice{}
 	if finish != "" {
 		c.FinishReason = &finish
@@ -74,7 +75,7 @@
 }
 
 // WriteUsage writes the event that reports the token usage of a stream.
-func (a Answer) WriteUsage(w io.Writer, usage Usage) error {
+func (a CompletionResponse) WriteUsage(w io.Writer, usage Usage) error {
 	object := "text_completion"
 	if a.Kind == KindChat {
 		object = "chat.completion.chunk"
@@ -93,7 +94,7 @@
 	return writeEvent(w, e)
 }
 
-func (a Answer) newBody(object string, choices []choice, usage *Usage) completionBody {
+func (a CompletionResponse) newBody(object string, choices []choice, usage *Usage) completionBody {
 	return completionBody{ID: a.ID, Object: object, Created: a.Created.Unix(), Model: a.Model, Choices: choices, Usage: usage}
 }
 
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -35,7 +35,7 @@
 // Listen holds the addresses on which the process listens, as IP:port. Without an
 // address for Peers, the instance has no connections to other entry instances.
 type Listen struct {
-	Callers string
+	Clients string
 	Admin   string
 	Peers   string
 }
@@ -148,7 +148,7 @@
 func (s *Settings) checkListeners(name string) error {
 	seen := map[string]string{}
 	for _, l := range []struct{ key, address string }{
-		{"callers", s.Listen.Callers},
+		{"callers", s.Listen.Clients},
 		{"admin", s.Listen.Admin},
 		{"peers", s.Listen.Peers},
 	} {
--- a/node/settings/table.go
+++ b/node/settings/table.go
@@ -53,7 +53,7 @@
 	{"instance", "zone", "", true, "Availability zone of the instance.", func(s *Settings, v string) error { return text(&s.Instance.Zone, v) }},
 	{"instance", "region", "", false, "Region of the instance.", func(s *Settings, v string) error { return text(&s.Instance.Region, v) }},
 
-	{"listen", "callers", "127.0.0.1:8080", false, "Address for callers.", func(s *Settings, v string) error { return address(&s.Listen.Callers, v) }},
+	{"listen", "callers", "127.0.0.1:8080", false, "Address for callers.", func(s *Settings, v string) error { return address(&s.Listen.Clients, v) }},
 	{"listen", "admin", "127.0.0.1:8081", false, "Address for health, metrics and administration.", func(s *Settings, v string) error { return address(&s.Listen.Admin, v) }},
 	{"listen", "peers", "", false, "Address for other entry instances; empty runs the instance alone.", func(s *Settings, v string) error { return address(&s.Listen.Peers, v) }},
 
