--- a/node/api/bench_test.go
+++ b/node/api/bench_test.go
@@ -149,12 +149,12 @@
 	exchange(b, conn, reader, message)
 	n, received := 0, int64(0)
 	b.ReportAllocs()
-	began := cpuTime(b)
+	startCPU := cpuTime(b)
 	for b.Loop() {
 		n++
 		received += exchange(b, conn, reader, message)
 	}
-	b.ReportMetric(float64(cpuTime(b)-began)/float64(n), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-startCPU)/float64(n), "cpu-ns/op")
 	b.ReportMetric(float64(received)/float64(n), "answer-B/op")
 }
 
--- a/node/bounded/bounded.go
+++ b/node/bounded/bounded.go
@@ -19,7 +19,7 @@
 // ErrTooLarge means that the data exceeds the limit or the shared memory.
 var ErrTooLarge = errors.New("more bytes than allowed")
 
-// DefaultClient is http.DefaultClient with response headers limited to HeadBytes.
+// DefaultClient is http.DefaultClient with a limit on the size of response headers.
 var DefaultClient = &http.Client{Transport: defaultTransport()}
 
 func defaultTransport() *http.Transport {
@@ -54,20 +54,20 @@
 	bytes *semaphore.Weighted
 }
 
-// NewMemory returns a Memory of size bytes.
+// NewMemory returns a limit of size bytes.
 func NewMemory(size int64) *Memory { return &Memory{bytes: semaphore.NewWeighted(size)} }
 
-// Hold is the part of a Memory that one request has reserved. It is not safe for
-// concurrent use.
+// Hold is the part of the memory limit that one request has reserved. It is not safe
+// for concurrent use.
 type Hold struct {
 	memory   *Memory
 	reserved int64
 }
 
-// Hold returns a Hold that has reserved nothing yet.
+// Hold returns an empty reservation.
 func (m *Memory) Hold() *Hold { return &Hold{memory: m} }
 
-// Release returns the reserved bytes to the Memory.
+// Release returns all reserved bytes.
 func (h *Hold) Release() {
 	h.memory.bytes.Release(h.reserved)
 	h.reserved = 0
--- a/node/bounded/boundedtest/boundedtest.go
+++ b/node/bounded/boundedtest/boundedtest.go
@@ -42,7 +42,7 @@
 }
 
 // Server sends an endless response over each connection until the client closes it or
-// Most bytes are sent.
+// the maximum number of bytes has been sent.
 type Server struct {
 	listener net.Listener
 
@@ -53,13 +53,13 @@
 
 // Start starts a server, which runs until the test ends. Answer is the beginning and
 // the repeated part of the response.
-func Start(t *testing.T, answer [2]string) *Server {
+func Start(t *testing.T, response [2]string) *Server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &Server{listener: l, open: map[net.Conn]bool{}}
-	block := strings.Repeat(answer[1], blockBytes/len(answer[1])+1)
+	block := strings.Repeat(response[1], blockBytes/len(response[1])+1)
 	var tasks sync.WaitGroup
 	tasks.Go(func() {
 		for {
@@ -70,7 +70,7 @@
 			s.mu.Lock()
 			s.open[c] = true
 			s.mu.Unlock()
-			tasks.Go(func() { s.send(c, answer[0], block) })
+			tasks.Go(func() { s.send(c, response[0], block) })
 		}
 	})
 	t.Cleanup(func() {
--- a/node/config/bench_test.go
+++ b/node/config/bench_test.go
@@ -47,13 +47,13 @@
 	return c
 }
 
-var sizes = []int{10, 200, 2000}
+var workspaceCounts = []int{10, 200, 2000}
 
 // BenchmarkDecode measures decoding one revision, as each instance does on reading it,
 // for several numbers of workspaces. It also reports the size of the content and of
 // one workspace's entry.
 func BenchmarkDecode(b *testing.B) {
-	for _, workspaces := range sizes {
+	for _, workspaces := range workspaceCounts {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
 			c := configOfSize(workspaces)
 			content, err := follower.EncodeJSON(c)
@@ -79,7 +79,7 @@
 // BenchmarkCompressed measures the decompression of a configuration in JSON that was
 // compressed with gzip, and its compressed size.
 func BenchmarkCompressed(b *testing.B) {
-	for _, workspaces := range sizes {
+	for _, workspaces := range workspaceCounts {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
 			content, err := follower.EncodeJSON(configOfSize(workspaces))
 			if err != nil {
@@ -109,7 +109,7 @@
 
 // BenchmarkLoadDir measures loading and validating a directory of INI files.
 func BenchmarkLoadDir(b *testing.B) {
-	for _, workspaces := range sizes {
+	for _, workspaces := range workspaceCounts {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
 			dir := b.TempDir()
 			var text bytes.Buffer
--- a/node/httpserver/churn_test.go
+++ b/node/httpserver/churn_test.go
@@ -16,22 +16,22 @@
 // close a connection at the same time, nbio may close a new connection that got the
 // same file descriptor (see deferClose).
 func TestEveryNewConnectionGetsItsResponse(t *testing.T) {
-	const callers, requests = 32, 1500
+	const clients, requests = 32, 1500
 	s := start(t, func(w http.ResponseWriter, r *http.Request) {
 		body := r.URL.Query().Get("mark")
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		_, _ = io.WriteString(w, body)
 	})
-	var unanswered, wrong atomic.Int64
+	var missing, wrong atomic.Int64
 	var wg sync.WaitGroup
-	for i := range callers {
+	for i := range clients {
 		wg.Go(func() {
 			c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for j := range requests {
 				mark := fmt.Sprintf("%d-%d", i, j)
 				resp, err := c.Get("http://" + s.Addr() + "/?mark=" + mark)
 				if err != nil {
-					unanswered.Add(1)
+					missing.Add(1)
 					continue
 				}
 				body, _ := io.ReadAll(resp.Body)
@@ -44,5 +44,5 @@
 	}
 	wg.Wait()
 	require.Zero(t, wrong.Load(), "responses to another request")
-	require.Zero(t, unanswered.Load(), "requests without a response")
+	require.Zero(t, missing.Load(), "requests without a response")
 }
--- a/node/httpserver/server_test.go
+++ b/node/httpserver/server_test.go
@@ -16,6 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// start starts a server with small limits on bodies and large ones on connections.
 func start(t *testing.T, h http.HandlerFunc) *Server {
 	t.Helper()
 	s, err := Start(Options{
@@ -45,11 +46,11 @@
 
 func TestClosedConnectionCancelsContext(t *testing.T) {
 	entered := make(chan struct{})
-	left := make(chan struct{})
+	canceled := make(chan struct{})
 	s := start(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(entered)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 	})
 	c, err := net.Dial("tcp", s.Addr())
 	require.NoError(t, err)
@@ -57,7 +58,7 @@
 	require.NoError(t, err)
 	<-entered
 	require.NoError(t, c.Close())
-	<-left
+	<-canceled
 	require.NoError(t, s.Shutdown(context.Background()))
 }
 
--- a/node/instancelist/endless_test.go
+++ b/node/instancelist/endless_test.go
@@ -14,9 +14,9 @@
 // response. The call has no deadline.
 func TestEndlessResponsesAreErrors(t *testing.T) {
 	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
-		for name, answer := range kind {
+		for name, response := range kind {
 			t.Run(name, func(t *testing.T) {
-				s := boundedtest.Start(t, answer)
+				s := boundedtest.Start(t, response)
 				h, err := instancelist.NewHTTP("http://"+s.Address(), nil)
 				require.NoError(t, err)
 				_, err = h.List(context.Background())
--- a/node/loader/calls.go
+++ b/node/loader/calls.go
@@ -17,7 +17,7 @@
 // observedState is the last known state of an engine.
 type observedState struct {
 	state wire.EngineState
-	// lastQuery is the time of the last query.
+	// lastQuery is the time of the last query, including failed ones.
 	lastQuery time.Time
 	// unresponsiveSince is the time of the first failed query since the last response;
 	// it is zero after a response.
@@ -32,8 +32,8 @@
 	return r.valid && r.unresponsiveSince.IsZero() && (r.state.Loading || target != heldBy(r.state))
 }
 
-// queryDue queries the states that are due and reports whether one has changed.
-func (l *Loader) queryDue(ctx context.Context, targets []Engine) (changed bool) {
+// queryDueEngines queries the states that are due and reports whether one has changed.
+func (l *Loader) queryDueEngines(ctx context.Context, targets []Engine) (changed bool) {
 	due := l.dueEngines(targets)
 	states := make([]*wire.EngineState, len(due))
 	var group errgroup.Group
@@ -55,12 +55,12 @@
 
 // dueEngines returns the engines to query in this round: all that are changing, each
 // unresponsive one once a period, and of the others those queried longest ago, as far
-// as the number of reads in a round allows.
+// as the number of queries in a round allows.
 func (l *Loader) dueEngines(targets []Engine) []Engine {
 	now := time.Now()
-	reads := l.opts.Reads
+	maxQueries := l.opts.Reads
 	if l.active {
-		reads = (reads + activeRoundsPerPeriod - 1) / activeRoundsPerPeriod
+		maxQueries = (maxQueries + activeRoundsPerPeriod - 1) / activeRoundsPerPeriod
 	}
 	var due, rest []Engine
 	for _, t := range targets {
@@ -77,7 +77,7 @@
 	slices.SortStableFunc(rest, func(a, b Engine) int {
 		return l.observed[a.Target.ID].lastQuery.Compare(l.observed[b.Target.ID].lastQuery)
 	})
-	return append(due, rest[:min(len(rest), max(0, reads-len(due)))]...)
+	return append(due, rest[:min(len(rest), max(0, maxQueries-len(due)))]...)
 }
 
 // queryState queries the state of one engine. It returns nil if the engine does not
@@ -116,14 +116,14 @@
 // removes the states of engines that are no longer listed.
 func (l *Loader) plannerEngines(targets []Engine) []placement.Engine {
 	now := time.Now()
-	known := make(map[string]observedState, len(targets))
+	listed := make(map[string]observedState, len(targets))
 	engines := make([]placement.Engine, 0, len(targets))
 	for _, t := range targets {
 		last := l.observed[t.Target.ID]
 		unresponsive := !last.unresponsiveSince.IsZero()
 		unresponsiveFor := now.Sub(last.unresponsiveSince)
 		last.valid = last.valid && (!unresponsive || unresponsiveFor < stateExpiry)
-		known[t.Target.ID] = last
+		listed[t.Target.ID] = last
 		if !last.valid {
 			continue
 		}
@@ -135,7 +135,7 @@
 			Live: !down, Silent: unresponsive, Leaving: t.Leaving, Units: t.Units,
 		})
 	}
-	l.observed = known
+	l.observed = listed
 	return engines
 }
 
@@ -171,8 +171,9 @@
 	resultNotSent orderResult = iota
 	resultAccepted
 	resultFailed
-	// resultBusy means that the weight store refused the load.
-	resultBusy
+	// resultStoreBusy means that the engine could not load because the weight store refused
+	// the load.
+	resultStoreBusy
 )
 
 // sendOrder sends one order. It checks immediately before that this instance is still
@@ -184,14 +185,14 @@
 		Fence: o.Fence, Model: o.Target.Model, Version: o.Target.Version,
 		FirstLayer: o.Target.First, LastLayer: o.Target.Last,
 	}
-	if now, ok := l.opts.Keeper.Valid(l.opts.Duty); !ok || now != epoch {
+	if currentEpoch, ok := l.opts.Keeper.Valid(l.opts.Duty); !ok || currentEpoch != epoch {
 		return resultNotSent
 	}
 	response, err := l.opts.Engines.Order(ctx, t, order)
 	var refused *engine.CallError
 	switch {
 	case errors.As(err, &refused) && refused.Code == wire.CodeOverloaded:
-		return resultBusy
+		return resultStoreBusy
 	case err != nil:
 		l.opts.Logger.Warn("order failed", zap.String("upstream", t.ID), zap.Error(err))
 		return resultFailed
@@ -225,7 +226,7 @@
 			if plan.Orders[i].Reason != placement.ReasonFence {
 				running++
 			}
-		case resultBusy:
+		case resultStoreBusy:
 			busy++
 			failed++
 		case resultFailed:
--- a/node/loader/loader.go
+++ b/node/loader/loader.go
@@ -94,20 +94,22 @@
 	// Holding is true while this instance is the leader, in the given epoch.
 	Holding bool
 	Epoch   uint64
-	// Engines is the number of engines with a known state. Silent counts those of them
-	// that are unresponsive or down, and Loading those that are loading.
+	// Engines is the number of engines with a known state.
 	Engines int
-	Silent  int
+	// Silent is the number of these that are unresponsive or down.
+	Silent int
+	// Loading is the number of these that are loading.
 	Loading int
 	// MaxLoads is the current limit on concurrent loads, as adapted to refusals of the
 	// weight store.
 	MaxLoads int
 	// Outdated is the number of engines with an old version of a configured model.
 	Outdated int
-	Short    []placement.Shortage
-	// Sent is the number of orders sent since the start. Failed counts those of them
-	// that had no response or were refused.
-	Sent   int
+	// Short lists the models whose demand the engines cannot serve in full.
+	Short []placement.Shortage
+	// Sent is the number of orders sent since the start.
+	Sent int
+	// Failed is the number of these that had no response or were refused.
 	Failed int
 }
 
@@ -205,7 +207,7 @@
 		clear(l.observed)
 	}
 	targets := l.opts.Targets()
-	changed := l.queryDue(ctx, targets)
+	changed := l.queryDueEngines(ctx, targets)
 	if ctx.Err() != nil || l.awaitsFirstStates(targets) {
 		return
 	}
--- a/node/logsink/logsink_test.go
+++ b/node/logsink/logsink_test.go
@@ -56,9 +56,9 @@
 		require.NoError(t, err)
 		require.Equal(t, 5, n)
 	}
-	lost := s.Dropped()
-	require.Positive(t, lost)
-	require.Less(t, lost, uint64(lines))
+	dropped := s.Dropped()
+	require.Positive(t, dropped)
+	require.Less(t, dropped, uint64(lines))
 	out.mu.Unlock()
 	_, err := s.Write([]byte("last\n"))
 	require.NoError(t, err)
--- a/node/logstream/appender.go
+++ b/node/logstream/appender.go
@@ -117,8 +117,7 @@
 	return nil
 }
 
-// Append queues one record and waits for the result, which is the same as that of
-// Start.
+// Append queues one record and waits until the result of its append is known.
 func (a *Appender) Append(ctx context.Context, data []byte) error {
 	done, err := a.Start(ctx, data)
 	if err != nil {
@@ -143,7 +142,7 @@
 // also the result of the records still queued.
 func (a *Appender) Run(ctx context.Context) error {
 	var batch []*pending
-	defer func() { a.abandon(ctx, batch) }()
+	defer func() { a.stop(ctx, batch) }()
 	failures := 0
 	for {
 		batch = a.nextBatch(batch)
@@ -171,6 +170,7 @@
 	}
 }
 
+// append sends one batch to the log and updates the counts and the failure state.
 func (a *Appender) append(ctx context.Context, batch []*pending) error {
 	records := make([][]byte, 0, len(batch))
 	for _, p := range batch {
@@ -231,8 +231,8 @@
 	return kept
 }
 
-// abandon ends the Appender. All remaining records get the error of ctx.
-func (a *Appender) abandon(ctx context.Context, batch []*pending) {
+// stop ends the Appender. All remaining records get the error of ctx.
+func (a *Appender) stop(ctx context.Context, batch []*pending) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	finish(append(batch, a.queue...), ctx.Err())
@@ -240,6 +240,7 @@
 	a.stopped = true
 }
 
+// finish delivers the result of an append to all waiting callers.
 func finish(batch []*pending, err error) {
 	for _, p := range batch {
 		p.done <- err
@@ -253,6 +254,7 @@
 	return minBackoff + rand.N(min(limit, maxBackoff))
 }
 
+// sleep waits for d. It returns the error of ctx if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return trace.Wrap(ctx.Err())
--- a/node/logstream/endless_test.go
+++ b/node/logstream/endless_test.go
@@ -15,9 +15,9 @@
 // response. The timeout is too long to do so.
 func TestEndlessResponsesAreErrors(t *testing.T) {
 	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
-		for name, answer := range kind {
+		for name, response := range kind {
 			t.Run(name, func(t *testing.T) {
-				s := boundedtest.Start(t, answer)
+				s := boundedtest.Start(t, response)
 				h := &logstream.HTTP{Base: "http://" + s.Address(), Timeout: time.Minute}
 				_, err := h.Read(context.Background(), "s", 0, 1, 0)
 				require.Error(t, err)
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -97,12 +97,12 @@
 // total returns the number of finished requests of all workspaces, or -1 if it differs
 // from the number of recorded durations.
 func total(s Snapshot) int {
-	counted, timed := 0, 0
+	counted, durations := 0, 0
 	for _, w := range append(slices.Collect(mapValues(s.Workspaces)), s.Other) {
 		counted += int(w.Outcomes["completed"]["ran"])
-		timed += int(w.Total.Cumulative.Count)
+		durations += int(w.Total.Cumulative.Count)
 	}
-	if counted != timed {
+	if counted != durations {
 		return -1
 	}
 	return counted
