--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -85,8 +85,8 @@
 }
 
 // sharePoison sends the fingerprints of requests that crash upstreams to the peers
-// when they are found, and blocked ones again every
-// poisonResendPeriod, as messages may be lost.
+// when they are found, and blocked ones again every poisonResendPeriod, as messages may
+// be lost.
 func (a *App) sharePoison(ctx context.Context) error {
 	ticker := time.NewTicker(poisonCheckPeriod)
 	defer ticker.Stop()
--- a/node/httpserver/server.go
+++ b/node/httpserver/server.go
@@ -187,11 +187,10 @@
 }
 
 // deferClose handles requests with "Connection: close" of HTTP/1.1 clients. It lets the
-// client close the connection and closes it only after
-// closeGracePeriod. nbhttp would
-// close it with the response, at the same time as the client. Then the poller may
-// still hold an event for the closed connection when its file descriptor has been
-// reused by a new connection, and would close the new one.
+// client close the connection and closes it only after closeGracePeriod. nbhttp would
+// close it with the response, at the same time as the client. Then the poller may still
+// hold an event for the closed connection when its file descriptor has been reused by a
+// new connection, and would close the new one.
 func deferClose(w http.ResponseWriter, r *http.Request, conn *nbio.Conn) {
 	if !r.Close || !r.ProtoAtLeast(1, 1) {
 		return
@@ -347,7 +346,7 @@
 
 // reject writes the error response to a message that cannot be parsed and closes the
 // connection after rejectGracePeriod. If a handler is still running on the connection,
-// it is closed at once, as a response could mix with that of the handler.
+// it is closed at once without a response.
 func (s *Server) reject(c *nbio.Conn, cause error) {
 	if c.ExecuteLen() > 0 {
 		_ = c.CloseWithError(cause)
