--- a/node/metrics/benchmark_test.go
+++ b/node/metrics/benchmark_test.go
@@ -8,23 +8,23 @@
 	"masticbank.example/core/execution"
 )
 
-// BenchmarkObserve is the cost of one time of one request.
+// BenchmarkObserve measures recording one duration of a request.
 func BenchmarkObserve(b *testing.B) {
-	q := New(Options{}).Request(0, "w")
+	q := New(Options{}).NewRequest(0, "w")
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		q.Observe(BetweenTokens, time.Duration(i%100_000)*time.Microsecond)
 	}
 }
 
-// BenchmarkRequest is the cost of a whole request with ten tokens, over many
-// goroutines.
+// BenchmarkRequest measures recording a complete request with ten tokens, from many
+// goroutines concurrently.
 func BenchmarkRequest(b *testing.B) {
 	r := New(Options{})
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
-			q := r.Request(i%3, "w")
+			q := r.NewRequest(i%3, "w")
 			q.Observe(QueueWait, time.Millisecond)
 			q.Observe(FirstToken, time.Millisecond)
 			for range 10 {
@@ -39,14 +39,14 @@
 // fill records one request of each of n workspaces.
 func fill(r *Registry, n int) {
 	for i := range n {
-		q := r.Request(i%3, fmt.Sprint(i))
+		q := r.NewRequest(i%3, fmt.Sprint(i))
 		for m := range metricCount {
 			q.Observe(m, time.Duration(i+1)*time.Millisecond)
 		}
 	}
 }
 
-// BenchmarkRotate is the cost of one rotation every slicePeriod.
+// BenchmarkRotate measures one rotation, which takes place every slicePeriod.
 func BenchmarkRotate(b *testing.B) {
 	for _, n := range []int{10, 50, 2000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkSnapshot is the cost of reading everything once.
+// BenchmarkSnapshot measures one snapshot of all metrics.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{10, 50, 2000} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
