--- a/cmd/internal/load/bound.go
+++ b/cmd/internal/load/bound.go
@@ -7,13 +7,14 @@
 	"masticbank.example/standin/fleet"
 )
 
-// promptBytesPerToken converts prompt lengths into tokens, as stand-ins do.
+// promptBytesPerToken converts prompt lengths to tokens. The stand-ins use the same
+// ratio.
 const promptBytesPerToken = 4
 
-// bound returns the tokens a second that the scenario's fleet allows for the
-// given requests; 0 when the fleet is not known. It leaves out prefix caches,
-// links and the router.
-func (s *Scenario) bound(samples []*sample) float64 {
+// throughputBound returns the maximum output throughput, in tokens per second, that
+// the fleet of the scenario can reach for the mix of the given requests; 0 if the
+// fleet or the model is unknown. It ignores prefix caches, links and the router.
+func (s *Scenario) throughputBound(samples []*sample) float64 {
 	makeSpec, ok := fleets[s.Fleet]
 	if !ok {
 		return 0
@@ -32,54 +33,58 @@
 	}
 	for _, m := range makeSpec().Models {
 		if m.Name == s.Model {
-			return boundOf(m, prompt/requests, output/requests)
+			return modelThroughputBound(m, prompt/requests, output/requests)
 		}
 	}
 	return 0
 }
 
-// boundOf solves the linear program: sequences on each chain of ranges such
-// that no range holds more than its slots and the tokens a second are most.
-func boundOf(m fleet.ModelSpec, prompt, output float64) float64 {
-	chains := tilings(m, 0, nil)
-	perSequence := make([]float64, len(chains))
+// modelThroughputBound solves a linear program: it distributes sequences over the
+// pipelines of layer ranges so that no range exceeds its slots and the tokens per
+// second are maximal.
+func modelThroughputBound(m fleet.ModelSpec, prompt, output float64) float64 {
+	pipelines := tilings(m, 0, nil)
+	perSequence := make([]float64, len(pipelines))
 	uses := make([][]float64, len(m.Ranges))
 	slots := make([]float64, len(m.Ranges))
 	for i, r := range m.Ranges {
-		uses[i] = make([]float64, len(chains))
+		uses[i] = make([]float64, len(pipelines))
 		slots[i] = float64(r.Accelerator.Slots * len(r.Zones))
 	}
-	for c, chain := range chains {
+	for c, pipeline := range pipelines {
 		prefill, step := 0.0, 0.0
-		for _, i := range chain {
+		for _, i := range pipeline {
 			r := m.Ranges[i]
 			layers := float64(r.Last - r.First + 1)
 			prefill += prompt * layers / r.Accelerator.PrefillTokensPerSecond
 			step += layers * float64(r.Accelerator.StepPerLayer) / float64(time.Second)
 			uses[i][c] = 1
 		}
-		// The prefill gives the first token.
+		// The prefill produces the first token.
 		perSequence[c] = output / (prefill + (output-1)*step)
 	}
 	return maximize(perSequence, uses, slots)
 }
 
-// tilings returns every chain of ranges that covers the layers from first on.
-func tilings(m fleet.ModelSpec, first int, chain []int) [][]int {
+// tilings returns all pipelines that consist of prefix and ranges covering the
+// layers from first to the last one. Each pipeline is a list of indices into
+// m.Ranges.
+func tilings(m fleet.ModelSpec, first int, prefix []int) [][]int {
 	if first == m.Layers {
-		return [][]int{append([]int(nil), chain...)}
+		return [][]int{append([]int(nil), prefix...)}
 	}
 	var out [][]int
 	for i, r := range m.Ranges {
 		if r.First == first {
-			out = append(out, tilings(m, r.Last+1, append(chain, i))...)
+			out = append(out, tilings(m, r.Last+1, append(prefix, i))...)
 		}
 	}
 	return out
 }
 
-// maximize returns the largest value of sum(value*x) with uses*x <= limit and
-// x >= 0, for limits of at least 0, by the simplex method with Bland's rule.
+// maximize returns the maximum of sum(value*x) subject to uses*x <= limit and x >=
+// 0, for non-negative limits. It uses the simplex method with Bland's rule, which
+// guarantees termination.
 func maximize(value []float64, uses [][]float64, limit []float64) float64 {
 	n, m := len(value), len(limit)
 	table := make([][]float64, m+1)
@@ -100,11 +105,11 @@
 		basis[i] = n + i
 	}
 	for {
-		column := entering(table[m][:n+m])
+		column := enteringColumn(table[m][:n+m])
 		if column < 0 {
 			return table[m][n+m]
 		}
-		row := leaving(table, basis, column)
+		row := leavingRow(table, basis, column)
 		if row < 0 {
 			return math.Inf(1)
 		}
@@ -113,10 +118,10 @@
 	}
 }
 
-// epsilon is the value below which a coefficient counts as 0.
+// epsilon is the threshold below which a coefficient counts as 0.
 const epsilon = 1e-9
 
-func entering(objective []float64) int {
+func enteringColumn(objective []float64) int {
 	for j, v := range objective {
 		if v < -epsilon {
 			return j
@@ -125,7 +130,7 @@
 	return -1
 }
 
-func leaving(table [][]float64, basis []int, column int) int {
+func leavingRow(table [][]float64, basis []int, column int) int {
 	best, row := math.Inf(1), -1
 	last := len(table[0]) - 1
 	for i := range basis {
--- a/cmd/internal/load/check.go
+++ b/cmd/internal/load/check.go
@@ -14,32 +14,35 @@
 	"masticbank.example/standin/fleet"
 )
 
-// Checks is what the stand-ins saw during a run, beside what callers were told.
+// Checks compares what the stand-ins recorded during a run with the responses that
+// clients received.
 type Checks struct {
-	// Violations counts the steps that were a gap or a repeat.
+	// Violations counts the steps that were out of order or repeated.
 	Violations int `json:"violations"`
-	// Examples holds the first of them.
+	// Examples holds the first violations.
 	Examples []string `json:"examples,omitempty"`
-	// OrdersRecorded and OrdersRepeated count the orders recorded, and the keys
-	// recorded more than once.
+	// OrdersRecorded counts the recorded orders, OrdersRepeated the idempotency
+	// keys recorded more than once.
 	OrdersRecorded int `json:"orders_recorded"`
 	OrdersRepeated int `json:"orders_repeated"`
-	// OrdersLost counts the keys answered as done that were not recorded.
+	// OrdersLost counts the idempotency keys that were reported as done but not
+	// recorded.
 	OrdersLost int `json:"orders_lost"`
-	// NotRun counts the orders and requests whose callers were only told that
-	// they were not run; FalselyNotRun those of them that had run.
+	// NotRun counts the orders and model requests for which every response said
+	// that they were not run. FalselyNotRun counts those among them that had run.
 	NotRun        int `json:"not_run"`
 	FalselyNotRun int `json:"falsely_not_run"`
-	// Unseen counts the completed model requests of which no step was seen. It
-	// shows that the IDs of answers and steps are the same, without which
-	// FalselyNotRun would say nothing.
+	// Unseen counts the completed model requests for which no step was recorded. It
+	// must be 0: otherwise the request IDs of responses and steps do not match, and
+	// FalselyNotRun cannot detect anything.
 	Unseen int `json:"unseen"`
 }
 
-// maxExamples bounds the violations shown.
+// maxExamples limits the number of violations listed in Examples.
 const maxExamples = 10
 
-// Defects names what must never happen and did.
+// Defects returns one line for each kind of error that must never occur and was
+// observed.
 func (r *Result) Defects() []string {
 	var out []string
 	add := func(n int, what string) {
@@ -48,31 +51,32 @@
 		}
 	}
 	for _, p := range r.Phases {
-		add(p.Summary.All.Outcomes[Wrong], "wrong answers in phase "+p.Name)
-		add(p.Summary.All.Outcomes[Partial], "cut answers in phase "+p.Name)
+		add(p.Summary.All.Outcomes[Wrong], "wrong responses in phase "+p.Name)
+		add(p.Summary.All.Outcomes[Partial], "truncated responses in phase "+p.Name)
 	}
 	if c := r.Checks; c != nil {
 		add(c.Violations, "steps out of order or repeated")
 		add(c.OrdersRepeated, "orders recorded more than once")
-		add(c.OrdersLost, "orders answered as done and not recorded")
-		add(c.FalselyNotRun, "requests that ran and were told not run")
-		add(c.Unseen, "answers completed without a step seen")
+		add(c.OrdersLost, "orders reported as done but not recorded")
+		add(c.FalselyNotRun, "requests that ran but were reported as not run")
+		add(c.Unseen, "completed requests without a recorded step")
 	}
 	return out
 }
 
-// fetchCheck asks the stand-ins for what they have seen so far; nil without a
-// control address.
+// fetchCheck returns what the stand-ins have recorded so far; nil without a control
+// address.
 func (c *client) fetchCheck(ctx context.Context) (*fleet.Check, error) {
 	if c.scenario.Control == "" {
 		return nil, nil
 	}
 	check := new(fleet.Check)
-	return check, c.control(ctx, http.MethodGet, fleet.PathCheck, nil, check)
+	return check, c.callControl(ctx, http.MethodGet, fleet.PathCheck, nil, check)
 }
 
-// control sends a request to the control address and decodes the answer.
-func (c *client) control(ctx context.Context, method, path string, message, out any) error {
+// callControl sends a request to the control address and decodes the response into
+// out, unless that is nil.
+func (c *client) callControl(ctx context.Context, method, path string, message, out any) error {
 	var body io.Reader
 	if message != nil {
 		data, err := json.Marshal(message)
@@ -92,7 +96,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusBadRequest {
-		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxDetail))
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxDetailBytes))
 		return trace.BadParameter("%s: status %d: %s", url, response.StatusCode, reason)
 	}
 	if out == nil {
@@ -101,7 +105,8 @@
 	return trace.Wrap(json.NewDecoder(response.Body).Decode(out))
 }
 
-// checkSince returns what the stand-ins saw since before.
+// checkSince compares the records that the stand-ins made after before with the
+// responses to the samples.
 func (c *client) checkSince(ctx context.Context, before *fleet.Check, samples []sample) (*Checks, error) {
 	after, err := c.fetchCheck(ctx)
 	if err != nil || after == nil {
@@ -116,37 +121,38 @@
 		v := after.Violations[i]
 		out.Examples = append(out.Examples, v.Engine+" "+v.Code+": "+v.Detail)
 	}
-	told := c.whatCallersWereTold(samples)
+	reported := c.collectReported(samples)
 	var records fleet.Records
-	if err := c.control(ctx, http.MethodPost, fleet.PathRecords, told.query(), &records); err != nil {
+	if err := c.callControl(ctx, http.MethodPost, fleet.PathRecords, reported.recordsQuery(), &records); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	told.compare(records, out)
+	reported.compare(records, out)
 	return out, nil
 }
 
-// told is what callers were told of orders and model requests.
-type told struct {
-	orders map[string]toldOrder
+// reportedOutcomes holds the outcomes of orders and model requests according to the
+// responses that clients received.
+type reportedOutcomes struct {
+	orders map[string]reportedOrder
 	// notRun and completed hold the IDs of model requests.
 	notRun    []string
 	completed []string
 }
 
-// toldOrder is what was told of one key by all answers together.
-type toldOrder struct {
+// reportedOrder combines all responses to one idempotency key.
+type reportedOrder struct {
 	done bool
-	// notRunOnly is true when every answer said that the order was not run.
+	// notRunOnly is true if every response said that the order was not run.
 	notRunOnly bool
 }
 
-func (c *client) whatCallersWereTold(samples []sample) told {
-	t := told{orders: make(map[string]toldOrder)}
+func (c *client) collectReported(samples []sample) reportedOutcomes {
+	t := reportedOutcomes{orders: make(map[string]reportedOrder)}
 	for i := range samples {
 		s := &samples[i]
 		switch {
 		case s.arrival.orderKey != "" && s.outcome != Unsent:
-			t.addOrder(c.fullKey(s.arrival), s)
+			t.addOrder(c.idempotencyKey(s.arrival), s)
 		case !s.arrival.isModel() || s.requestID == "":
 		case s.execution == executionNotRun:
 			t.notRun = append(t.notRun, s.requestID)
@@ -157,15 +163,15 @@
 	return t
 }
 
-func (t told) addOrder(key string, s *sample) {
+func (t reportedOutcomes) addOrder(key string, s *sample) {
 	order, known := t.orders[key]
-	t.orders[key] = toldOrder{
+	t.orders[key] = reportedOrder{
 		done:       order.done || s.outcome == Completed || s.outcome == Wrong,
 		notRunOnly: s.execution == executionNotRun && (order.notRunOnly || !known),
 	}
 }
 
-func (t told) query() fleet.RecordsQuery {
+func (t reportedOutcomes) recordsQuery() fleet.RecordsQuery {
 	q := fleet.RecordsQuery{Requests: slices.Concat(t.notRun, t.completed)}
 	for key := range t.orders {
 		q.Keys = append(q.Keys, key)
@@ -173,8 +179,9 @@
 	return q
 }
 
-// compare adds to out where the records differ from what was told.
-func (t told) compare(records fleet.Records, out *Checks) {
+// compare counts the differences between the reported outcomes and the records in
+// out.
+func (t reportedOutcomes) compare(records fleet.Records, out *Checks) {
 	for key, order := range t.orders {
 		if order.done && records.Orders[key] == 0 {
 			out.OrdersLost++
--- a/cmd/internal/load/check_test.go
+++ b/cmd/internal/load/check_test.go
@@ -8,25 +8,28 @@
 	"masticbank.example/standin/fleet"
 )
 
-// What callers were told is compared with what the stand-ins recorded.
-func TestChecksOfWhatCallersWereTold(t *testing.T) {
+// The outcomes reported to clients are compared with the records of the stand-ins:
+// a recorded order that was only reported as not run, a completed order without a
+// record and a completed request without a step are counted. Unsent orders and
+// orders with differing reports are not.
+func TestChecksCompareReportedWithRecorded(t *testing.T) {
 	c := &client{runID: "r"}
 	order := &Flow{Kind: Order}
 	chat := &Flow{Kind: Chat}
-	told := func(key string, outcome Outcome, execution string) sample {
+	orderSample := func(key string, outcome Outcome, execution string) sample {
 		return sample{arrival: &arrival{flow: order, orderKey: key}, outcome: outcome, execution: execution}
 	}
 	samples := []sample{
-		told("done", Completed, "ran"),
-		told("lost", Completed, "ran"),
-		told("refused", Refused, executionNotRun),
-		told("false", Refused, executionNotRun),
-		told("false", Refused, executionNotRun),
-		told("later-done", Refused, executionNotRun),
-		told("later-done", Completed, "ran"),
-		told("unknown", Failed, "unknown"),
-		told("unknown", Refused, executionNotRun),
-		told("unsent", Unsent, ""),
+		orderSample("done", Completed, "ran"),
+		orderSample("lost", Completed, "ran"),
+		orderSample("refused", Refused, executionNotRun),
+		orderSample("false", Refused, executionNotRun),
+		orderSample("false", Refused, executionNotRun),
+		orderSample("later-done", Refused, executionNotRun),
+		orderSample("later-done", Completed, "ran"),
+		orderSample("unknown", Failed, "unknown"),
+		orderSample("unknown", Refused, executionNotRun),
+		orderSample("unsent", Unsent, ""),
 		{arrival: &arrival{flow: chat}, outcome: Refused, execution: executionNotRun, requestID: "m1"},
 		{arrival: &arrival{flow: chat}, outcome: Refused, execution: executionNotRun, requestID: "m2"},
 		{arrival: &arrival{flow: chat}, outcome: Failed, execution: "unknown", requestID: "m3"},
@@ -38,7 +41,7 @@
 		Ran:    map[string]bool{"m2": true, "m3": true, "m4": true},
 	}
 	var got Checks
-	c.whatCallersWereTold(samples).compare(records, &got)
+	c.collectReported(samples).compare(records, &got)
 	require.Equal(t, Checks{OrdersLost: 1, NotRun: 4, FalselyNotRun: 2, Unseen: 1}, got)
 
 	r := Result{Checks: &got, Phases: []PhaseResult{{
--- a/cmd/internal/load/client.go
+++ b/cmd/internal/load/client.go
@@ -15,30 +15,32 @@
 	"time"
 )
 
-// Headers of requests and answers.
+// Request and response headers.
 const (
-	headerRank      = "X-Masticbank-Rank"
-	headerDeadline  = "X-Masticbank-Deadline"
-	headerExecution = "X-Masticbank-Execution"
-	headerRequestID = "X-Masticbank-Request-Id"
-	headerKey       = "Idempotency-Key"
+	headerRank           = "X-Masticbank-Rank"
+	headerDeadline       = "X-Masticbank-Deadline"
+	headerExecution      = "X-Masticbank-Execution"
+	headerRequestID      = "X-Masticbank-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
 const (
 	executionNotRun = "not_run"
 	dialTimeout     = 5 * time.Second
-	// timeoutSlack is added to a deadline, so that the router can refuse first.
-	timeoutSlack = 2 * time.Second
-	maxBodyBytes = 8 << 20
-	maxDetail    = 200
+	// timeoutSlack is added to the deadline of a request, so that the router can
+	// reject the request before the client times out.
+	timeoutSlack   = 2 * time.Second
+	maxBodyBytes   = 8 << 20
+	maxDetailBytes = 200
 )
 
-// client sends requests. Safe for concurrent use.
+// client sends requests and measures their responses. It is safe for concurrent
+// use.
 type client struct {
 	http     *http.Client
 	scenario *Scenario
 	runID    string
-	expected expected
+	expected expectedResponses
 }
 
 func newClient(s *Scenario, runID string, transport http.RoundTripper) *client {
@@ -51,12 +53,12 @@
 	}
 	return &client{
 		http: &http.Client{Transport: transport}, scenario: s, runID: runID,
-		expected: newExpected(s),
+		expected: newExpectedResponses(s),
 	}
 }
 
-// chatBody is the body of POST /v1/chat/completions and /v1/completions.
-type chatBody struct {
+// requestBody is the body of POST /v1/chat/completions and /v1/completions.
+type requestBody struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages,omitempty"`
 	Prompt    string        `json:"prompt,omitempty"`
@@ -69,8 +71,8 @@
 	Content string `json:"content"`
 }
 
-// answerBody is a whole answer, one event of a stream, or an error.
-type answerBody struct {
+// responseBody is a complete response, one event of a stream, or an error.
+type responseBody struct {
 	Choices []struct {
 		Message chatMessage `json:"message"`
 		Delta   chatMessage `json:"delta"`
@@ -83,7 +85,7 @@
 	} `json:"error"`
 }
 
-func (a *answerBody) text() string {
+func (a *responseBody) text() string {
 	if len(a.Choices) == 0 {
 		return ""
 	}
@@ -91,7 +93,7 @@
 	return c.Message.Content + c.Delta.Content + c.Text
 }
 
-// do sends one request to target and measures it from the intended time.
+// do sends one request to target. All times are measured from the intended arrival.
 func (c *client) do(ctx context.Context, a *arrival, target string, intended time.Time) sample {
 	s := sample{arrival: a, lateSend: time.Since(intended)}
 	timeout := c.scenario.Timeout
@@ -100,13 +102,13 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, intended.Add(timeout))
 	defer cancel()
-	request, err := c.request(ctx, a, target)
+	request, err := c.newRequest(ctx, a, target)
 	if err != nil {
-		return s.failed(err, intended)
+		return s.withError(err, intended)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return s.failed(err, intended)
+		return s.withError(err, intended)
 	}
 	defer func() { _ = response.Body.Close() }()
 	s.status = response.StatusCode
@@ -118,22 +120,22 @@
 	case a.isModel() && a.flow.Stream:
 		err = c.readStream(&s, response.Body, intended)
 	default:
-		err = c.readWhole(&s, response.Body)
+		err = c.readBody(&s, response.Body)
 	}
 	s.total = time.Since(intended)
 	if err != nil {
-		return s.failed(err, intended)
+		return s.withError(err, intended)
 	}
 	return s
 }
 
-func (c *client) request(ctx context.Context, a *arrival, target string) (*http.Request, error) {
+func (c *client) newRequest(ctx context.Context, a *arrival, target string) (*http.Request, error) {
 	f := a.flow
 	method, path, body := http.MethodPost, "/v1/chat/completions", []byte(nil)
 	var err error
 	switch f.Kind {
-	case Chat, Text:
-		message := chatBody{Model: c.scenario.Model, MaxTokens: a.maxTokens, Stream: f.Stream}
+	case Chat, Completion:
+		message := requestBody{Model: c.scenario.Model, MaxTokens: a.maxTokens, Stream: f.Stream}
 		if f.Kind == Chat {
 			message.Messages = []chatMessage{{Role: "user", Content: a.prompt}}
 		} else {
@@ -167,24 +169,25 @@
 		r.Header.Set(headerDeadline, strconv.FormatFloat(a.flow.Deadline.Seconds(), 'f', -1, 64))
 	}
 	if a.orderKey != "" {
-		r.Header.Set(headerKey, c.fullKey(a))
+		r.Header.Set(headerIdempotencyKey, c.idempotencyKey(a))
 	}
 }
 
-// fullKey returns the idempotency key of an order, unique to the run.
-func (c *client) fullKey(a *arrival) string { return c.runID + "-" + a.orderKey }
+// idempotencyKey returns the idempotency key of an order, unique to the run.
+func (c *client) idempotencyKey(a *arrival) string { return c.runID + "-" + a.orderKey }
 
-// readError reads the body of an unsuccessful answer.
+// readError reads the body of an error response and classifies it as Refused or
+// Failed.
 func (s *sample) readError(body io.Reader) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
-	var answer answerBody
-	if json.Unmarshal(data, &answer) == nil && answer.Error != nil {
-		s.detail = answer.Error.Code
+	var response responseBody
+	if json.Unmarshal(data, &response) == nil && response.Error != nil {
+		s.detail = response.Error.Code
 		if s.execution == "" {
-			s.execution = answer.Error.Execution
+			s.execution = response.Error.Execution
 		}
 	}
 	s.outcome = Failed
@@ -194,8 +197,8 @@
 	return nil
 }
 
-// readWhole reads an answer that comes in one piece.
-func (c *client) readWhole(s *sample, body io.Reader) error {
+// readBody reads a response that is not streamed.
+func (c *client) readBody(s *sample, body io.Reader) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxBodyBytes))
 	if err != nil {
 		return err
@@ -205,18 +208,18 @@
 		s.body = string(data)
 		return nil
 	}
-	var answer answerBody
-	if err := json.Unmarshal(data, &answer); err != nil {
+	var response responseBody
+	if err := json.Unmarshal(data, &response); err != nil {
 		return err
 	}
 	s.tokens = s.arrival.maxTokens
-	c.check(s, answer.text())
+	c.checkText(s, response.text())
 	return nil
 }
 
-var errCut = errors.New("the stream ended without its end mark")
+var errTruncatedStream = errors.New("the stream ended without its end mark")
 
-// readStream reads server-sent events up to the end mark.
+// readStream reads server-sent events up to the [DONE] event.
 func (c *client) readStream(s *sample, body io.Reader, intended time.Time) error {
 	var text strings.Builder
 	last := time.Duration(0)
@@ -229,10 +232,10 @@
 		}
 		if data == "[DONE]" {
 			s.outcome = Completed
-			c.check(s, text.String())
+			c.checkText(s, text.String())
 			return nil
 		}
-		var event answerBody
+		var event responseBody
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
 			return err
 		}
@@ -246,16 +249,17 @@
 			continue
 		}
 		text.WriteString(event.text())
-		last = s.token(time.Since(intended), last)
+		last = s.addToken(time.Since(intended), last)
 	}
 	if err := scanner.Err(); err != nil {
 		return err
 	}
-	return errCut
+	return errTruncatedStream
 }
 
-// token counts a token that came at the given time.
-func (s *sample) token(at, last time.Duration) time.Duration {
+// addToken records a token received at the given time. It returns that time, to be
+// passed as last for the next token.
+func (s *sample) addToken(at, last time.Duration) time.Duration {
 	s.tokens++
 	if s.tokens == 1 {
 		s.firstToken = at
@@ -265,8 +269,9 @@
 	return at
 }
 
-// check compares the answer with the expected one.
-func (c *client) check(s *sample, text string) {
+// checkText marks the sample as Wrong if the response text differs from the
+// expected text.
+func (c *client) checkText(s *sample, text string) {
 	want, known := c.expected.text(s.arrival)
 	if known && text != want {
 		s.outcome = Wrong
@@ -274,12 +279,13 @@
 	}
 }
 
-// failed completes a sample whose answer did not come whole.
-func (s sample) failed(err error, intended time.Time) sample {
+// withError returns the sample of a request without a complete response, with its
+// outcome derived from err and from what was received.
+func (s sample) withError(err error, intended time.Time) sample {
 	s.total = time.Since(intended)
 	s.detail = err.Error()
-	if len(s.detail) > maxDetail {
-		s.detail = s.detail[:maxDetail]
+	if len(s.detail) > maxDetailBytes {
+		s.detail = s.detail[:maxDetailBytes]
 	}
 	switch {
 	case errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded):
--- a/cmd/internal/load/expected.go
+++ b/cmd/internal/load/expected.go
@@ -7,35 +7,36 @@
 	"masticbank.example/standin/fleet"
 )
 
-// fleets are the stand-in fleets that scenarios can name.
+// fleets maps the fleet names of scenarios to the stand-in fleets.
 var fleets = map[string]func() fleet.Spec{
 	"dev":       fleet.Dev,
 	"asistente": fleet.Asistente,
 	"apuntador": fleet.Apuntador,
 }
 
-// expected knows the right answers of a stand-in model.
-type expected struct {
+// expectedResponses computes the correct responses of a stand-in model. The zero
+// value knows none.
+type expectedResponses struct {
 	model  string
 	layers int
 }
 
-func newExpected(s *Scenario) expected {
+func newExpectedResponses(s *Scenario) expectedResponses {
 	spec, ok := fleets[s.Fleet]
 	if !ok {
-		return expected{}
+		return expectedResponses{}
 	}
 	for _, m := range spec().Models {
 		if m.Name == s.Model {
-			return expected{model: m.Name, layers: m.Layers}
+			return expectedResponses{model: m.Name, layers: m.Layers}
 		}
 	}
-	return expected{}
+	return expectedResponses{}
 }
 
-// text returns the whole answer to a request; known is false when the model is
-// not a stand-in.
-func (e expected) text(a *arrival) (text string, known bool) {
+// text returns the complete response text for a request. known is false if the
+// model is not a stand-in.
+func (e expectedResponses) text(a *arrival) (text string, known bool) {
 	if e.layers == 0 {
 		return "", false
 	}
--- a/cmd/internal/load/fairness.go
+++ b/cmd/internal/load/fairness.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// jain returns Jain's index over the workspaces that ask for tokens: the
-// square of the sum over n times the sum of the squares of each workspace's
-// goodput divided by its max-min fair share of all goodput (Jain, Chiu and
-// Hawe, 1984).
-func jain(workspaces map[string]Group) float64 {
+// jainIndex returns Jain's fairness index over the workspaces with a demand for
+// tokens (Jain, Chiu and Hawe, 1984). With x as the goodput of a workspace divided
+// by its max-min fair share of the total goodput, and n workspaces, the index is
+// sum(x)^2 / (n * sum(x^2)).
+func jainIndex(workspaces map[string]Group) float64 {
 	var demand, good []float64
 	for _, g := range workspaces {
 		if g.DemandTokens > 0 {
@@ -22,7 +22,7 @@
 		return 0
 	}
 	sum, squares := 0.0, 0.0
-	for i, share := range maxMin(demand, total) {
+	for i, share := range maxMinShares(demand, total) {
 		x := good[i] / share
 		sum += x
 		squares += x * x
@@ -30,9 +30,9 @@
 	return sum * sum / (float64(len(good)) * squares)
 }
 
-// maxMin returns the max-min fair shares of capacity: nobody gets more than the
-// demand, and nobody's share can grow without a smaller one shrinking.
-func maxMin(demand []float64, capacity float64) []float64 {
+// maxMinShares returns the max-min fair shares of capacity: no share exceeds its
+// demand, and no share can be increased without decreasing a smaller one.
+func maxMinShares(demand []float64, capacity float64) []float64 {
 	order := make([]int, len(demand))
 	for i := range order {
 		order[i] = i
--- a/cmd/internal/load/faults.go
+++ b/cmd/internal/load/faults.go
@@ -9,21 +9,22 @@
 	"masticbank.example/standin/fault"
 )
 
-// FaultResult tells how a fault was injected and what followed.
+// FaultResult describes an injected fault and the recovery from it.
 type FaultResult struct {
 	Name string `json:"name"`
-	// AtSeconds is the time from the start of the run.
+	// AtSeconds is measured from the start of the run.
 	AtSeconds float64     `json:"at_s"`
 	Fault     fault.Fault `json:"fault"`
-	// Error is set when the stand-in did not take the fault.
+	// Error is set if the stand-in rejected the fault or could not be reached.
 	Error string `json:"error,omitempty"`
-	// RecoverySeconds is the time until the goodput over recoveryWindow was
-	// back at 90 % of that before the fault; -1 when that was not seen.
+	// RecoverySeconds is the time until the goodput, averaged over
+	// recoveryWindowSeconds, was back at 90 % of its value before the fault; -1 if
+	// no recovery was observed.
 	RecoverySeconds float64 `json:"recovery_s"`
 }
 
-// startFaults injects the faults at their times. The returned function waits
-// for them.
+// startFaults schedules the injection of all faults. The returned function waits
+// until all are injected or ctx ends.
 func (r *runner) startFaults(ctx context.Context) (wait func()) {
 	r.faults = make([]FaultResult, len(r.scenario.Faults))
 	var group sync.WaitGroup
@@ -46,5 +47,5 @@
 		return ctx.Err()
 	case <-timer.C:
 	}
-	return r.client.control(ctx, http.MethodPost, fault.Path, f.Fault, nil)
+	return r.client.callControl(ctx, http.MethodPost, fault.Path, f.Fault, nil)
 }
--- a/cmd/internal/load/figures_test.go
+++ b/cmd/internal/load/figures_test.go
@@ -17,7 +17,8 @@
 	"masticbank.example/standin/fleet"
 )
 
-// The schedule is a Poisson process that depends on the seed only, flow by flow.
+// The arrivals of a flow form a Poisson process that depends on the seed and on
+// that flow only.
 func TestSchedule(t *testing.T) {
 	const text = `
 [scenario]
@@ -37,10 +38,10 @@
 rate.f = 40
 rate.g = %d
 `
-	s := scenarioOf(t, fmt.Sprintf(text, 1, 5))
+	s := parseTestScenario(t, fmt.Sprintf(text, 1, 5))
 	first := s.schedule()
-	require.Equal(t, flowTimes(first, "f"), flowTimes(scenarioOf(t, fmt.Sprintf(text, 1, 9)).schedule(), "f"))
-	require.NotEqual(t, flowTimes(first, "f"), flowTimes(scenarioOf(t, fmt.Sprintf(text, 2, 5)).schedule(), "f"))
+	require.Equal(t, flowTimes(first, "f"), flowTimes(parseTestScenario(t, fmt.Sprintf(text, 1, 9)).schedule(), "f"))
+	require.NotEqual(t, flowTimes(first, "f"), flowTimes(parseTestScenario(t, fmt.Sprintf(text, 2, 5)).schedule(), "f"))
 
 	times := flowTimes(first, "f")
 	const mean, sigmas = 4000.0, 5
@@ -53,7 +54,7 @@
 	}
 	n := float64(len(times) - 1)
 	deviation := math.Sqrt(squares/n - (sum/n)*(sum/n))
-	require.InDelta(t, 1, deviation/(sum/n), 0.1, "exponential times have a coefficient of variation of 1")
+	require.InDelta(t, 1, deviation/(sum/n), 0.1, "exponentially distributed intervals have a coefficient of variation of 1")
 
 	large := 0
 	for _, a := range first {
@@ -74,8 +75,8 @@
 	return out
 }
 
-// Max-min shares give away all that is wanted, exceed no demand, and no share
-// below its demand is smaller than another share. Jain's index is 1 at these
+// Max-min shares use the whole capacity and exceed no demand, and a share below its
+// demand is at least as large as every other share. Jain's index is 1 at these
 // shares.
 func TestMaxMinAndJain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -87,7 +88,7 @@
 		capacity := rapid.Float64Range(1, total).Draw(t, "capacity")
 		given := 0.0
 		workspaces := map[string]Group{}
-		shares := maxMin(demand, capacity)
+		shares := maxMinShares(demand, capacity)
 		for i, s := range shares {
 			given += s
 			require.LessOrEqual(t, s, demand[i]+epsilon)
@@ -101,17 +102,18 @@
 			"a": {DemandTokens: 100, GoodTokens: 40}, "b": {DemandTokens: 10, GoodTokens: 10},
 			"c": {DemandTokens: 2000, GoodTokens: 40},
 		}
-		require.InDelta(t, 1, jain(one), epsilon)
-		require.LessOrEqual(t, jain(workspaces), 1+epsilon)
+		require.InDelta(t, 1, jainIndex(one), epsilon)
+		require.LessOrEqual(t, jainIndex(workspaces), 1+epsilon)
 	})
 	starved := map[string]Group{
 		"large": {DemandTokens: 2000, GoodTokens: 100}, "small": {DemandTokens: 100, GoodTokens: 0},
 	}
-	require.InDelta(t, 0.5, jain(starved), epsilon)
+	require.InDelta(t, 0.5, jainIndex(starved), epsilon)
 }
 
-// The simplex method agrees with trying every corner, for two unknowns.
-func TestMaximizeAgainstCorners(t *testing.T) {
+// For two variables the simplex method agrees with an exhaustive search of all
+// corners.
+func TestMaximizeMatchesCornerSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.Float64Range(0.1, 10)
 		value := []float64{number.Draw(t, "v0"), number.Draw(t, "v1")}
@@ -131,7 +133,7 @@
 	})
 }
 
-// corners returns the crossings of all pairs of limits and axes.
+// corners returns the intersections of all pairs of constraints and axes.
 func corners(uses [][]float64, limit []float64) [][2]float64 {
 	uses = append([][]float64{{1, 0}, {0, 1}}, uses...)
 	limit = append([]float64{0, 0}, limit...)
@@ -163,8 +165,8 @@
 	return true
 }
 
-// With one chain the bound is that of its smallest range.
-func TestBoundOfOneChain(t *testing.T) {
+// With a single pipeline the bound is that of the range with the fewest slots.
+func TestBoundOfOnePipeline(t *testing.T) {
 	spec := fleet.Dev()
 	m := spec.Models[0]
 	const prompt, output = 100.0, 20.0
@@ -175,7 +177,7 @@
 		seconds += (output - 1) * layers * r.Accelerator.StepPerLayer.Seconds()
 		slots = min(slots, float64(r.Accelerator.Slots*len(r.Zones)))
 	}
-	require.InEpsilon(t, slots*output/seconds, boundOf(m, prompt, output), 1e-9)
+	require.InEpsilon(t, slots*output/seconds, modelThroughputBound(m, prompt, output), 1e-9)
 }
 
 func TestRecovery(t *testing.T) {
@@ -183,18 +185,18 @@
 	for i := range points {
 		points[i].GoodTokens = 100
 	}
-	require.Zero(t, recovery(points, 10))
+	require.Zero(t, recoverySeconds(points, 10))
 	for i := 10; i < 14; i++ {
 		points[i].GoodTokens = 0
 	}
-	require.InDelta(t, 4, recovery(points, 10), 0)
+	require.InDelta(t, 4, recoverySeconds(points, 10), 0)
 	for i := 10; i < 30; i++ {
 		points[i].GoodTokens = 80
 	}
-	require.InDelta(t, -1, recovery(points, 10), 0)
+	require.InDelta(t, -1, recoverySeconds(points, 10), 0)
 }
 
-// The committed scenarios are valid and short enough to run.
+// The scenarios in the repository are valid and short enough to run.
 func TestCommittedScenarios(t *testing.T) {
 	files, err := filepath.Glob("../../../scenarios/*.ini")
 	require.NoError(t, err)
@@ -204,7 +206,7 @@
 		require.NoError(t, err)
 		require.NotEmpty(t, s.schedule(), file)
 		require.LessOrEqual(t, s.Duration(), 3*time.Minute, file)
-		require.Positive(t, s.bound(samplesOf(s)), file)
+		require.Positive(t, s.throughputBound(samplesOf(s)), file)
 	}
 }
 
@@ -216,7 +218,7 @@
 	return out
 }
 
-func TestParseErrorsNameTheirPlace(t *testing.T) {
+func TestParseErrorsNameSectionAndKey(t *testing.T) {
 	const rest = "\n[workspace.w]\nkey = k\n[flow.f]\nworkspaces = w\n[phase.p]\nduration = 1s\n"
 	for text, want := range map[string]ParseError{
 		"[scenario]\nmodel = m\nspeed = 1" + rest:           {Section: "scenario", Key: "speed"},
@@ -242,7 +244,8 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// The committed configurations are valid and know the keys of the scenarios.
+// The configurations in the repository are valid and contain the API keys, models
+// and ranks of the scenarios.
 func TestScenarioKeysMatchConfiguration(t *testing.T) {
 	for _, name := range []string{"asistente", "apuntador"} {
 		cfg, err := config.LoadDir(filepath.Join("../../../scenarios/config", name))
@@ -266,7 +269,7 @@
 	}
 }
 
-// Whatever the bytes, a scenario is refused or can be scheduled.
+// Any input is either rejected or results in a scenario that can be scheduled.
 func FuzzParseScenario(f *testing.F) {
 	files, err := filepath.Glob("../../../scenarios/*.ini")
 	require.NoError(f, err)
@@ -279,7 +282,7 @@
 		"[phase.p]\nduration=1s\nrate.f=1e-300\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := ParseScenario("fuzz.ini", data)
-		if err != nil || s.Arrivals() > 10_000 || s.promptBytes() > 1<<20 {
+		if err != nil || s.Arrivals() > 10_000 || s.expectedPromptBytes() > 1<<20 {
 			return
 		}
 		for _, a := range s.schedule() {
--- a/cmd/internal/load/group.go
+++ b/cmd/internal/load/group.go
@@ -4,49 +4,50 @@
 	"time"
 )
 
-// grouping collects samples by rank, workspace and flow.
+// grouping aggregates samples by rank, workspace and flow.
 type grouping struct {
-	covered    []window
-	all        *builder
-	ranks      map[string]*builder
-	workspaces map[string]*builder
-	flows      map[string]*builder
+	windows    []window
+	all        *groupBuilder
+	ranks      map[string]*groupBuilder
+	workspaces map[string]*groupBuilder
+	flows      map[string]*groupBuilder
 }
 
-func newGrouping(covered []window) *grouping {
+func newGrouping(windows []window) *grouping {
 	return &grouping{
-		covered:    covered,
-		all:        newBuilder(),
-		ranks:      make(map[string]*builder),
-		workspaces: make(map[string]*builder),
-		flows:      make(map[string]*builder),
+		windows:    windows,
+		all:        newGroupBuilder(),
+		ranks:      make(map[string]*groupBuilder),
+		workspaces: make(map[string]*groupBuilder),
+		flows:      make(map[string]*groupBuilder),
 	}
 }
 
-// of returns the builders that a request belongs to.
-func (g *grouping) of(a *arrival) []*builder {
-	pick := func(m map[string]*builder, name string) *builder {
+// buildersOf returns the builders of all groups that a request belongs to.
+func (g *grouping) buildersOf(a *arrival) []*groupBuilder {
+	pick := func(m map[string]*groupBuilder, name string) *groupBuilder {
 		if m[name] == nil {
-			m[name] = newBuilder()
+			m[name] = newGroupBuilder()
 		}
 		return m[name]
 	}
-	return []*builder{
+	return []*groupBuilder{
 		g.all, pick(g.ranks, a.rank()), pick(g.workspaces, a.workspace), pick(g.flows, a.flow.Name),
 	}
 }
 
 func (g *grouping) add(s *sample) {
-	for _, b := range g.of(s.arrival) {
+	for _, b := range g.buildersOf(s.arrival) {
 		b.add(s)
 	}
 }
 
-// addTokens counts the tokens in time that came within the windows covered.
+// addTokens adds the good tokens of a request that were received within the
+// windows.
 func (g *grouping) addTokens(s *sample) {
 	n := 0
 	s.eachToken(func(at time.Duration, tokens int) {
-		for _, w := range g.covered {
+		for _, w := range g.windows {
 			if at >= w.from && at < w.to {
 				n += tokens
 			}
@@ -55,13 +56,14 @@
 	if n == 0 {
 		return
 	}
-	for _, b := range g.of(s.arrival) {
+	for _, b := range g.buildersOf(s.arrival) {
 		b.tokens += n
 	}
 }
 
-// eachToken calls f with the time of each token of a request in time, from the
-// start of the run. A whole answer's tokens come together.
+// eachToken calls f with the receive time, from the start of the run, of each token
+// of a request that completed within its deadline. All tokens of a response that is
+// not streamed have the same time.
 func (s *sample) eachToken(f func(at time.Duration, tokens int)) {
 	if s.goodTokens() == 0 {
 		return
@@ -78,17 +80,17 @@
 	}
 }
 
-// builder collects the samples of one Group.
-type builder struct {
-	out    Group
-	tokens int
-	first  []time.Duration
-	gaps   []time.Duration
-	total  []time.Duration
+// groupBuilder accumulates the samples of one Group.
+type groupBuilder struct {
+	out        Group
+	tokens     int
+	firstToken []time.Duration
+	gaps       []time.Duration
+	total      []time.Duration
 }
 
-func newBuilder() *builder {
-	return &builder{out: Group{
+func newGroupBuilder() *groupBuilder {
+	return &groupBuilder{out: Group{
 		Outcomes:   make(map[Outcome]int),
 		Statuses:   make(map[string]int),
 		Executions: make(map[string]int),
@@ -96,15 +98,15 @@
 	}}
 }
 
-func (b *builder) add(s *sample) {
+func (b *groupBuilder) add(s *sample) {
 	b.out.Requests++
 	b.out.Outcomes[s.outcome]++
 	b.out.Statuses[statusName(s.status)]++
 	if s.execution == "" {
-		s.execution = none
+		s.execution = labelNone
 	}
 	b.out.Executions[s.execution]++
-	b.out.DemandTokens += s.demand()
+	b.out.DemandTokens += s.demandTokens()
 	b.out.GoodTokens += s.goodTokens()
 	if s.inTime() {
 		b.out.InTime++
@@ -114,31 +116,31 @@
 		return
 	}
 	if s.isStream() {
-		b.first = append(b.first, s.firstToken)
+		b.firstToken = append(b.firstToken, s.firstToken)
 	}
 	b.total = append(b.total, s.total)
 	b.gaps = append(b.gaps, s.gaps...)
 }
 
-func (b *builder) addDetail(detail string) {
+func (b *groupBuilder) addDetail(detail string) {
 	if detail == "" {
-		detail = none
+		detail = labelNone
 	}
-	if _, known := b.out.Details[detail]; !known && len(b.out.Details) >= maxReasons {
-		detail = otherReason
+	if _, known := b.out.Details[detail]; !known && len(b.out.Details) >= maxDetails {
+		detail = labelOther
 	}
 	b.out.Details[detail]++
 }
 
-func (b *builder) group(covered []window) Group {
+func (b *groupBuilder) build(windows []window) Group {
 	seconds := 0.0
-	for _, w := range covered {
+	for _, w := range windows {
 		seconds += (w.to - w.from).Seconds()
 	}
 	if seconds > 0 {
 		b.out.GoodputTokensPerSecond = float64(b.tokens) / seconds
 	}
-	b.out.FirstToken = distributionOf(b.first)
+	b.out.FirstToken = distributionOf(b.firstToken)
 	b.out.BetweenTokens = distributionOf(b.gaps)
 	b.out.Total = distributionOf(b.total)
 	return b.out
--- a/cmd/internal/load/parse.go
+++ b/cmd/internal/load/parse.go
@@ -16,15 +16,17 @@
 const (
 	defaultTimeout     = 30 * time.Second
 	defaultMaxInFlight = 2000
-	// maxArrivals bounds the requests of a run, whose samples are kept.
+	// maxArrivals limits the requests of a run, because all samples are kept in
+	// memory.
 	maxArrivals = 1_000_000
-	// maxPromptBytes bounds one prompt, maxTotalBytes all prompts of a run.
-	maxPromptBytes = 64 << 10
-	maxTotalBytes  = 1 << 30
-	ratePrefix     = "rate."
+	// maxPromptBytes limits a single prompt, maxTotalPromptBytes the sum of all
+	// prompts of a run.
+	maxPromptBytes      = 64 << 10
+	maxTotalPromptBytes = 1 << 30
+	ratePrefix          = "rate."
 )
 
-// ParseError is an invalid scenario.
+// ParseError reports invalid content in a scenario file.
 type ParseError struct {
 	File    string
 	Section string
@@ -37,7 +39,8 @@
 	return fmt.Sprintf("%s: section [%s] key %q: %s", e.File, e.Section, e.Key, e.Reason)
 }
 
-// ReadScenario reads a scenario file. Errors of its content are *ParseError.
+// ReadScenario reads and validates a scenario file. Errors in its content are of
+// type *ParseError, except for INI syntax errors.
 func ReadScenario(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -46,73 +49,74 @@
 	return ParseScenario(path, data)
 }
 
-// ParseScenario reads a scenario; file names it in errors.
+// ParseScenario parses and validates the content of a scenario file. The file name
+// is used in errors only.
 func ParseScenario(file string, data []byte) (*Scenario, error) {
 	options := ini.LoadOptions{SpaceBeforeInlineComment: true}
-	source, err := ini.LoadSources(options, data)
+	sections, err := ini.LoadSources(options, data)
 	if err != nil {
 		return nil, trace.BadParameter("%s: %v", file, err)
 	}
 	s := new(Scenario)
-	for _, section := range source.Sections() {
-		r := &reader{file: file, section: section}
-		if err := s.read(r); err != nil {
+	for _, section := range sections.Sections() {
+		r := &sectionReader{file: file, section: section}
+		if err := s.parseSection(r); err != nil {
 			return nil, err
 		}
 	}
-	return s, s.check(file)
+	return s, s.validate(file)
 }
 
-// read adds one section, "kind" or "kind.name".
-func (s *Scenario) read(r *reader) error {
+// parseSection adds one section, named "kind" or "kind.name", to the scenario.
+func (s *Scenario) parseSection(r *sectionReader) error {
 	kind, name, _ := strings.Cut(r.section.Name(), ".")
 	switch kind {
 	case ini.DefaultSection:
 	case "scenario":
-		s.readScenario(r)
+		s.parseScenarioSection(r)
 	case "workspace":
 		s.Workspaces = append(s.Workspaces, Workspace{Name: name, Key: r.text("key", "")})
 	case "flow":
-		s.Flows = append(s.Flows, readFlow(r, name))
+		s.Flows = append(s.Flows, parseFlow(r, name))
 	case "phase":
-		s.Phases = append(s.Phases, readPhase(r, name))
+		s.Phases = append(s.Phases, parsePhase(r, name))
 	case "fault":
-		s.Faults = append(s.Faults, readFault(r, name))
+		s.Faults = append(s.Faults, parseFault(r, name))
 	default:
 		return &ParseError{File: r.file, Section: r.section.Name(), Reason: "unknown section"}
 	}
-	return r.finish()
+	return r.validateKeys()
 }
 
-func (s *Scenario) readScenario(r *reader) {
+func (s *Scenario) parseScenarioSection(r *sectionReader) {
 	s.Name = r.text("name", "")
-	s.Seed = uint64(r.number("seed", 1))
+	s.Seed = uint64(r.integer("seed", 1))
 	s.Targets = r.list("targets")
 	s.Control = r.text("control", "")
 	s.Model = r.text("model", "")
 	s.Fleet = r.text("fleet", "")
 	s.Timeout = r.duration("timeout", defaultTimeout)
-	s.MaxInFlight = r.number("max_in_flight", defaultMaxInFlight)
+	s.MaxInFlight = r.integer("max_in_flight", defaultMaxInFlight)
 }
 
-func readFlow(r *reader, name string) Flow {
+func parseFlow(r *sectionReader, name string) Flow {
 	return Flow{
-		Name:         name,
-		Kind:         Kind(r.text("kind", string(Chat))),
-		Rank:         r.text("rank", ""),
-		Shares:       r.shares("workspaces"),
-		PromptBytes:  r.numbers("prompt_bytes", Range{200, 200}),
-		MaxTokens:    r.numbers("max_tokens", Range{16, 16}),
-		SharedPrefix: r.number("shared_prefix_bytes", 0),
-		Stream:       r.boolean("stream"),
-		Deadline:     r.duration("deadline", 0),
-		Service:      r.text("service", ""),
-		Path:         r.text("path", "/"),
-		Repeat:       r.float("repeat", 0),
+		Name:           name,
+		Kind:           Kind(r.text("kind", string(Chat))),
+		Rank:           r.text("rank", ""),
+		Shares:         r.shares("workspaces"),
+		PromptBytes:    r.intRange("prompt_bytes", Range{200, 200}),
+		MaxTokens:      r.intRange("max_tokens", Range{16, 16}),
+		SharedPrefix:   r.integer("shared_prefix_bytes", 0),
+		Stream:         r.boolean("stream"),
+		Deadline:       r.duration("deadline", 0),
+		Service:        r.text("service", ""),
+		Path:           r.text("path", "/"),
+		RepeatFraction: r.float("repeat", 0),
 	}
 }
 
-func readPhase(r *reader, name string) Phase {
+func parsePhase(r *sectionReader, name string) Phase {
 	p := Phase{
 		Name:     name,
 		Duration: r.duration("duration", 0),
@@ -126,14 +130,14 @@
 	return p
 }
 
-func readFault(r *reader, name string) TimedFault {
+func parseFault(r *sectionReader, name string) TimedFault {
 	return TimedFault{
 		Name: name,
 		At:   r.duration("at", 0),
 		Fault: fault.Fault{
 			Instance:       r.text("instance", ""),
 			Kind:           fault.Kind(r.text("kind", "")),
-			Count:          r.number("count", 0),
+			Count:          r.integer("count", 0),
 			Factor:         r.float("factor", 0),
 			Text:           r.text("text", ""),
 			DelayMillis:    int(r.duration("delay", 0).Milliseconds()),
@@ -142,57 +146,58 @@
 	}
 }
 
-// check reports the first part of the scenario that does not fit the others.
-func (s *Scenario) check(file string) error {
+// validate checks limits and the references between sections, and returns the first
+// error.
+func (s *Scenario) validate(file string) error {
 	fail := func(section, key, format string, args ...any) error {
 		return &ParseError{File: file, Section: section, Key: key, Reason: fmt.Sprintf(format, args...)}
 	}
 	if s.Arrivals() > maxArrivals {
-		return fail("scenario", "", "%.0f arrivals are over the limit of %d", s.Arrivals(), maxArrivals)
+		return fail("scenario", "", "%.0f arrivals exceed the limit of %d", s.Arrivals(), maxArrivals)
 	}
 	if s.MaxInFlight < 1 {
-		return fail("scenario", "max_in_flight", "must be above 0")
+		return fail("scenario", "max_in_flight", "must be greater than 0")
 	}
 	if s.Timeout <= 0 {
-		return fail("scenario", "timeout", "must be above 0")
+		return fail("scenario", "timeout", "must be greater than 0")
 	}
 	if _, known := fleets[s.Fleet]; s.Fleet != "" && !known {
 		return fail("scenario", "fleet", "unknown fleet %q", s.Fleet)
 	}
 	for i := range s.Flows {
-		if key, reason := s.checkFlow(&s.Flows[i]); reason != "" {
+		if key, reason := s.validateFlow(&s.Flows[i]); reason != "" {
 			return fail("flow."+s.Flows[i].Name, key, "%s", reason)
 		}
 	}
 	if len(s.Phases) == 0 {
-		return fail("phase", "", "at least one phase is needed")
+		return fail("phase", "", "at least one phase is required")
 	}
 	for _, p := range s.Phases {
-		if key, reason := s.checkPhase(p); reason != "" {
+		if key, reason := s.validatePhase(p); reason != "" {
 			return fail("phase."+p.Name, key, "%s", reason)
 		}
 	}
-	if s.promptBytes() > maxTotalBytes {
-		return fail("scenario", "", "all prompts together are over %d bytes", maxTotalBytes)
+	if s.expectedPromptBytes() > maxTotalPromptBytes {
+		return fail("scenario", "", "all prompts together exceed %d bytes", maxTotalPromptBytes)
 	}
 	return nil
 }
 
-func (s *Scenario) checkPhase(p Phase) (key, reason string) {
+func (s *Scenario) validatePhase(p Phase) (key, reason string) {
 	if p.Duration <= 0 {
-		return "duration", "must be above 0"
+		return "duration", "must be greater than 0"
 	}
 	for _, r := range p.Rates {
 		if s.flow(r.Flow) == nil {
-			return ratePrefix + r.Flow, "no such flow"
+			return ratePrefix + r.Flow, "flow does not exist"
 		}
 	}
 	return "", ""
 }
 
-// promptBytes returns the most bytes that the prompts of a run are expected to
-// take.
-func (s *Scenario) promptBytes() float64 {
+// expectedPromptBytes returns an upper bound on the expected size of all prompts of
+// a run.
+func (s *Scenario) expectedPromptBytes() float64 {
 	n := 0.0
 	for _, p := range s.Phases {
 		for _, r := range p.Rates {
@@ -202,27 +207,27 @@
 	return n
 }
 
-func (s *Scenario) checkFlow(f *Flow) (key, reason string) {
-	kinds := []Kind{Chat, Text, Order, Query}
+func (s *Scenario) validateFlow(f *Flow) (key, reason string) {
+	kinds := []Kind{Chat, Completion, Order, Query}
 	switch {
 	case !slices.Contains(kinds, f.Kind):
 		return "kind", fmt.Sprintf("unknown kind %q", f.Kind)
 	case len(f.Shares) == 0:
-		return "workspaces", "at least one workspace is needed"
+		return "workspaces", "at least one workspace is required"
 	case (f.Kind == Order || f.Kind == Query) && f.Service == "":
-		return "service", "is needed for this kind"
-	case (f.Kind == Chat || f.Kind == Text) && s.Model == "":
-		return "kind", "the scenario names no model"
+		return "service", "is required for this kind"
+	case (f.Kind == Chat || f.Kind == Completion) && s.Model == "":
+		return "kind", "section [scenario] has no model"
 	case f.MaxTokens.Min < 1:
-		return "max_tokens", "must be above 0"
+		return "max_tokens", "must be greater than 0"
 	case f.PromptBytes.Min < 1 || f.PromptBytes.Max > maxPromptBytes:
-		return "prompt_bytes", fmt.Sprintf("must lie between 1 and %d", maxPromptBytes)
-	case f.Repeat > 1:
+		return "prompt_bytes", fmt.Sprintf("must be between 1 and %d", maxPromptBytes)
+	case f.RepeatFraction > 1:
 		return "repeat", "must be at most 1"
 	}
 	for _, share := range f.Shares {
 		if s.key(share.Workspace) == "" {
-			return "workspaces", fmt.Sprintf("no workspace %q with a key", share.Workspace)
+			return "workspaces", fmt.Sprintf("workspace %q does not exist or has no key", share.Workspace)
 		}
 	}
 	return "", ""
--- a/cmd/internal/load/reader.go
+++ b/cmd/internal/load/reader.go
@@ -9,37 +9,37 @@
 	"gopkg.in/ini.v1"
 )
 
-// reader reads the keys of one section and keeps the first error.
-type reader struct {
-	file    string
-	section *ini.Section
-	used    []string
-	err     error
+// sectionReader reads the keys of one section and keeps the first error.
+type sectionReader struct {
+	file      string
+	section   *ini.Section
+	requested []string
+	err       error
 }
 
-func (r *reader) fail(key, reason string) {
+func (r *sectionReader) fail(key, reason string) {
 	if r.err == nil {
 		r.err = &ParseError{File: r.file, Section: r.section.Name(), Key: key, Reason: reason}
 	}
 }
 
-// value returns the text of a key; ok is false when it is missing.
-func (r *reader) value(key string) (text string, ok bool) {
-	r.used = append(r.used, key)
+// value returns the value of a key; ok is false if the key is missing.
+func (r *sectionReader) value(key string) (text string, ok bool) {
+	r.requested = append(r.requested, key)
 	if !r.section.HasKey(key) {
 		return "", false
 	}
 	return strings.TrimSpace(r.section.Key(key).String()), true
 }
 
-func (r *reader) text(key, fallback string) string {
+func (r *sectionReader) text(key, fallback string) string {
 	if v, ok := r.value(key); ok {
 		return v
 	}
 	return fallback
 }
 
-func (r *reader) list(key string) []string {
+func (r *sectionReader) list(key string) []string {
 	var out []string
 	for _, item := range strings.Split(r.text(key, ""), ",") {
 		if item = strings.TrimSpace(item); item != "" {
@@ -49,31 +49,31 @@
 	return out
 }
 
-func (r *reader) number(key string, fallback int) int {
+func (r *sectionReader) integer(key string, fallback int) int {
 	v, ok := r.value(key)
 	if !ok {
 		return fallback
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		r.fail(key, fmt.Sprintf("%q is not a whole number", v))
+		r.fail(key, fmt.Sprintf("%q is not an integer", v))
 	}
 	return n
 }
 
-func (r *reader) float(key string, fallback float64) float64 {
+func (r *sectionReader) float(key string, fallback float64) float64 {
 	v, ok := r.value(key)
 	if !ok {
 		return fallback
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(f >= 0) {
-		r.fail(key, fmt.Sprintf("%q is not a number of at least 0", v))
+		r.fail(key, fmt.Sprintf("%q is not a non-negative number", v))
 	}
 	return f
 }
 
-func (r *reader) boolean(key string) bool {
+func (r *sectionReader) boolean(key string) bool {
 	v, ok := r.value(key)
 	if !ok {
 		return false
@@ -85,7 +85,7 @@
 	return b
 }
 
-func (r *reader) duration(key string, fallback time.Duration) time.Duration {
+func (r *sectionReader) duration(key string, fallback time.Duration) time.Duration {
 	v, ok := r.value(key)
 	if !ok {
 		return fallback
@@ -97,8 +97,8 @@
 	return d
 }
 
-// numbers reads "5" or "5-10".
-func (r *reader) numbers(key string, fallback Range) Range {
+// intRange parses "5" or "5-10".
+func (r *sectionReader) intRange(key string, fallback Range) Range {
 	v, ok := r.value(key)
 	if !ok {
 		return fallback
@@ -110,13 +110,13 @@
 	first, err1 := strconv.Atoi(strings.TrimSpace(low))
 	last, err2 := strconv.Atoi(strings.TrimSpace(high))
 	if err1 != nil || err2 != nil || last < first {
-		r.fail(key, fmt.Sprintf("%q is neither a number nor a range such as 5-10", v))
+		r.fail(key, fmt.Sprintf("%q is neither an integer nor a range such as 5-10", v))
 	}
 	return Range{Min: first, Max: last}
 }
 
-// shares reads "a:20, b, c"; a missing weight is 1.
-func (r *reader) shares(key string) []Share {
+// shares parses "a:20, b, c"; the default weight is 1.
+func (r *sectionReader) shares(key string) []Share {
 	var out []Share
 	for _, item := range r.list(key) {
 		name, weight, weighted := strings.Cut(item, ":")
@@ -124,7 +124,7 @@
 		if weighted {
 			w, err := strconv.ParseFloat(strings.TrimSpace(weight), 64)
 			if err != nil || !(w > 0) {
-				r.fail(key, fmt.Sprintf("%q has no weight above 0", item))
+				r.fail(key, fmt.Sprintf("the weight of %q is not a positive number", item))
 			}
 			share.Weight = w
 		}
@@ -133,13 +133,13 @@
 	return out
 }
 
-// finish reports the first error, or the first key that was not read.
-func (r *reader) finish() error {
+// validateKeys returns the first error, or an error for the first unknown key.
+func (r *sectionReader) validateKeys() error {
 	if r.err != nil {
 		return r.err
 	}
-	used := make(map[string]bool, len(r.used))
-	for _, key := range r.used {
+	used := make(map[string]bool, len(r.requested))
+	for _, key := range r.requested {
 		used[key] = true
 	}
 	for _, key := range r.section.KeyStrings() {
--- a/cmd/internal/load/result.go
+++ b/cmd/internal/load/result.go
@@ -10,37 +10,39 @@
 	"masticbank.example/node/metrics"
 )
 
-// Result is what one run measured.
+// Result holds the measurements of one run.
 type Result struct {
 	Name    string    `json:"name"`
 	Seed    uint64    `json:"seed"`
 	Started time.Time `json:"started"`
 	Targets []string  `json:"targets"`
-	// Seconds is the length of the phases that were sent.
+	// Seconds is the duration of all phases, or the time until the run was
+	// interrupted.
 	Seconds float64 `json:"seconds"`
-	// Interrupted is true when the run was ended early.
+	// Interrupted is true if the run ended before all requests were sent.
 	Interrupted bool `json:"interrupted"`
-	// Whole covers all phases but warm-ups.
+	// Whole covers all phases except warm-up phases.
 	Whole  Summary       `json:"whole"`
 	Phases []PhaseResult `json:"phases"`
-	// Series holds one value a second for all ranks together, named "all", and
-	// for each rank.
+	// Series holds time series with one point per second: one for all ranks, named
+	// "all", and one for each rank.
 	Series []Series      `json:"series"`
 	Faults []FaultResult `json:"faults,omitempty"`
-	// Checks is what the stand-ins saw; nil without a control address.
+	// Checks holds the observations of the stand-ins; nil without a control
+	// address.
 	Checks    *Checks   `json:"checks,omitempty"`
 	Generator Generator `json:"generator"`
 }
 
-// Generator describes how well the generator kept its schedule.
+// Generator describes how well the generator kept to its schedule.
 type Generator struct {
-	// LateSend is the time from the intended arrival to the sending.
+	// LateSend is the delay between the intended arrival and the actual send.
 	LateSend metrics.Distribution `json:"late_send"`
-	// MaxInFlight is the largest number of requests in progress.
+	// MaxInFlight is the largest number of requests in progress at once.
 	MaxInFlight int `json:"max_in_flight"`
 }
 
-// PhaseResult is the summary of the requests that arrived in one phase.
+// PhaseResult summarizes the requests that arrived in one phase.
 type PhaseResult struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
@@ -48,17 +50,18 @@
 	Summary Summary `json:"summary"`
 }
 
-// Summary describes a set of requests.
+// Summary describes a set of requests, in total and by rank, workspace and flow.
 type Summary struct {
 	All        Group            `json:"all"`
 	Ranks      map[string]Group `json:"ranks"`
 	Workspaces map[string]Group `json:"workspaces"`
 	Flows      map[string]Group `json:"flows"`
-	// BoundTokensPerSecond is the most that the fleet allows for this mix of
-	// requests; 0 when it is not known.
+	// BoundTokensPerSecond is the maximum throughput that the fleet allows for this
+	// mix of requests; 0 if it is unknown.
 	BoundTokensPerSecond float64 `json:"bound_tokens_per_second"`
-	// Jain is Jain's index of the workspaces' goodput relative to their max-min
-	// fair share of all goodput; 1 is fair. It is 0 without goodput.
+	// Jain is Jain's fairness index of the workspaces' goodput relative to their
+	// max-min fair shares of the total goodput; 1 is perfectly fair. It is 0 if
+	// there is no goodput.
 	Jain float64 `json:"jain"`
 }
 
@@ -66,45 +69,47 @@
 type Group struct {
 	Requests int             `json:"requests"`
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Statuses and Executions count answers; "none" means that none came.
+	// Statuses and Executions count responses by HTTP status and by execution
+	// header; "none" counts requests without one.
 	Statuses   map[string]int `json:"statuses"`
 	Executions map[string]int `json:"executions"`
-	// Details counts the reasons of requests that did not complete.
+	// Details counts the requests that did not complete by reason.
 	Details map[string]int `json:"details,omitempty"`
-	// InTime counts the completed requests within their deadline.
+	// InTime is the number of requests that completed within their deadline.
 	InTime int `json:"in_time"`
-	// DemandTokens is the number of tokens asked for.
+	// DemandTokens is the number of tokens requested.
 	DemandTokens int `json:"demand_tokens"`
-	// GoodTokens is the number of tokens of requests in time.
+	// GoodTokens is the number of tokens of requests that completed within
+	// their deadline.
 	GoodTokens int `json:"good_tokens"`
-	// GoodputTokensPerSecond counts the tokens of requests in time that came
-	// within the phases covered, whenever their request arrived.
+	// GoodputTokensPerSecond counts the good tokens received within the phases
+	// covered, regardless of when their request arrived.
 	GoodputTokensPerSecond float64 `json:"goodput_tokens_per_second"`
-	// FirstToken and BetweenTokens cover completed streams, Total all completed
-	// requests.
+	// FirstToken and BetweenTokens cover completed streams, Total covers all
+	// completed requests.
 	FirstToken    metrics.Distribution `json:"first_token"`
 	BetweenTokens metrics.Distribution `json:"between_tokens"`
 	Total         metrics.Distribution `json:"total"`
 }
 
-// Series is a time series of one rank, one point a second.
+// Series is the time series of one rank, with one point per second.
 type Series struct {
 	Rank   string  `json:"rank"`
 	Points []Point `json:"points"`
 }
 
-// Point is one second.
+// Point describes one second of a run.
 type Point struct {
-	// Arrived, Completed, Refused and Lost count by the second of arrival; Lost
-	// are those neither completed nor refused.
+	// Arrived, Completed, Refused and Lost count requests by the second of their
+	// arrival. Lost are those neither completed nor refused.
 	Arrived   int `json:"arrived"`
 	Completed int `json:"completed"`
 	Refused   int `json:"refused"`
 	Lost      int `json:"lost"`
-	// GoodTokens counts by the second in which a token came.
+	// GoodTokens counts tokens by the second in which they were received.
 	GoodTokens int `json:"good_tokens"`
-	// FirstTokenP95 covers completed streams by the second of arrival, in
-	// microseconds; 0 when there are none.
+	// FirstTokenP95 covers completed streams by the second of their arrival, in
+	// microseconds; 0 if there are none.
 	FirstTokenP95 int64 `json:"first_token_p95_us"`
 }
 
@@ -117,7 +122,7 @@
 	return trace.ConvertSystemError(os.WriteFile(path, append(data, '\n'), 0o644))
 }
 
-// ReadFile reads a result that WriteFile wrote.
+// ReadFile reads a result written by WriteFile.
 func ReadFile(path string) (*Result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	// startDelay leaves time to open the first connections.
+	// startDelay is the time between setup and the start of the schedule, which
+	// leaves time to open the first connections.
 	startDelay = 200 * time.Millisecond
-	// progressPeriod is the time between two lines of progress.
+	// progressPeriod is the interval between two progress lines.
 	progressPeriod = time.Second
 )
 
 // Options configures a run.
 type Options struct {
 	Scenario *Scenario
-	// Targets and Control replace those of the scenario when set.
+	// Targets and Control override those of the scenario if set.
 	Targets []string
 	Control string
-	// RunID makes the idempotency keys of this run unique; empty takes the
-	// present time.
+	// RunID is a prefix that makes the idempotency keys of this run unique. If it
+	// is empty, the current time is used.
 	RunID string
-	// Progress gets one line a second; nil means none.
+	// Progress receives one line per second; nil disables progress output.
 	Progress io.Writer
-	// transport replaces TCP in tests.
+	// transport replaces the TCP transport in tests.
 	transport http.RoundTripper
 }
 
-// runner is the state of one run.
+// runner holds the state of one run.
 type runner struct {
-	scenario *Scenario
-	client   *client
-	arrivals []arrival
-	samples  []sample
-	start    time.Time
-	group    sync.WaitGroup
-	faults   []FaultResult
-
-	sent     atomic.Int64
-	inFlight atomic.Int64
-	ended    map[Outcome]*atomic.Int64
-	maxFlown atomic.Int64
+	scenario   *Scenario
+	client     *client
+	arrivals   []arrival
+	samples    []sample
+	start      time.Time
+	inProgress sync.WaitGroup
+	faults     []FaultResult
+
+	sent          atomic.Int64
+	inFlight      atomic.Int64
+	outcomeCounts map[Outcome]*atomic.Int64
+	maxInFlight   atomic.Int64
 }
 
-// outcomes lists all outcomes in the order of reports.
+// outcomes lists all outcomes in the order in which progress lines show them.
 var outcomes = []Outcome{Completed, Refused, TimedOut, Failed, Partial, Wrong, Unsent}
 
-// Run sends the scenario's load and returns what was measured. When ctx ends
-// early, the result covers the requests sent so far and is marked as such.
+// Run executes the scenario and returns the measurements. If ctx ends early, the
+// result covers the requests sent so far and is marked as interrupted.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	s, err := o.scenario()
 	if err != nil {
@@ -68,24 +69,24 @@
 	defer r.client.http.CloseIdleConnections()
 	before, err := r.client.fetchCheck(ctx)
 	if err != nil {
-		return nil, trace.Wrap(err, "asking the stand-ins at %s", s.Control)
+		return nil, trace.Wrap(err, "querying the stand-ins at %s", s.Control)
 	}
 	r.start = time.Now().Add(startDelay)
-	progress := r.watch(ctx, o.Progress)
+	stopProgress := r.startProgress(ctx, o.Progress)
 	waitFaults := r.startFaults(ctx)
 	dispatched := r.dispatch(ctx)
-	r.group.Wait()
+	r.inProgress.Wait()
 	waitFaults()
-	progress()
+	stopProgress()
 	result := r.summarize(dispatched)
 	result.Checks, err = r.client.checkSince(context.WithoutCancel(ctx), before, r.samples[:dispatched])
 	return result, trace.Wrap(err)
 }
 
-// scenario returns the scenario with the replaced addresses.
+// scenario returns a copy of the scenario with the overridden addresses.
 func (o Options) scenario() (*Scenario, error) {
 	if o.Scenario == nil {
-		return nil, trace.BadParameter("no scenario")
+		return nil, trace.BadParameter("scenario is missing")
 	}
 	s := *o.Scenario
 	if len(o.Targets) > 0 {
@@ -95,7 +96,7 @@
 		s.Control = o.Control
 	}
 	if len(s.Targets) == 0 {
-		return nil, trace.BadParameter("scenario %q names no targets", s.Name)
+		return nil, trace.BadParameter("scenario %q has no targets", s.Name)
 	}
 	if len(s.Faults) > 0 && s.Control == "" {
 		return nil, trace.BadParameter("scenario %q has faults but no control address", s.Name)
@@ -105,20 +106,20 @@
 
 func newRunner(s *Scenario, runID string, transport http.RoundTripper) *runner {
 	r := &runner{
-		scenario: s,
-		client:   newClient(s, runID, transport),
-		arrivals: s.schedule(),
-		ended:    make(map[Outcome]*atomic.Int64),
+		scenario:      s,
+		client:        newClient(s, runID, transport),
+		arrivals:      s.schedule(),
+		outcomeCounts: make(map[Outcome]*atomic.Int64),
 	}
 	r.samples = make([]sample, len(r.arrivals))
 	for _, o := range outcomes {
-		r.ended[o] = new(atomic.Int64)
+		r.outcomeCounts[o] = new(atomic.Int64)
 	}
 	return r
 }
 
-// dispatch starts each request at its time and returns the number of arrivals
-// that were due.
+// dispatch starts each request at its intended time and returns the number of
+// arrivals that were due before ctx ended.
 func (r *runner) dispatch(ctx context.Context) int {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -134,32 +135,34 @@
 	return len(r.arrivals)
 }
 
-// send starts request i, unless too many are in progress.
+// send starts request i, or records it as Unsent if MaxInFlight requests are in
+// progress.
 func (r *runner) send(ctx context.Context, i int) {
 	a := &r.arrivals[i]
 	intended := r.start.Add(a.at)
 	n := r.inFlight.Add(1)
 	if n > int64(r.scenario.MaxInFlight) {
 		r.inFlight.Add(-1)
-		r.end(i, sample{arrival: a, outcome: Unsent, total: time.Since(intended)})
+		r.record(i, sample{arrival: a, outcome: Unsent, total: time.Since(intended)})
 		return
 	}
-	r.maxFlown.Store(max(n, r.maxFlown.Load()))
+	r.maxInFlight.Store(max(n, r.maxInFlight.Load()))
 	r.sent.Add(1)
 	target := r.scenario.Targets[i%len(r.scenario.Targets)]
-	r.group.Go(func() {
+	r.inProgress.Go(func() {
 		defer r.inFlight.Add(-1)
-		r.end(i, r.client.do(ctx, a, target, intended))
+		r.record(i, r.client.do(ctx, a, target, intended))
 	})
 }
 
-func (r *runner) end(i int, s sample) {
+func (r *runner) record(i int, s sample) {
 	r.samples[i] = s
-	r.ended[s.outcome].Add(1)
+	r.outcomeCounts[s.outcome].Add(1)
 }
 
-// watch writes progress until the returned function is called.
-func (r *runner) watch(ctx context.Context, w io.Writer) (stop func()) {
+// startProgress writes a progress line every progressPeriod until the returned
+// function is called, which writes a last one.
+func (r *runner) startProgress(ctx context.Context, w io.Writer) (stop func()) {
 	if w == nil {
 		return func() {}
 	}
@@ -174,23 +177,23 @@
 			case <-ctx.Done():
 				return
 			case <-ticker.C:
-				_, _ = fmt.Fprintln(w, r.progress())
+				_, _ = fmt.Fprintln(w, r.progressLine())
 			}
 		}
 	}()
 	return func() {
 		cancel()
 		<-done
-		_, _ = fmt.Fprintln(w, r.progress())
+		_, _ = fmt.Fprintln(w, r.progressLine())
 	}
 }
 
-func (r *runner) progress() string {
+func (r *runner) progressLine() string {
 	elapsed := time.Since(r.start)
 	line := fmt.Sprintf("%4.0fs %-12s sent %d, in progress %d", elapsed.Seconds(),
 		r.phaseAt(elapsed), r.sent.Load(), r.inFlight.Load())
 	for _, o := range outcomes {
-		if n := r.ended[o].Load(); n > 0 {
+		if n := r.outcomeCounts[o].Load(); n > 0 {
 			line += fmt.Sprintf(", %s %d", o, n)
 		}
 	}
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -19,33 +19,33 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-// fakeRouter answers in process, in the bubble of a test.
-type fakeRouter func(r *http.Request, body chatBody, w io.Writer) (status int, header http.Header)
+// fakeRouter responds in process, so that it can run inside a synctest bubble.
+type fakeRouter func(r *http.Request, body requestBody, w io.Writer) (status int, header http.Header)
 
-// RoundTrip answers the request as the fake router does.
+// RoundTrip returns the response of the fake router.
 func (f fakeRouter) RoundTrip(r *http.Request) (*http.Response, error) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
 	}
-	var body chatBody
+	var body requestBody
 	_ = json.Unmarshal(data, &body)
-	answered := make(chan *http.Response, 1)
+	responses := make(chan *http.Response, 1)
 	go func() {
 		var out strings.Builder
 		status, header := f(r, body, &out)
 		content := io.NopCloser(strings.NewReader(out.String()))
-		answered <- &http.Response{StatusCode: status, Header: header, Body: content}
+		responses <- &http.Response{StatusCode: status, Header: header, Body: content}
 	}()
 	select {
-	case response := <-answered:
+	case response := <-responses:
 		return response, nil
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	}
 }
 
-func rightText(body chatBody) string {
+func expectedText(body requestBody) string {
 	var b strings.Builder
 	for _, token := range engine.Expected("dev", 12, "user: "+body.Messages[0].Content, body.MaxTokens) {
 		b.WriteString(token.Text)
@@ -58,7 +58,7 @@
 	_, _ = fmt.Fprintf(w, `{"choices":[{"message":{"role":"assistant","content":%s}}]}`, content)
 }
 
-func scenarioOf(t *testing.T, text string) *Scenario {
+func parseTestScenario(t *testing.T, text string) *Scenario {
 	t.Helper()
 	s, err := ParseScenario("test.ini", []byte(text))
 	require.NoError(t, err)
@@ -80,17 +80,16 @@
 rate.f = 10
 `
 
-// A server that serves one request at a time and stalls for ten seconds makes
-// every request behind the stall wait: their times count from the intended
-// arrival.
+// A server that stalls for ten seconds delays all requests that arrive in that
+// time. Their latencies must be measured from the intended arrival.
 func TestTimesCountFromIntendedArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stall = 10 * time.Second
-		s := scenarioOf(t, stallScenario)
-		begin := time.Now()
-		router := fakeRouter(func(_ *http.Request, body chatBody, w io.Writer) (int, http.Header) {
-			time.Sleep(time.Until(begin.Add(stall)))
-			writeWhole(w, rightText(body))
+		s := parseTestScenario(t, stallScenario)
+		start := time.Now()
+		router := fakeRouter(func(_ *http.Request, body requestBody, w io.Writer) (int, http.Header) {
+			time.Sleep(time.Until(start.Add(stall)))
+			writeWhole(w, expectedText(body))
 			return http.StatusOK, http.Header{}
 		})
 		result, err := Run(t.Context(), Options{Scenario: s, transport: router})
@@ -124,36 +123,37 @@
 rate.f = 1
 `
 
-// answerKinds are ways to answer and the outcome that the caller must see.
-var answerKinds = map[Outcome]func(body chatBody, w io.Writer) (int, http.Header){
-	Completed: func(body chatBody, w io.Writer) (int, http.Header) {
-		answer(w, body, rightText(body), true)
+// responders produce responses that the client must classify as the given outcome.
+var responders = map[Outcome]func(body requestBody, w io.Writer) (int, http.Header){
+	Completed: func(body requestBody, w io.Writer) (int, http.Header) {
+		writeResponse(w, body, expectedText(body), true)
 		return http.StatusOK, http.Header{}
 	},
-	Wrong: func(body chatBody, w io.Writer) (int, http.Header) {
-		answer(w, body, rightText(body)[1:], true)
+	Wrong: func(body requestBody, w io.Writer) (int, http.Header) {
+		writeResponse(w, body, expectedText(body)[1:], true)
 		return http.StatusOK, http.Header{}
 	},
-	Partial: func(body chatBody, w io.Writer) (int, http.Header) {
-		answer(w, body, rightText(body), false)
+	Partial: func(body requestBody, w io.Writer) (int, http.Header) {
+		writeResponse(w, body, expectedText(body), false)
 		return http.StatusOK, http.Header{}
 	},
-	Refused: func(_ chatBody, w io.Writer) (int, http.Header) {
+	Refused: func(_ requestBody, w io.Writer) (int, http.Header) {
 		_, _ = io.WriteString(w, `{"error":{"code":"overloaded"}}`)
 		return http.StatusTooManyRequests, http.Header{headerExecution: {executionNotRun}}
 	},
-	Failed: func(_ chatBody, w io.Writer) (int, http.Header) {
+	Failed: func(_ requestBody, w io.Writer) (int, http.Header) {
 		_, _ = io.WriteString(w, `{"error":{"code":"lost","execution":"unknown"}}`)
 		return http.StatusBadGateway, http.Header{}
 	},
-	TimedOut: func(chatBody, io.Writer) (int, http.Header) {
+	TimedOut: func(requestBody, io.Writer) (int, http.Header) {
 		time.Sleep(time.Minute)
 		return http.StatusOK, http.Header{}
 	},
 }
 
-// answer writes text in one piece or as a stream, whole or cut.
-func answer(w io.Writer, body chatBody, text string, whole bool) {
+// writeResponse writes text as a single response or as a stream, complete or
+// truncated.
+func writeResponse(w io.Writer, body requestBody, text string, whole bool) {
 	if !body.Stream {
 		var b strings.Builder
 		writeWhole(&b, text)
@@ -175,11 +175,11 @@
 
 func TestOutcomes(t *testing.T) {
 	for _, stream := range []string{"true", "false"} {
-		for want, respond := range answerKinds {
+		for want, respond := range responders {
 			t.Run(fmt.Sprintf("%s/stream=%s", want, stream), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := scenarioOf(t, fmt.Sprintf(outcomeScenario, stream))
-					router := fakeRouter(func(_ *http.Request, body chatBody, w io.Writer) (int, http.Header) {
+					s := parseTestScenario(t, fmt.Sprintf(outcomeScenario, stream))
+					router := fakeRouter(func(_ *http.Request, body requestBody, w io.Writer) (int, http.Header) {
 						return respond(body, w)
 					})
 					result, err := Run(t.Context(), Options{Scenario: s, transport: router})
@@ -212,12 +212,12 @@
 rate.f = 2
 `
 
-// A stream that ends with an error has failed, and is not taken for cut.
+// A stream that ends with an error event is Failed, not Partial.
 func TestErrorInStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := scenarioOf(t, fmt.Sprintf(outcomeScenario, "true"))
-		router := fakeRouter(func(_ *http.Request, body chatBody, w io.Writer) (int, http.Header) {
-			answer(w, body, rightText(body), false)
+		s := parseTestScenario(t, fmt.Sprintf(outcomeScenario, "true"))
+		router := fakeRouter(func(_ *http.Request, body requestBody, w io.Writer) (int, http.Header) {
+			writeResponse(w, body, expectedText(body), false)
 			_, _ = io.WriteString(w, "data: {\"error\":{\"code\":\"deadline_passed\",\"execution\":\"ran\"}}\n\n")
 			return http.StatusOK, http.Header{}
 		})
@@ -230,18 +230,19 @@
 	})
 }
 
-// Orders are sent twice with one key; answers that differ are wrong.
+// Orders are sent twice with the same key. A second response that differs from the
+// first is Wrong.
 func TestRepeatedOrders(t *testing.T) {
 	for _, replay := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			s := scenarioOf(t, orderScenario)
+			s := parseTestScenario(t, orderScenario)
 			n := make(chan int, 1)
 			n <- 0
-			router := fakeRouter(func(r *http.Request, _ chatBody, w io.Writer) (int, http.Header) {
+			router := fakeRouter(func(r *http.Request, _ requestBody, w io.Writer) (int, http.Header) {
 				number := <-n
 				n <- number + 1
 				if replay {
-					_, _ = io.WriteString(w, r.Header.Get(headerKey))
+					_, _ = io.WriteString(w, r.Header.Get(headerIdempotencyKey))
 				} else {
 					_, _ = fmt.Fprint(w, number)
 				}
@@ -260,14 +261,14 @@
 	}
 }
 
-// A run that is ended early reports what was sent.
+// A run that is interrupted reports the requests sent so far.
 func TestInterruptedRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := scenarioOf(t, stallScenario)
+		s := parseTestScenario(t, stallScenario)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		router := fakeRouter(func(_ *http.Request, body chatBody, w io.Writer) (int, http.Header) {
-			writeWhole(w, rightText(body))
+		router := fakeRouter(func(_ *http.Request, body requestBody, w io.Writer) (int, http.Header) {
+			writeWhole(w, expectedText(body))
 			return http.StatusOK, http.Header{}
 		})
 		var progress strings.Builder
@@ -280,14 +281,14 @@
 	})
 }
 
-// Arrivals over the generator's own limit are counted, not sent.
+// Arrivals above max_in_flight are counted as Unsent and not sent.
 func TestGeneratorLimitIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 5
-		s := scenarioOf(t, strings.Replace(stallScenario, "[scenario]", "[scenario]\nmax_in_flight = 5", 1))
-		router := fakeRouter(func(_ *http.Request, body chatBody, w io.Writer) (int, http.Header) {
+		s := parseTestScenario(t, strings.Replace(stallScenario, "[scenario]", "[scenario]\nmax_in_flight = 5", 1))
+		router := fakeRouter(func(_ *http.Request, body requestBody, w io.Writer) (int, http.Header) {
 			time.Sleep(25 * time.Second)
-			writeWhole(w, rightText(body))
+			writeWhole(w, expectedText(body))
 			return http.StatusOK, http.Header{}
 		})
 		result, err := Run(t.Context(), Options{Scenario: s, transport: router})
--- a/cmd/internal/load/sample.go
+++ b/cmd/internal/load/sample.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Outcome is how one request ended, as its caller sees it.
+// Outcome is the result of one request as observed by its client.
 type Outcome string
 
-// Outcomes of requests.
+// Request outcomes.
 const (
-	// Completed means a whole and, where that is known, correct answer.
+	// Completed means a complete response that, if the expected text is known, is
+	// also correct.
 	Completed Outcome = "completed"
-	// Wrong means a whole answer that differs from the expected one.
+	// Wrong means a complete response that differs from the expected one.
 	Wrong Outcome = "wrong"
-	// Partial means an answer that began and was cut without an error.
+	// Partial means a response that began and was truncated without an error.
 	Partial Outcome = "partial"
-	// Refused means an error that says that the request was not run.
+	// Refused means an error that states that the request was not run.
 	Refused Outcome = "refused"
-	// Failed means any other error, also one that ends a stream.
+	// Failed means any other error, including one that ends a stream.
 	Failed Outcome = "failed"
-	// TimedOut means that no answer came in time.
+	// TimedOut means that the response was not complete before the timeout.
 	TimedOut Outcome = "timed_out"
-	// Unsent means that the generator reached its own limit.
+	// Unsent means that the generator had reached MaxInFlight and did not send the
+	// request.
 	Unsent Outcome = "unsent"
 )
 
-// sample is the measurement of one request. Times count from the intended
-// arrival.
+// sample is the measurement of one request. All times are measured from the
+// intended arrival.
 type sample struct {
 	arrival    *arrival
 	outcome    Outcome
@@ -36,13 +38,13 @@
 	total      time.Duration
 	gaps       []time.Duration
 	tokens     int
-	// lateSend is how long after the intended time the request was sent.
+	// lateSend is the delay between the intended arrival and the actual send.
 	lateSend time.Duration
-	// body is the answer to an order.
+	// body is the response to an order or a query.
 	body string
 }
 
-// inTime reports whether a whole answer came within the deadline.
+// inTime reports whether the request completed within its deadline.
 func (s *sample) inTime() bool {
 	if s.outcome != Completed {
 		return false
@@ -51,7 +53,7 @@
 	return deadline == 0 || s.total <= deadline
 }
 
-// goodTokens returns the tokens that count as goodput.
+// goodTokens returns the number of tokens that count as goodput.
 func (s *sample) goodTokens() int {
 	if !s.inTime() {
 		return 0
@@ -59,8 +61,8 @@
 	return s.tokens
 }
 
-// demand returns the tokens that the request asks for.
-func (s *sample) demand() int {
+// demandTokens returns the number of tokens that the request asks for.
+func (s *sample) demandTokens() int {
 	if s.arrival.isModel() {
 		return s.arrival.maxTokens
 	}
@@ -68,10 +70,10 @@
 }
 
 func (a *arrival) isModel() bool {
-	return a.flow.Kind == Chat || a.flow.Kind == Text
+	return a.flow.Kind == Chat || a.flow.Kind == Completion
 }
 
-// isStream reports whether the answer's tokens come one by one.
+// isStream reports whether the response is streamed token by token.
 func (s *sample) isStream() bool {
 	return s.arrival.isModel() && s.arrival.flow.Stream
 }
--- a/cmd/internal/load/scenario.go
+++ b/cmd/internal/load/scenario.go
@@ -1,8 +1,8 @@
-// Package load generates open-loop load from a scenario and measures the
-// answers. Arrivals follow a Poisson process with a fixed seed, whatever the
-// answers do, and every time counts from the intended arrival, so that a slow
-// answer does not hide the waiting of the requests behind it (coordinated
-// omission).
+// Package load generates open-loop load from a scenario and measures the responses.
+// Arrivals follow a Poisson process with a fixed seed, independent of the
+// responses. Every latency is measured from the intended arrival time, so that a
+// slow response does not hide the queueing delay of the requests behind it
+// (coordinated omission).
 package load
 
 import (
@@ -11,38 +11,39 @@
 	"masticbank.example/standin/fault"
 )
 
-// Kind is what a flow sends.
+// Kind is the type of request that a flow sends.
 type Kind string
 
-// Kinds of flows.
+// Flow kinds.
 const (
 	// Chat sends POST /v1/chat/completions.
 	Chat Kind = "chat"
-	// Text sends POST /v1/completions.
-	Text Kind = "text"
-	// Order sends POST to a plain service, with an idempotency key.
+	// Completion sends POST /v1/completions.
+	Completion Kind = "text"
+	// Order sends POST with an idempotency key to a plain service.
 	Order Kind = "order"
 	// Query sends GET to a plain service.
 	Query Kind = "query"
 )
 
-// Scenario describes one run.
+// Scenario describes one load run: its workspaces, traffic, phases and faults.
 type Scenario struct {
 	Name string
-	// Seed determines arrivals, prompts and lengths.
+	// Seed determines arrival times, prompts and token limits.
 	Seed uint64
-	// Targets are the entry addresses, host:port, used in turn.
+	// Targets are the entry addresses (host:port), used round-robin.
 	Targets []string
-	// Control is the control address of the stand-ins; empty means none.
+	// Control is the control address of the stand-ins; empty if there is none.
 	Control string
 	Model   string
-	// Fleet is the stand-in fleet, "dev", "asistente" or "apuntador"; it gives
-	// the expected answers and the bound on throughput. Empty means unknown.
+	// Fleet names the stand-in fleet: "dev", "asistente" or "apuntador". It
+	// determines the expected responses and the throughput bound. Empty means that
+	// the fleet is unknown.
 	Fleet string
-	// Timeout bounds a request that has no deadline.
+	// Timeout applies to requests without a deadline.
 	Timeout time.Duration
-	// MaxInFlight bounds the requests in progress; arrivals above it are not
-	// sent and count as unsent.
+	// MaxInFlight is the maximum number of requests in progress. Arrivals above it
+	// are not sent and are counted as Unsent.
 	MaxInFlight int
 	Workspaces  []Workspace
 	Flows       []Flow
@@ -50,74 +51,75 @@
 	Faults      []TimedFault
 }
 
-// Workspace is a caller.
+// Workspace is a workspace that sends requests, and its API key.
 type Workspace struct {
 	Name string
 	Key  string
 }
 
-// Flow is a stream of similar requests.
+// Flow is a series of requests of one kind with common parameters.
 type Flow struct {
 	Name string
 	Kind Kind
-	// Rank is sent as a header; empty leaves the rank to the key.
+	// Rank is sent as a header. If it is empty, the API key determines the rank.
 	Rank string
-	// Shares spreads the flow over workspaces by weight.
+	// Shares distributes the requests of the flow over workspaces by weight.
 	Shares []Share
 	// PromptBytes and MaxTokens are drawn uniformly for each request.
 	PromptBytes Range
 	MaxTokens   Range
-	// SharedPrefix is the part of the prompt that a workspace's requests share,
-	// in bytes.
+	// SharedPrefix is the length in bytes of the prompt prefix that all requests of
+	// a workspace share.
 	SharedPrefix int
 	Stream       bool
-	// Deadline is sent as a header and decides what counts as goodput; 0 means
-	// none.
+	// Deadline is sent as a header. A response after it does not count as goodput.
+	// 0 means no deadline.
 	Deadline time.Duration
 	// Service and Path are the target of orders and queries.
 	Service string
 	Path    string
-	// Repeat is the fraction of orders that are sent again with the same key.
-	Repeat float64
+	// RepeatFraction is the fraction of orders that are sent a second time with the
+	// same idempotency key.
+	RepeatFraction float64
 }
 
-// Share is a workspace's part of a flow.
+// Share is the weight of one workspace in a flow.
 type Share struct {
 	Workspace string
 	Weight    float64
 }
 
-// Range is an inclusive range of whole numbers.
+// Range is an inclusive range of integers.
 type Range struct {
 	Min int
 	Max int
 }
 
-// Phase is a part of the run with constant rates.
+// Phase is a section of the run with constant request rates.
 type Phase struct {
 	Name     string
 	Duration time.Duration
-	// Rates holds requests a second by flow.
+	// Rates holds the request rate of each flow.
 	Rates []Rate
-	// Warmup phases are left out of the summary of the whole run.
+	// Warmup phases are excluded from the summary of the whole run.
 	Warmup bool
 }
 
-// Rate is the rate of one flow in a phase, in requests a second.
+// Rate is the request rate of one flow in a phase.
 type Rate struct {
 	Flow      string
 	PerSecond float64
 }
 
-// TimedFault is a fault of a stand-in.
+// TimedFault is a fault that is injected into a stand-in at a given time.
 type TimedFault struct {
 	Name string
-	// At is the time from the start of the run.
+	// At is measured from the start of the run.
 	At    time.Duration
 	Fault fault.Fault
 }
 
-// Duration returns the length of all phases.
+// Duration returns the total duration of all phases.
 func (s *Scenario) Duration() time.Duration {
 	var d time.Duration
 	for _, p := range s.Phases {
@@ -126,7 +128,7 @@
 	return d
 }
 
-// Arrivals returns the expected number of requests.
+// Arrivals returns the expected number of requests, not counting repeated orders.
 func (s *Scenario) Arrivals() float64 {
 	n := 0.0
 	for _, p := range s.Phases {
--- a/cmd/internal/load/series.go
+++ b/cmd/internal/load/series.go
@@ -8,17 +8,21 @@
 )
 
 const (
-	// allRanks names the series of all ranks together.
+	// allRanks is the name of the series that covers all ranks.
 	allRanks = "all"
-	// baseSeconds is the time before a fault that its recovery is compared with.
-	baseSeconds = 5
-	// recoveryWindow smooths the goodput after a fault, in seconds.
-	recoveryWindow = 3
-	// recoveryFraction is the part of the goodput that counts as recovered.
+	// baselineSeconds is the length of the interval before a fault whose goodput is
+	// the baseline for recovery.
+	baselineSeconds = 5
+	// recoveryWindowSeconds is the length of the interval over which the goodput
+	// after a fault is averaged.
+	recoveryWindowSeconds = 3
+	// recoveryFraction is the fraction of the baseline goodput that counts as
+	// recovered.
 	recoveryFraction = 0.9
 )
 
-// seriesOf returns the series of all ranks together, then of each rank.
+// seriesOf returns the series of all ranks together, followed by one series for
+// each rank.
 func seriesOf(samples []sample, seconds float64) []Series {
 	byRank := map[string][]*sample{}
 	for i := range samples {
@@ -72,24 +76,25 @@
 	}
 }
 
-// recovery returns the seconds from a fault until the goodput over
-// recoveryWindow is back at recoveryFraction of that over baseSeconds before
-// it; -1 when it is not seen to come back.
-func recovery(all []Point, at float64) float64 {
+// recoverySeconds returns the number of seconds after a fault at which the goodput,
+// averaged over the next recoveryWindowSeconds, first reaches recoveryFraction of
+// the mean over the baselineSeconds before the fault. It returns -1 if that is not
+// observed, or if the run has less than baselineSeconds before the fault.
+func recoverySeconds(all []Point, at float64) float64 {
 	second := int(at)
-	if second < baseSeconds || second >= len(all) {
+	if second < baselineSeconds || second >= len(all) {
 		return -1
 	}
-	base := meanGood(all[second-baseSeconds : second])
-	for t := second; t+recoveryWindow <= len(all); t++ {
-		if meanGood(all[t:t+recoveryWindow]) >= recoveryFraction*base {
+	baseline := meanGoodTokens(all[second-baselineSeconds : second])
+	for t := second; t+recoveryWindowSeconds <= len(all); t++ {
+		if meanGoodTokens(all[t:t+recoveryWindowSeconds]) >= recoveryFraction*baseline {
 			return float64(t - second)
 		}
 	}
 	return -1
 }
 
-func meanGood(points []Point) float64 {
+func meanGoodTokens(points []Point) float64 {
 	sum := 0
 	for _, p := range points {
 		sum += p.GoodTokens
--- a/cmd/internal/load/summary.go
+++ b/cmd/internal/load/summary.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// defaultRank names requests that name no rank.
+	// defaultRank is the group name of requests without a rank header.
 	defaultRank = "default"
-	none        = "none"
-	// maxReasons bounds the distinct reasons kept in a Group.
-	maxReasons  = 20
-	otherReason = "other"
+	labelNone   = "none"
+	// maxDetails limits the number of distinct details kept in a Group; further
+	// ones are counted as labelOther.
+	maxDetails = 20
+	labelOther = "other"
 )
 
 // summarize returns the result of the first n arrivals.
@@ -33,20 +34,20 @@
 	r.addSummaries(result, samples)
 	result.Series = seriesOf(samples, result.Seconds)
 	for i := range result.Faults {
-		result.Faults[i].RecoverySeconds = recovery(result.Series[0].Points, result.Faults[i].AtSeconds)
+		result.Faults[i].RecoverySeconds = recoverySeconds(result.Series[0].Points, result.Faults[i].AtSeconds)
 	}
 	late := make([]time.Duration, 0, n)
 	for i := range samples {
 		late = append(late, samples[i].lateSend)
 	}
-	result.Generator = Generator{LateSend: distributionOf(late), MaxInFlight: int(r.maxFlown.Load())}
+	result.Generator = Generator{LateSend: distributionOf(late), MaxInFlight: int(r.maxInFlight.Load())}
 	return result
 }
 
-// addSummaries adds the summaries of each phase and of the whole run.
+// addSummaries adds the summary of each phase and of the whole run.
 func (r *runner) addSummaries(result *Result, samples []sample) {
 	var whole []*sample
-	var covered []window
+	var windows []window
 	start := time.Duration(0)
 	for i, p := range r.scenario.Phases {
 		var inPhase []*sample
@@ -63,44 +64,46 @@
 		})
 		if !p.Warmup {
 			whole = append(whole, inPhase...)
-			covered = append(covered, w)
+			windows = append(windows, w)
 		}
 	}
-	result.Whole = r.summary(whole, samples, covered)
+	result.Whole = r.summary(whole, samples, windows)
 }
 
-// window is a part of the run.
+// window is a time interval, measured from the start of the run.
 type window struct {
 	from time.Duration
 	to   time.Duration
 }
 
-// summary describes the samples chosen; goodput is taken from all samples.
-func (r *runner) summary(chosen []*sample, all []sample, covered []window) Summary {
+// summary describes the chosen samples. Only goodput is computed from all samples,
+// because tokens received within the windows may belong to requests that arrived
+// before them.
+func (r *runner) summary(chosen []*sample, all []sample, windows []window) Summary {
 	s := Summary{
 		Ranks:                make(map[string]Group),
 		Workspaces:           make(map[string]Group),
 		Flows:                make(map[string]Group),
-		BoundTokensPerSecond: r.scenario.bound(chosen),
+		BoundTokensPerSecond: r.scenario.throughputBound(chosen),
 	}
-	groups := newGrouping(covered)
+	groups := newGrouping(windows)
 	for _, x := range chosen {
 		groups.add(x)
 	}
 	for i := range all {
 		groups.addTokens(&all[i])
 	}
-	s.All = groups.all.group(covered)
+	s.All = groups.all.build(windows)
 	for name, b := range groups.ranks {
-		s.Ranks[name] = b.group(covered)
+		s.Ranks[name] = b.build(windows)
 	}
 	for name, b := range groups.workspaces {
-		s.Workspaces[name] = b.group(covered)
+		s.Workspaces[name] = b.build(windows)
 	}
 	for name, b := range groups.flows {
-		s.Flows[name] = b.group(covered)
+		s.Flows[name] = b.build(windows)
 	}
-	s.Jain = jain(s.Workspaces)
+	s.Jain = jainIndex(s.Workspaces)
 	return s
 }
 
@@ -111,8 +114,8 @@
 	return a.flow.Rank
 }
 
-// compareRepeats marks an order as wrong when its repeat was answered
-// otherwise.
+// compareRepeats marks a repeated order as Wrong if its response differs from the
+// first one.
 func (r *runner) compareRepeats(samples []sample) {
 	first := make(map[string]*sample)
 	for i := range samples {
@@ -129,7 +132,8 @@
 	}
 }
 
-// distributionOf summarizes times exactly.
+// distributionOf computes the exact distribution of times in microseconds, and
+// sorts them.
 func distributionOf(times []time.Duration) metrics.Distribution {
 	if len(times) == 0 {
 		return metrics.Distribution{}
@@ -152,7 +156,7 @@
 
 func statusName(status int) string {
 	if status == 0 {
-		return none
+		return labelNone
 	}
 	return strconv.Itoa(status)
 }
--- a/cmd/internal/load/text.go
+++ b/cmd/internal/load/text.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 )
 
-// WriteText prints a table with one line for each phase and rank.
+// WriteText writes a table with one line for each phase and rank, and the checks.
 func (r *Result) WriteText(out io.Writer) error {
 	var w strings.Builder
 	fmt.Fprintf(&w, "%-14s %-8s %8s %8s %9s %9s %9s %9s %9s\n",
@@ -41,10 +41,10 @@
 
 func writeGroup(w *strings.Builder, phase, rank string, g *Group) {
 	fmt.Fprintf(w, "%-14s %-8s %8d %8d %9.1f %9s %9s %9s %9s\n", phase, rank, g.Requests, g.InTime, g.GoodputTokensPerSecond,
-		micros(g.FirstToken.P50), micros(g.FirstToken.P95), micros(g.BetweenTokens.P95), micros(g.Total.P95))
+		formatMicros(g.FirstToken.P50), formatMicros(g.FirstToken.P95), formatMicros(g.BetweenTokens.P95), formatMicros(g.Total.P95))
 }
 
-// micros prints a number of microseconds.
-func micros(n int64) string {
+// formatMicros formats a number of microseconds as a duration.
+func formatMicros(n int64) string {
 	return time.Duration(n * int64(time.Microsecond)).Round(100 * time.Microsecond).String()
 }
--- a/cmd/internal/report/smoke_test.go
+++ b/cmd/internal/report/smoke_test.go
@@ -54,7 +54,7 @@
 
 func TestSmokeModels(t *testing.T) {
 	t.Parallel()
-	requireSound(t, runSmoke(t, func(f *load.Flow) bool { return f.Kind == load.Chat || f.Kind == load.Text }))
+	requireSound(t, runSmoke(t, func(f *load.Flow) bool { return f.Kind == load.Chat || f.Kind == load.Completion }))
 }
 
 // Orders, half of them sent again through the other instance, are recorded once.
