--- a/cmd/internal/report/plot.go
+++ b/cmd/internal/report/plot.go
@@ -18,11 +18,13 @@
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 	lineWidth  = vg.Length(1.5)
-	// legendSpace is the part of the X axis that is left free for the legend.
+	// legendSpace is the free space for the legend, as a fraction of the length of
+	// the X axis.
 	legendSpace = 0.12
 )
 
-// palette tells ranks apart, also for readers who do not see all colours.
+// palette holds the line colours. They can be distinguished with common kinds of
+// colour blindness.
 var palette = []color.Color{
 	color.RGBA{R: 0x33, G: 0x33, B: 0x33, A: 0xff},
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
@@ -31,49 +33,50 @@
 	color.RGBA{R: 0xcc, G: 0x79, B: 0xa7, A: 0xff},
 }
 
-var markColor = color.RGBA{R: 0xaa, G: 0xaa, B: 0xaa, A: 0xff}
+var markerColor = color.RGBA{R: 0xaa, G: 0xaa, B: 0xaa, A: 0xff}
 
-// figure is one plot over the time of a run.
-type figure struct {
+// chart is a plot over the duration of a run.
+type chart struct {
 	title string
 	unit  string
 	lines []line
-	// marks are the starts of phases and the faults, in seconds.
-	marks []float64
-	// level is drawn as a horizontal line when above 0.
-	level     float64
-	levelName string
+	// markers are the times of phase starts and faults in seconds.
+	markers []float64
+	// referenceLevel is drawn as a horizontal line if it is greater than 0.
+	referenceLevel float64
+	referenceName  string
 }
 
-// line is one line of a figure; values below 0 are left out.
+// line is one line of a chart, with one value per second. Negative values are not
+// drawn.
 type line struct {
 	name   string
 	values []float64
 }
 
-// missing is the value of a second without one.
-const missing = -1
+// noValue marks a second without a value.
+const noValue = -1
 
-// figures returns the plots of one result.
-func figures(r *load.Result) []figure {
-	return []figure{
+// charts returns the charts of one result.
+func charts(r *load.Result) []chart {
+	return []chart{
 		{
-			title: "Goodput by rank", unit: "tokens a second", marks: marks(r),
-			lines: byRank(r, func(p load.Point) float64 { return float64(p.GoodTokens) }),
-			level: r.Whole.BoundTokensPerSecond, levelName: "bound",
+			title: "Goodput by rank", unit: "tokens per second", markers: phaseAndFaultTimes(r),
+			lines:          linesByRank(r, func(p load.Point) float64 { return float64(p.GoodTokens) }),
+			referenceLevel: r.Whole.BoundTokensPerSecond, referenceName: "bound",
 		},
 		{
-			title: "First token, p95 by second of arrival", unit: "ms", marks: marks(r),
-			lines: byRank(r, firstToken),
+			title: "First token, p95 by second of arrival", unit: "ms", markers: phaseAndFaultTimes(r),
+			lines: linesByRank(r, firstTokenMillis),
 		},
 		{
-			title: "Requests by second of arrival", unit: "requests a second", marks: marks(r),
-			lines: byOutcome(r),
+			title: "Requests by second of arrival", unit: "requests per second", markers: phaseAndFaultTimes(r),
+			lines: linesByOutcome(r),
 		},
 	}
 }
 
-func marks(r *load.Result) []float64 {
+func phaseAndFaultTimes(r *load.Result) []float64 {
 	var out []float64
 	start := 0.0
 	for _, p := range r.Phases {
@@ -86,27 +89,27 @@
 	return out
 }
 
-// firstToken returns the time to the first token in milliseconds.
-func firstToken(p load.Point) float64 {
+// firstTokenMillis returns the p95 time to first token in milliseconds.
+func firstTokenMillis(p load.Point) float64 {
 	if p.FirstTokenP95 == 0 {
-		return missing
+		return noValue
 	}
 	return millis(p.FirstTokenP95)
 }
 
-// byRank returns one line for each rank that has a value above 0.
-func byRank(r *load.Result, value func(load.Point) float64) []line {
+// linesByRank returns one line for each rank that has a value greater than 0.
+func linesByRank(r *load.Result, value func(load.Point) float64) []line {
 	var out []line
 	for _, s := range r.Series {
 		l := line{name: s.Rank, values: values(s.Points, value)}
-		if highestOf(l.values) > 0 {
+		if maxOf(l.values) > 0 {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-func byOutcome(r *load.Result) []line {
+func linesByOutcome(r *load.Result) []line {
 	if len(r.Series) == 0 {
 		return nil
 	}
@@ -127,17 +130,17 @@
 	return out
 }
 
-// image draws the figure as a PNG in a data URL.
-func (f figure) image() (template.URL, error) {
+// render draws the chart and returns it as a PNG data URL.
+func (c chart) render() (template.URL, error) {
 	p := plot.New()
-	p.Title.Text = f.title
+	p.Title.Text = c.title
 	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = f.unit
+	p.Y.Label.Text = c.unit
 	p.Y.Min = 0
 	p.Legend.Top = true
-	highest, length := f.level, 0
-	for i, l := range f.lines {
-		drawn, err := plotter.NewLine(points(l.values))
+	highest, length := c.referenceLevel, 0
+	for i, l := range c.lines {
+		drawn, err := plotter.NewLine(plotPoints(l.values))
 		if err != nil {
 			return "", trace.Wrap(err)
 		}
@@ -145,49 +148,49 @@
 		drawn.Width = lineWidth
 		p.Add(drawn)
 		p.Legend.Add(l.name, drawn)
-		highest = max(highest, highestOf(l.values))
+		highest = max(highest, maxOf(l.values))
 		length = max(length, len(l.values))
 	}
 	p.X.Max = float64(length) * (1 + legendSpace)
-	if err := f.addMarks(p, highest); err != nil {
+	if err := c.addMarkers(p, highest); err != nil {
 		return "", trace.Wrap(err)
 	}
-	return encode(p)
+	return encodePNG(p)
 }
 
-// addMarks draws the vertical marks and the level.
-func (f figure) addMarks(p *plot.Plot, highest float64) error {
-	for _, at := range f.marks {
-		mark, err := dashed(plotter.XYs{{X: at, Y: 0}, {X: at, Y: highest}})
+// addMarkers draws the vertical markers and the reference level.
+func (c chart) addMarkers(p *plot.Plot, highest float64) error {
+	for _, at := range c.markers {
+		marker, err := dashedLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: highest}})
 		if err != nil {
 			return err
 		}
-		p.Add(mark)
+		p.Add(marker)
 	}
-	if f.level <= 0 || len(f.lines) == 0 {
+	if c.referenceLevel <= 0 || len(c.lines) == 0 {
 		return nil
 	}
-	end := float64(len(f.lines[0].values))
-	level, err := dashed(plotter.XYs{{X: 0, Y: f.level}, {X: end, Y: f.level}})
+	end := float64(len(c.lines[0].values))
+	reference, err := dashedLine(plotter.XYs{{X: 0, Y: c.referenceLevel}, {X: end, Y: c.referenceLevel}})
 	if err != nil {
 		return err
 	}
-	p.Add(level)
-	p.Legend.Add(f.levelName, level)
+	p.Add(reference)
+	p.Legend.Add(c.referenceName, reference)
 	return nil
 }
 
-func dashed(xys plotter.XYs) (*plotter.Line, error) {
+func dashedLine(xys plotter.XYs) (*plotter.Line, error) {
 	l, err := plotter.NewLine(xys)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	l.Color = markColor
+	l.Color = markerColor
 	l.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
 	return l, nil
 }
 
-func points(values []float64) plotter.XYs {
+func plotPoints(values []float64) plotter.XYs {
 	var out plotter.XYs
 	for i, v := range values {
 		if v >= 0 {
@@ -197,7 +200,7 @@
 	return out
 }
 
-func highestOf(values []float64) float64 {
+func maxOf(values []float64) float64 {
 	highest := 0.0
 	for _, v := range values {
 		highest = max(highest, v)
@@ -205,7 +208,7 @@
 	return highest
 }
 
-func encode(p *plot.Plot) (template.URL, error) {
+func encodePNG(p *plot.Plot) (template.URL, error) {
 	writer, err := p.WriterTo(plotWidth, plotHeight, "png")
 	if err != nil {
 		return "", trace.Wrap(err)
--- a/cmd/internal/report/report.go
+++ b/cmd/internal/report/report.go
@@ -1,4 +1,4 @@
-// Package report turns results of load runs into an HTML page with plots and
+// Package report renders the results of load runs as an HTML page with plots, and
 // compares two results.
 package report
 
@@ -19,21 +19,21 @@
 	"masticbank.example/node/metrics"
 )
 
-// FileName is the name of the page that Write makes.
+// FileName is the name of the HTML page that Write creates.
 const FileName = "report.html"
 
 //go:embed report.tmpl
-var pageText string
+var pageSource string
 
-var page = template.Must(template.New("report").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"ms":      millis,
-	"ofBound": ofBound,
-	"inTime":  inTime,
+	"ofBound": percentOfBound,
+	"inTime":  percentInTime,
 	"outcome": func(g load.Group, o string) int { return g.Outcomes[load.Outcome(o)] },
-	"times":   times,
-}).Parse(pageText))
+	"times":   formatPercentiles,
+}).Parse(pageSource))
 
-// pageData is the content of the page.
+// pageData is the template data of the page.
 type pageData struct {
 	Results     []resultData
 	Comparisons []Comparison
@@ -45,7 +45,7 @@
 	Tables []table
 }
 
-// table shows the groups of one summary.
+// table lists the groups of one summary.
 type table struct {
 	Title string
 	Rows  []tableRow
@@ -56,8 +56,8 @@
 	load.Group
 }
 
-// Write writes the page and one JSON file for each result into dir, which is
-// created when missing. All results but the first are compared with it.
+// Write creates dir if necessary, and writes into it the page and one JSON file for
+// each result. Each further result is compared with the first one.
 func Write(dir string, results ...*load.Result) error {
 	if len(results) == 0 {
 		return trace.BadParameter("no results to report")
@@ -67,15 +67,15 @@
 	}
 	var data pageData
 	for i, r := range results {
-		shown, err := show(r)
+		resultPage, err := newResultData(r)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		data.Results = append(data.Results, shown)
+		data.Results = append(data.Results, resultPage)
 		if i > 0 {
 			data.Comparisons = append(data.Comparisons, Compare(results[0], r))
 		}
-		name := fmt.Sprintf("%d-%s.json", i+1, fileSafe(r.Name))
+		name := fmt.Sprintf("%d-%s.json", i+1, sanitizeFileName(r.Name))
 		if err := r.WriteFile(filepath.Join(dir, name)); err != nil {
 			return trace.Wrap(err)
 		}
@@ -83,8 +83,9 @@
 	return writePage(filepath.Join(dir, FileName), data)
 }
 
-// fileSafe replaces what does not belong in a file name.
-func fileSafe(name string) string {
+// sanitizeFileName replaces characters that are unsafe in file names by
+// underscores.
+func sanitizeFileName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsLetter(r) || unicode.IsDigit(r) || r == '.' || r == '-' {
 			return r
@@ -98,34 +99,34 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if err := page.Execute(file, data); err != nil {
+	if err := pageTemplate.Execute(file, data); err != nil {
 		_ = file.Close()
 		return trace.Wrap(err)
 	}
 	return trace.ConvertSystemError(file.Close())
 }
 
-func show(r *load.Result) (resultData, error) {
+func newResultData(r *load.Result) (resultData, error) {
 	out := resultData{Result: r}
-	for _, f := range figures(r) {
-		image, err := f.image()
+	for _, c := range charts(r) {
+		image, err := c.render()
 		if err != nil {
-			return out, trace.Wrap(err, "drawing %q", f.title)
+			return out, trace.Wrap(err, "rendering chart %q", c.title)
 		}
 		out.Images = append(out.Images, image)
 	}
 	out.Tables = append(out.Tables,
-		tableOf("By rank", r.Whole.Ranks), tableOf("By workspace", r.Whole.Workspaces),
-		tableOf("By flow", r.Whole.Flows))
+		newTable("By rank", r.Whole.Ranks), newTable("By workspace", r.Whole.Workspaces),
+		newTable("By flow", r.Whole.Flows))
 	for _, p := range r.Phases {
 		out.Tables = append(out.Tables,
-			tableOf("Phase "+p.Name+", by rank", p.Summary.Ranks),
-			tableOf("Phase "+p.Name+", by flow", p.Summary.Flows))
+			newTable("Phase "+p.Name+", by rank", p.Summary.Ranks),
+			newTable("Phase "+p.Name+", by flow", p.Summary.Flows))
 	}
 	return out, nil
 }
 
-func tableOf(title string, groups map[string]load.Group) table {
+func newTable(title string, groups map[string]load.Group) table {
 	t := table{Title: title}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		t.Rows = append(t.Rows, tableRow{Name: name, Group: groups[name]})
@@ -133,8 +134,8 @@
 	return t
 }
 
-// times shows a distribution in milliseconds as p50 / p95 / p99.
-func times(d metrics.Distribution) string {
+// formatPercentiles formats p50 / p95 / p99 of a distribution in milliseconds.
+func formatPercentiles(d metrics.Distribution) string {
 	if d.Count == 0 {
 		return "-"
 	}
--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -19,7 +19,7 @@
 	"masticbank.example/node/metrics"
 )
 
-func resultOf(name string, p95 int64) *load.Result {
+func newTestResult(name string, p95 int64) *load.Result {
 	group := load.Group{
 		Requests: 10, InTime: 8, GoodputTokensPerSecond: 40,
 		Outcomes:   map[load.Outcome]int{load.Completed: 8, load.Wrong: 2},
@@ -42,12 +42,12 @@
 	}
 }
 
-// The page holds every result, its plots and its alarms, and the JSON files
-// hold all figures.
+// The page contains every result with its plots and defects, and the JSON files
+// contain the complete results.
 func TestWrite(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	first, second := resultOf("before <b>", 2000), resultOf("after/all", 1000)
+	first, second := newTestResult("before <b>", 2000), newTestResult("after/all", 1000)
 	require.NoError(t, Write(dir, first, second))
 	data, err := os.ReadFile(filepath.Join(dir, FileName))
 	require.NoError(t, err)
@@ -60,7 +60,7 @@
 		require.Contains(t, text, want)
 	}
 	images := regexp.MustCompile(`data:image/png;base64,([^"]+)"`).FindAllStringSubmatch(text, -1)
-	require.Len(t, images, 2*len(figures(first)))
+	require.Len(t, images, 2*len(charts(first)))
 	for _, encoded := range images {
 		raw, err := base64.StdEncoding.DecodeString(strings.ReplaceAll(encoded[1], "&#43;", "+"))
 		require.NoError(t, err)
@@ -73,8 +73,8 @@
 	require.Equal(t, second, read)
 }
 
-// hasColor looks at the inside of a plot, left of the legend, where there is no
-// text either.
+// hasColor searches the part of the plot area that is left of the legend and
+// contains no text.
 func hasColor(m image.Image, want color.Color) bool {
 	size := m.Bounds()
 	r, g, b, _ := want.RGBA()
@@ -89,7 +89,7 @@
 }
 
 func TestCompare(t *testing.T) {
-	c := Compare(resultOf("a", 2000), resultOf("b", 3000))
+	c := Compare(newTestResult("a", 2000), newTestResult("b", 3000))
 	var text bytes.Buffer
 	require.NoError(t, c.WriteText(&text))
 	require.Regexp(t, `steady / urgent +first token p95 +2 +3 +ms +\+50.0 %`, text.String())
--- a/cmd/internal/report/smoke_test.go
+++ b/cmd/internal/report/smoke_test.go
@@ -13,8 +13,8 @@
 	"masticbank.example/standin/fleet"
 )
 
-// runSmoke runs the chosen flows of the committed short scenario, for two
-// seconds, against stand-ins and two instances.
+// runSmoke runs the chosen flows of the smoke scenario for two seconds against
+// stand-ins and two instances.
 func runSmoke(t *testing.T, choose func(*load.Flow) bool) *load.Result {
 	t.Helper()
 	cluster, err := local.Start(local.Options{
@@ -42,9 +42,9 @@
 	return result
 }
 
-// requireSound fails unless every answer is right or refused as not run, and
-// agrees with what the stand-ins saw.
-func requireSound(t *testing.T, result *load.Result) {
+// requireNoDefects fails unless every response is correct or refused as not run,
+// and agrees with the records of the stand-ins.
+func requireNoDefects(t *testing.T, result *load.Result) {
 	t.Helper()
 	all := result.Whole.All
 	require.Empty(t, result.Defects(), "%+v", all.Details)
@@ -54,13 +54,14 @@
 
 func TestSmokeModels(t *testing.T) {
 	t.Parallel()
-	requireSound(t, runSmoke(t, func(f *load.Flow) bool { return f.Kind == load.Chat || f.Kind == load.Completion }))
+	requireNoDefects(t, runSmoke(t, func(f *load.Flow) bool { return f.Kind == load.Chat || f.Kind == load.Completion }))
 }
 
-// Orders, half of them sent again through the other instance, are recorded once.
+// Orders are recorded once, although half of them are sent a second time through
+// the other instance.
 func TestSmokeOrders(t *testing.T) {
 	t.Parallel()
 	result := runSmoke(t, func(f *load.Flow) bool { return f.Kind == load.Order || f.Kind == load.Query })
-	requireSound(t, result)
+	requireNoDefects(t, result)
 	require.Positive(t, result.Checks.OrdersRecorded)
 }
