--- a/cmd/internal/trial/cluster.go
+++ b/cmd/internal/trial/cluster.go
@@ -1,6 +1,6 @@
-// Package trial measures how entry instances agree: it drives instances that
-// run already, and judges what they and the stand-ins say. It starts no
-// process.
+// Package trial runs measurements against entry instances that are already running,
+// and compares the responses to clients with the records of the stand-ins. It
+// starts no process.
 package trial
 
 import (
@@ -20,26 +20,28 @@
 )
 
 const (
-	// statusPeriod is the time between two looks at one instance.
-	statusPeriod = 5 * time.Millisecond
-	callTimeout  = 5 * time.Second
+	// statusPollInterval is the interval between two status requests to one
+	// instance.
+	statusPollInterval = 5 * time.Millisecond
+	statusTimeout      = 5 * time.Second
 )
 
 // Instance holds the addresses of one entry instance.
 type Instance struct {
-	// Caller is the address for callers, host:port.
+	// Caller is the address for client requests, host:port.
 	Caller string
 	// Admin is the base URL of the administration API.
 	Admin string
 }
 
-// Cluster is the set of instances under measurement, and the stand-ins.
+// Cluster holds the addresses and keys of the measured instances and of the
+// stand-ins.
 type Cluster struct {
 	Instances []Instance
 	AdminKey  string
 	// Key is the API key of a workspace.
 	Key string
-	// Control is the address of the stand-ins' control, host:port.
+	// Control is the control address of the stand-ins, host:port.
 	Control string
 }
 
@@ -47,15 +49,16 @@
 	return adminclient.New(c.Instances[i].Admin, c.AdminKey)
 }
 
-// status returns the state of instance i.
+// status returns the status of instance i.
 func (c *Cluster) status(ctx context.Context, i int) (*admin.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	s, err := c.admin(i).Status(ctx)
 	return s, trace.Wrap(err)
 }
 
-// control calls the stand-ins' control address.
+// control sends a request to the control address of the stand-ins and decodes the
+// response.
 func (c *Cluster) control(ctx context.Context, method, path string, in, out any) error {
 	data, err := json.Marshal(in)
 	if err != nil {
@@ -77,41 +80,43 @@
 	return trace.Wrap(json.NewDecoder(resp.Body).Decode(out))
 }
 
-// watcher polls the revision of every instance and counts reversions.
-type watcher struct {
+// revisionWatcher polls the configuration revision of every instance and counts
+// reversions, in which an instance returns to an earlier revision.
+type revisionWatcher struct {
 	cluster *Cluster
 	mu      sync.Mutex
 	changed chan struct{}
-	// revision holds the last revision seen of each instance.
-	revision   []uint64
-	since      []time.Time
+	// revisions holds the last observed revision of each instance, reachedAt the
+	// time of the first poll that returned it.
+	revisions  []uint64
+	reachedAt  []time.Time
 	polls      int
 	reversions int
-	group      sync.WaitGroup
+	pollers    sync.WaitGroup
 	cancel     context.CancelFunc
 }
 
-// watch starts to poll; stop ends it.
-func (c *Cluster) watch(ctx context.Context) *watcher {
+// watch starts a revisionWatcher, which runs until its stop method is called.
+func (c *Cluster) watch(ctx context.Context) *revisionWatcher {
 	ctx, cancel := context.WithCancel(ctx)
 	n := len(c.Instances)
-	w := &watcher{
+	w := &revisionWatcher{
 		cluster: c, cancel: cancel, changed: make(chan struct{}),
-		revision: make([]uint64, n), since: make([]time.Time, n),
+		revisions: make([]uint64, n), reachedAt: make([]time.Time, n),
 	}
 	for i := range c.Instances {
-		w.group.Go(func() { w.poll(ctx, i) })
+		w.pollers.Go(func() { w.poll(ctx, i) })
 	}
 	return w
 }
 
-func (w *watcher) poll(ctx context.Context, i int) {
-	ticker := time.NewTicker(statusPeriod)
+func (w *revisionWatcher) poll(ctx context.Context, i int) {
+	ticker := time.NewTicker(statusPollInterval)
 	defer ticker.Stop()
 	client := w.cluster.admin(i)
 	for {
 		if s, err := client.Status(ctx); err == nil {
-			w.seen(i, s.Revision, time.Now())
+			w.observe(i, s.Revision, time.Now())
 		}
 		select {
 		case <-ctx.Done():
@@ -121,43 +126,43 @@
 	}
 }
 
-func (w *watcher) seen(i int, revision uint64, now time.Time) {
+func (w *revisionWatcher) observe(i int, revision uint64, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.polls++
-	if revision < w.revision[i] {
+	if revision < w.revisions[i] {
 		w.reversions++
 	}
-	if revision == w.revision[i] {
+	if revision == w.revisions[i] {
 		return
 	}
-	w.revision[i], w.since[i] = revision, now
+	w.revisions[i], w.reachedAt[i] = revision, now
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// reached waits until every instance has the revision and returns the time at
-// which the last one was seen with it.
-func (w *watcher) reached(ctx context.Context, revision uint64) (time.Time, error) {
+// waitForRevision waits until every instance has at least the given revision. It
+// returns the time at which the last instance was observed to change its revision.
+func (w *revisionWatcher) waitForRevision(ctx context.Context, revision uint64) (time.Time, error) {
 	for {
 		w.mu.Lock()
 		changed := w.changed
-		lowest := slices.Min(w.revision)
-		last := slices.MaxFunc(w.since, time.Time.Compare)
+		lowest := slices.Min(w.revisions)
+		last := slices.MaxFunc(w.reachedAt, time.Time.Compare)
 		w.mu.Unlock()
 		if lowest >= revision {
 			return last, nil
 		}
 		select {
 		case <-ctx.Done():
-			return time.Time{}, trace.Wrap(ctx.Err(), "revision %d is not in force everywhere", revision)
+			return time.Time{}, trace.Wrap(ctx.Err(), "revision %d is not in force on all instances", revision)
 		case <-changed:
 		}
 	}
 }
 
-// stop ends the polls.
-func (w *watcher) stop() {
+// stop ends polling and waits for the pollers.
+func (w *revisionWatcher) stop() {
 	w.cancel()
-	w.group.Wait()
+	w.pollers.Wait()
 }
--- a/cmd/internal/trial/load.go
+++ b/cmd/internal/trial/load.go
@@ -18,12 +18,14 @@
 )
 
 const (
-	// balancerPeriod is the time between two readiness checks of an instance.
-	balancerPeriod = 100 * time.Millisecond
-	checkTimeout   = time.Second
-	answerTimeout  = 40 * time.Second
-	// refusedPause is the time a caller waits after a refusal.
-	refusedPause = 50 * time.Millisecond
+	// readinessInterval is the interval between two readiness checks of an
+	// instance.
+	readinessInterval = 100 * time.Millisecond
+	readinessTimeout  = time.Second
+	responseTimeout   = 40 * time.Second
+	// refusalBackoff is the time that a client waits after any result with a code,
+	// and while no instance is ready.
+	refusalBackoff = 50 * time.Millisecond
 )
 
 // LoadOptions configures Load.
@@ -31,34 +33,38 @@
 	Model  string
 	Layers int
 	Tokens int
-	// Callers is the number of callers; each has one request in progress.
+	// Callers is the number of clients. Each has one request in progress.
 	Callers int
-	// KeepAlive lets requests share connections. Without it each has its own, as
-	// behind a balancer that keeps none.
+	// KeepAlive lets requests share connections. Without it each request opens its
+	// own connection, as behind a load balancer without connection reuse.
 	KeepAlive bool
 }
 
-// LoadResult counts the requests of Load by how they ended.
+// LoadResult counts the requests of Load by result.
 type LoadResult struct {
-	// Completed counts whole answers with the expected text.
+	// Completed counts complete responses with the expected text.
 	Completed int
-	// Refused counts answers that say not_run, by code in Codes.
+	// Refused counts error responses with the execution not_run; Codes has their
+	// codes.
 	Refused int
-	// Cut counts streams that began and ended without their end mark.
+	// Cut counts streams that started and ended without the [DONE] event.
 	Cut int
-	// Lost counts requests sent without any answer.
+	// Lost counts requests that were sent and received no response, or an error
+	// response that was cut off.
 	Lost int
-	// Failed counts errors told as such that do not say not_run.
+	// Failed counts other errors, in a response or in a stream, that do not say
+	// not_run.
 	Failed int
-	// Wrong counts whole answers with another text.
+	// Wrong counts complete responses with a text other than the expected one.
 	Wrong int
-	// Unconnected counts connections refused, upon which the balancer takes
+	// Unconnected counts failed connection attempts. A load balancer would choose
 	// another instance.
 	Unconnected int
 	Codes       map[string]int
 }
 
-// Defects names what a rolling replacement must not cause and did.
+// Defects returns one line for each kind of error that a rolling replacement must
+// not cause.
 func (r *LoadResult) Defects() []string {
 	var out []string
 	for _, x := range []struct {
@@ -66,36 +72,38 @@
 		what string
 	}{{r.Cut, "cut"}, {r.Lost, "lost"}, {r.Failed, "failed"}, {r.Wrong, "wrong"}} {
 		if x.n > 0 {
-			out = append(out, fmt.Sprintf("%d answers %s", x.n, x.what))
+			out = append(out, fmt.Sprintf("%d requests %s", x.n, x.what))
 		}
 	}
 	return out
 }
 
-// balancer names ready instances in turn, as the platform's balancer does.
+// balancer selects ready instances round-robin, as the load balancer of the
+// platform does.
 type balancer struct {
 	instances []Instance
 	ready     []atomic.Bool
 	next      atomic.Uint64
 }
 
-// startBalancer checks readiness until ctx ends.
+// startBalancer checks the readiness of all instances once, and then periodically
+// until ctx ends.
 func startBalancer(ctx context.Context, group *sync.WaitGroup, instances []Instance) *balancer {
 	b := &balancer{instances: instances, ready: make([]atomic.Bool, len(instances))}
-	client := &http.Client{Timeout: checkTimeout}
+	client := &http.Client{Timeout: readinessTimeout}
 	var first sync.WaitGroup
 	for i := range instances {
 		first.Add(1)
 		group.Go(func() {
-			ticker := time.NewTicker(balancerPeriod)
+			ticker := time.NewTicker(readinessInterval)
 			defer ticker.Stop()
-			b.check(ctx, client, i)
+			b.checkReady(ctx, client, i)
 			first.Done()
 			for ctx.Err() == nil {
 				select {
 				case <-ctx.Done():
 				case <-ticker.C:
-					b.check(ctx, client, i)
+					b.checkReady(ctx, client, i)
 				}
 			}
 		})
@@ -104,7 +112,7 @@
 	return b
 }
 
-func (b *balancer) check(ctx context.Context, client *http.Client, i int) {
+func (b *balancer) checkReady(ctx context.Context, client *http.Client, i int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, b.instances[i].Admin+"/readyz", http.NoBody)
 	if err != nil {
 		return
@@ -118,7 +126,7 @@
 	b.ready[i].Store(resp.StatusCode == http.StatusOK)
 }
 
-// pick returns the next ready instance, or "" if there is none.
+// pick returns the address of the next ready instance, or "" if none is ready.
 func (b *balancer) pick() string {
 	start := b.next.Add(1)
 	for k := range uint64(len(b.instances)) {
@@ -136,64 +144,64 @@
 	balancer *balancer
 	client   *http.Client
 	mu       sync.Mutex
-	out      *LoadResult
+	result   *LoadResult
 }
 
-// Load sends streamed requests through ready instances until ctx ends, lets
-// those in progress end, and returns how they ended.
+// Load sends streaming requests through ready instances until ctx ends, waits for
+// those in progress, and returns their results.
 func (c *Cluster) Load(ctx context.Context, o LoadOptions) *LoadResult {
-	balancing, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	var checks, callers sync.WaitGroup
+	balancerCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	var readinessChecks, clients sync.WaitGroup
 	r := &loadRun{
-		cluster: c, options: o, out: &LoadResult{Codes: make(map[string]int)},
-		balancer: startBalancer(balancing, &checks, c.Instances),
-		client: &http.Client{Timeout: answerTimeout, Transport: &http.Transport{
+		cluster: c, options: o, result: &LoadResult{Codes: make(map[string]int)},
+		balancer: startBalancer(balancerCtx, &readinessChecks, c.Instances),
+		client: &http.Client{Timeout: responseTimeout, Transport: &http.Transport{
 			DisableKeepAlives: !o.KeepAlive, MaxIdleConnsPerHost: o.Callers,
 		}},
 	}
 	for n := range o.Callers {
-		callers.Go(func() {
+		clients.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
-				r.request(ctx, fmt.Sprintf("caller %d asks %d", n, k))
+				r.sendNext(ctx, fmt.Sprintf("caller %d asks %d", n, k))
 			}
 		})
 	}
-	callers.Wait()
+	clients.Wait()
 	cancel()
-	checks.Wait()
-	return r.out
+	readinessChecks.Wait()
+	return r.result
 }
 
-func (r *loadRun) request(ctx context.Context, prompt string) {
+func (r *loadRun) sendNext(ctx context.Context, prompt string) {
 	target := r.balancer.pick()
 	if target == "" {
-		pause(ctx, refusedPause)
+		sleep(ctx, refusalBackoff)
 		return
 	}
-	ended, code := r.send(target, prompt)
+	counterOf, code := r.send(target, prompt)
 	r.mu.Lock()
-	*ended(r.out)++
+	*counterOf(r.result)++
 	if code != "" {
-		r.out.Codes[code]++
+		r.result.Codes[code]++
 	}
 	r.mu.Unlock()
 	if code != "" {
-		pause(ctx, refusedPause)
+		sleep(ctx, refusalBackoff)
 	}
 }
 
-// counter names the field of a result that a request counts in.
-type counter func(*LoadResult) *int
+// resultCounter returns the counter of a result that a request increments.
+type resultCounter func(*LoadResult) *int
 
 func completed(r *LoadResult) *int   { return &r.Completed }
 func refused(r *LoadResult) *int     { return &r.Refused }
-func cut(r *LoadResult) *int         { return &r.Cut }
+func truncated(r *LoadResult) *int   { return &r.Cut }
 func lost(r *LoadResult) *int        { return &r.Lost }
 func failed(r *LoadResult) *int      { return &r.Failed }
 func wrong(r *LoadResult) *int       { return &r.Wrong }
 func unconnected(r *LoadResult) *int { return &r.Unconnected }
 
-func (r *loadRun) send(target, prompt string) (ended counter, code string) {
+func (r *loadRun) send(target, prompt string) (counter resultCounter, code string) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, r.options.Model, prompt, r.options.Tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+target+"/v1/completions", strings.NewReader(body))
 	if err != nil {
@@ -202,32 +210,33 @@
 	req.Header.Set("Authorization", "Bearer "+r.cluster.Key)
 	resp, err := r.client.Do(req)
 	if err != nil {
-		if connectionError(err) == toldUnsent {
-			return unconnected, toldUnsent
+		if classifyConnectionError(err) == outcomeNotConnected {
+			return unconnected, outcomeNotConnected
 		}
 		return lost, err.Error()
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return readRefusal(resp)
+		return readErrorResponse(resp)
 	}
 	return r.readStream(resp.Body, prompt)
 }
 
-func readRefusal(resp *http.Response) (ended counter, code string) {
+func readErrorResponse(resp *http.Response) (counter resultCounter, code string) {
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return lost, err.Error()
 	}
 	execution := resp.Header.Get("X-Masticbank-Execution")
-	if execution == toldNotRun {
-		return refused, codeOf(data)
+	if execution == outcomeNotRun {
+		return refused, errorCode(data)
 	}
-	return failed, execution + " " + codeOf(data)
+	return failed, execution + " " + errorCode(data)
 }
 
-// readStream reads the events up to the end mark and compares the text.
-func (r *loadRun) readStream(body io.Reader, prompt string) (ended counter, code string) {
+// readStream reads the events up to [DONE] and compares the text with the expected
+// one.
+func (r *loadRun) readStream(body io.Reader, prompt string) (counter resultCounter, code string) {
 	var text strings.Builder
 	scanner := bufio.NewScanner(body)
 	for scanner.Scan() {
@@ -239,13 +248,13 @@
 				return wrong, "wrong text"
 			}
 			return completed, ""
-		case codeOf([]byte(data)) != "":
-			return failed, "in stream: " + codeOf([]byte(data))
+		case errorCode([]byte(data)) != "":
+			return failed, "in stream: " + errorCode([]byte(data))
 		default:
-			text.WriteString(textOf([]byte(data)))
+			text.WriteString(eventText([]byte(data)))
 		}
 	}
-	return cut, "cut"
+	return truncated, "cut"
 }
 
 func (r *loadRun) expected(prompt string) string {
@@ -256,8 +265,8 @@
 	return b.String()
 }
 
-// answer is an event of a stream or an error.
-type answer struct {
+// responseBody is an event of a stream or an error.
+type responseBody struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -266,28 +275,29 @@
 	} `json:"error"`
 }
 
-// codeOf returns the code of an error body, or "".
-func codeOf(body []byte) string {
-	var a answer
+// errorCode returns the code in an error body, or "" if there is none.
+func errorCode(body []byte) string {
+	var a responseBody
 	if json.Unmarshal(body, &a) != nil {
 		return ""
 	}
 	return a.Error.Code
 }
 
-func textOf(body []byte) string {
-	var a answer
+func eventText(body []byte) string {
+	var a responseBody
 	if json.Unmarshal(body, &a) != nil || len(a.Choices) == 0 {
 		return ""
 	}
 	return a.Choices[0].Text
 }
 
-// connectionError tells whether a connection came about.
-func connectionError(err error) string {
+// classifyConnectionError returns outcomeNotConnected if no connection was
+// established, otherwise outcomeNoResponse.
+func classifyConnectionError(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return toldUnsent
+		return outcomeNotConnected
 	}
-	return toldNothing
+	return outcomeNoResponse
 }
--- a/cmd/internal/trial/orders.go
+++ b/cmd/internal/trial/orders.go
@@ -18,65 +18,69 @@
 
 const (
 	orderTimeout = 15 * time.Second
-	// maxAttempts bounds the repeats of one caller.
+	// maxAttempts limits the attempts of one client for one key.
 	maxAttempts = 6
-	// repeatPause is the time between two attempts of one caller.
-	repeatPause = 200 * time.Millisecond
-	// settle is the time after the last answer for calls still in the network
-	// or in paused instances to end, above the dispatch window.
-	settle = 6 * time.Second
+	// retryInterval is the time between two attempts of one client.
+	retryInterval = 200 * time.Millisecond
+	// settleTime is the wait after the last response, so that calls that are still
+	// in the network or in paused instances can end. It is longer than the dispatch
+	// window.
+	settleTime = 6 * time.Second
 )
 
 // OrderOptions configures Orders.
 type OrderOptions struct {
-	// Path is the path of the service's orders.
+	// Path is the request path for orders.
 	Path string
-	// Callers is the number of concurrent callers.
+	// Callers is the number of concurrent clients.
 	Callers int
-	// Lasting is the time in which callers begin new keys.
+	// Lasting is the duration in which clients start orders with new keys.
 	Lasting time.Duration
 	Seed    uint64
 }
 
-// Orders is the result of Orders.
-type Orders struct {
+// OrdersResult is the result of Orders.
+type OrdersResult struct {
 	Keys, Attempts int
-	// Answers counts the attempts by what their caller was told.
+	// Answers counts the attempts by outcome.
 	Answers map[string]int
-	// Recorded counts the keys that the service recorded, Repeated those that it
+	// Recorded counts the keys that the service recorded, Repeated those among them
 	// recorded more than once.
 	Recorded, Repeated int
-	// FalselyNotRun counts the keys recorded although the last that each caller
-	// was told is not_run.
+	// FalselyNotRun counts the recorded keys for which the last response to each
+	// client was not_run.
 	FalselyNotRun int
-	// NotRun counts the keys whose callers were all told not_run last.
+	// NotRun counts the keys for which the last response to each client was
+	// not_run.
 	NotRun int
-	// LostDone counts the keys answered as done and not recorded.
+	// LostDone counts the keys that were reported as done but not recorded.
 	LostDone int
-	// Different counts the keys that were answered as done in two ways, Foreign
-	// those answered with what does not name the key.
+	// Different counts the keys with more than one distinct response that reports
+	// them as done. Foreign counts such responses that do not contain the key.
 	Different, Foreign int
 	Examples           []string
 }
 
-// Defects names what must never happen and did.
-func (o *Orders) Defects() []string {
+// Defects returns one line for each kind of error that must never occur and was
+// observed.
+func (r *OrdersResult) Defects() []string {
 	return defects(map[string]int{
-		"orders recorded twice":                 o.Repeated,
-		"orders recorded and told not run":      o.FalselyNotRun,
-		"orders answered as done, not recorded": o.LostDone,
-		"orders answered in two ways":           o.Different,
-		"orders answered as other orders":       o.Foreign,
+		"orders recorded more than once":            r.Repeated,
+		"orders reported as not run but recorded":   r.FalselyNotRun,
+		"orders reported as done but not recorded":  r.LostDone,
+		"orders with different responses":           r.Different,
+		"orders with the response to another order": r.Foreign,
 	})
 }
 
-// orderKey is what all callers of one key were told.
-type orderKey struct {
+// keyOutcomes holds the outcomes of one idempotency key.
+type keyOutcomes struct {
 	key string
-	// last holds the last answer to each caller.
-	last []string
-	// done holds each body answered as done, and how and when it came last.
-	done map[string]string
+	// lastOutcomes holds the outcome of the last attempt of each client.
+	lastOutcomes []string
+	// doneBodies maps each distinct body of a response that reports the order as
+	// done to the outcome and the time of the latest such response.
+	doneBodies map[string]string
 }
 
 type orderRun struct {
@@ -84,31 +88,31 @@
 	options OrderOptions
 	client  *http.Client
 	mu      sync.Mutex
-	keys    []*orderKey
-	out     *Orders
+	keys    []*keyOutcomes
+	result  *OrdersResult
 }
 
-// Orders sends orders, repeats their keys through other instances, and compares
-// what callers were told with what the service recorded. A key has one caller
-// who repeats until it is told done or not_run, or, each third one, three
-// callers at once.
-func (c *Cluster) Orders(ctx context.Context, o OrderOptions) (*Orders, error) {
+// Orders sends orders, repeats their keys through other instances, and compares the
+// outcomes with the records of the service. A key is sent by one client, which
+// repeats it until the outcome is done or not_run, or, for every third key, by
+// three clients at the same time.
+func (c *Cluster) Orders(ctx context.Context, o OrderOptions) (*OrdersResult, error) {
 	r := &orderRun{
 		cluster: c, options: o, client: &http.Client{Timeout: orderTimeout},
-		out: &Orders{Answers: make(map[string]int)},
+		result: &OrdersResult{Answers: make(map[string]int)},
 	}
-	begin, cancel := context.WithTimeout(ctx, o.Lasting)
+	sendCtx, cancel := context.WithTimeout(ctx, o.Lasting)
 	defer cancel()
 	var group sync.WaitGroup
 	for n := range o.Callers {
-		group.Go(func() { r.caller(ctx, begin, n) })
+		group.Go(func() { r.runClient(ctx, sendCtx, n) })
 	}
 	group.Wait()
-	pause(ctx, settle)
-	return r.out, trace.Wrap(r.compare(ctx))
+	sleep(ctx, settleTime)
+	return r.result, trace.Wrap(r.compareRecords(ctx))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -117,21 +121,21 @@
 	}
 }
 
-func (r *orderRun) caller(ctx, begin context.Context, n int) {
+func (r *orderRun) runClient(ctx, sendCtx context.Context, n int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(n)))
-	for k := 0; begin.Err() == nil; k++ {
-		callers := 1
+	for k := 0; sendCtx.Err() == nil; k++ {
+		clients := 1
 		if k%3 == 2 {
-			callers = 3
+			clients = 3
 		}
-		key := &orderKey{
-			key:  fmt.Sprintf("%d-%d-%d-%d", r.options.Seed, time.Now().UnixNano(), n, k),
-			last: make([]string, callers), done: make(map[string]string),
+		key := &keyOutcomes{
+			key:          fmt.Sprintf("%d-%d-%d-%d", r.options.Seed, time.Now().UnixNano(), n, k),
+			lastOutcomes: make([]string, clients), doneBodies: make(map[string]string),
 		}
 		var group sync.WaitGroup
-		for i := range callers {
+		for i := range clients {
 			seed := random.Uint64()
-			group.Go(func() { r.repeat(ctx, key, i, rand.New(rand.NewPCG(seed, 0))) })
+			group.Go(func() { r.sendUntilDecided(ctx, key, i, rand.New(rand.NewPCG(seed, 0))) })
 		}
 		group.Wait()
 		r.mu.Lock()
@@ -140,38 +144,40 @@
 	}
 }
 
-// repeat sends one key through instances drawn at random until it is told done
-// or not_run.
-func (r *orderRun) repeat(ctx context.Context, key *orderKey, i int, random *rand.Rand) {
+// sendUntilDecided sends one key through randomly chosen instances until the
+// outcome is done or not_run, or until maxAttempts is reached.
+func (r *orderRun) sendUntilDecided(ctx context.Context, key *keyOutcomes, i int, random *rand.Rand) {
 	for attempt := range maxAttempts {
-		first := attempt == 0 && len(key.last) == 1
-		told, body := r.send(ctx, key.key, first, random.IntN(len(r.cluster.Instances)))
+		first := attempt == 0 && len(key.lastOutcomes) == 1
+		outcome, body := r.send(ctx, key.key, first, random.IntN(len(r.cluster.Instances)))
 		r.mu.Lock()
-		r.out.Attempts++
-		r.out.Answers[told]++
-		key.last[i] = told
-		if told == toldDone || told == toldReplayed {
-			key.done[body] = told + " " + time.Now().Format(time.StampMilli)
+		r.result.Attempts++
+		r.result.Answers[outcome]++
+		key.lastOutcomes[i] = outcome
+		if outcome == outcomeDone || outcome == outcomeReplayed {
+			key.doneBodies[body] = outcome + " " + time.Now().Format(time.StampMilli)
 		}
 		r.mu.Unlock()
-		if told == toldDone || told == toldReplayed || strings.HasPrefix(told, toldNotRun) {
+		if outcome == outcomeDone || outcome == outcomeReplayed || strings.HasPrefix(outcome, outcomeNotRun) {
 			return
 		}
-		pause(ctx, repeatPause)
+		sleep(ctx, retryInterval)
 	}
 }
 
-// What a caller is told.
+// Outcomes of an attempt. Other outcomes are the execution header and the error
+// code of the response.
 const (
-	toldDone     = "done"
-	toldReplayed = "replayed"
-	toldNotRun   = "not_run"
-	toldNothing  = "connection failed"
-	// toldUnsent means that no connection came about, so that nothing was sent.
-	toldUnsent = "no connection"
+	outcomeDone       = "done"
+	outcomeReplayed   = "replayed"
+	outcomeNotRun     = "not_run"
+	outcomeNoResponse = "connection failed"
+	// outcomeNotConnected means that no connection was established, so that nothing
+	// was sent.
+	outcomeNotConnected = "no connection"
 )
 
-func (r *orderRun) send(ctx context.Context, key string, first bool, i int) (told, body string) {
+func (r *orderRun) send(ctx context.Context, key string, first bool, i int) (outcome, body string) {
 	url := "http://" + r.cluster.Instances[i].Caller + r.options.Path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(`{"item":"`+key+`"}`))
 	if err != nil {
@@ -184,28 +190,28 @@
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return connectionError(err), ""
+		return classifyConnectionError(err), ""
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return toldNothing, ""
+		return outcomeNoResponse, ""
 	}
-	return answerOf(resp, data), string(data)
+	return outcomeOf(resp, data), string(data)
 }
 
-func answerOf(resp *http.Response, body []byte) string {
+func outcomeOf(resp *http.Response, body []byte) string {
 	if resp.StatusCode < http.StatusBadRequest {
 		if resp.Header.Get("X-Masticbank-Replayed") == "true" {
-			return toldReplayed
+			return outcomeReplayed
 		}
-		return toldDone
+		return outcomeDone
 	}
-	return resp.Header.Get("X-Masticbank-Execution") + " " + codeOf(body)
+	return resp.Header.Get("X-Masticbank-Execution") + " " + errorCode(body)
 }
 
-// compare asks the stand-ins for their records and judges every key.
-func (r *orderRun) compare(ctx context.Context) error {
+// compareRecords fetches the records of the stand-ins and evaluates every key.
+func (r *orderRun) compareRecords(ctx context.Context) error {
 	query := fleet.RecordsQuery{}
 	for _, k := range r.keys {
 		query.Keys = append(query.Keys, k.key)
@@ -214,46 +220,46 @@
 	if err := r.cluster.control(ctx, http.MethodPost, fleet.PathRecords, query, &records); err != nil {
 		return trace.Wrap(err)
 	}
-	r.out.Keys = len(r.keys)
+	r.result.Keys = len(r.keys)
 	for _, k := range r.keys {
-		r.judge(k, records.Orders[k.key])
+		r.evaluate(k, records.Orders[k.key])
 	}
 	return nil
 }
 
-func (r *orderRun) judge(k *orderKey, recorded int) {
-	o := r.out
-	notRun := !slices.ContainsFunc(k.last, func(told string) bool { return !strings.HasPrefix(told, toldNotRun) })
+func (r *orderRun) evaluate(k *keyOutcomes, recorded int) {
+	o := r.result
+	notRun := !slices.ContainsFunc(k.lastOutcomes, func(outcome string) bool { return !strings.HasPrefix(outcome, outcomeNotRun) })
 	example := ""
 	if recorded > 0 {
 		o.Recorded++
 	}
 	if recorded > 1 {
 		o.Repeated++
-		example = "recorded twice"
+		example = "recorded more than once"
 	}
 	if notRun {
 		o.NotRun++
 	}
 	if notRun && recorded > 0 {
 		o.FalselyNotRun++
-		example = "told not run"
+		example = "reported as not run"
 	}
-	if len(k.done) > 0 && recorded == 0 {
+	if len(k.doneBodies) > 0 && recorded == 0 {
 		o.LostDone++
-		example = "done and not recorded"
+		example = "done but not recorded"
 	}
-	if len(k.done) > 1 {
+	if len(k.doneBodies) > 1 {
 		o.Different++
-		example = "two answers"
+		example = "different responses"
 	}
-	for body := range k.done {
+	for body := range k.doneBodies {
 		if !strings.Contains(body, k.key) {
 			o.Foreign++
-			example = "foreign answer"
+			example = "response to another order"
 		}
 	}
 	if example != "" && len(o.Examples) < 10 {
-		o.Examples = append(o.Examples, fmt.Sprintf("%s: %s: recorded %d, told %q, bodies %q", example, k.key, recorded, k.last, k.done))
+		o.Examples = append(o.Examples, fmt.Sprintf("%s: %s: recorded %d, last outcomes %q, bodies %q", example, k.key, recorded, k.lastOutcomes, k.doneBodies))
 	}
 }
--- a/cmd/internal/trial/publish.go
+++ b/cmd/internal/trial/publish.go
@@ -16,58 +16,58 @@
 	"masticbank.example/node/admin"
 )
 
-// inForceTimeout bounds the wait for one revision.
+// inForceTimeout limits the wait until one revision is in force on all instances.
 const inForceTimeout = 20 * time.Second
 
-// Spread is the distribution of a set of times.
-type Spread struct {
+// TimeDistribution holds the percentiles of a set of durations.
+type TimeDistribution struct {
 	Count         int
 	P50, P95, Max time.Duration
 }
 
-// spreadOf returns the distribution of times; it sorts them.
-func spreadOf(times []time.Duration) Spread {
+// newTimeDistribution returns the distribution of times, and sorts them.
+func newTimeDistribution(times []time.Duration) TimeDistribution {
 	if len(times) == 0 {
-		return Spread{}
+		return TimeDistribution{}
 	}
 	slices.Sort(times)
 	at := func(q float64) time.Duration { return times[int(q*float64(len(times)-1)+0.5)] }
-	return Spread{Count: len(times), P50: at(0.5), P95: at(0.95), Max: times[len(times)-1]}
+	return TimeDistribution{Count: len(times), P50: at(0.5), P95: at(0.95), Max: times[len(times)-1]}
 }
 
-// String returns the figures in one line.
-func (s Spread) String() string {
+// String returns the distribution in one line.
+func (s TimeDistribution) String() string {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	return fmt.Sprintf("n=%d p50=%.1fms p95=%.1fms max=%.1fms", s.Count, ms(s.P50), ms(s.P95), ms(s.Max))
 }
 
-// Published is the result of Publish.
-type Published struct {
-	// Sent counts from sending the proposal, Accepted from the answer that it
-	// is accepted, both until the last instance was seen with the revision. A
-	// revision seen everywhere before the answer counts as 0.
-	Sent, Accepted Spread
+// PublishResult is the result of Publish.
+type PublishResult struct {
+	// Sent is measured from sending the proposal and Accepted from receiving its
+	// acceptance, both until the last instance was observed with the revision. If
+	// all instances had it before the acceptance was received, Accepted is 0.
+	Sent, Accepted TimeDistribution
 	Reversions     int
 }
 
-// Publish publishes n revisions one after the other, each through the next
-// instance, and measures the time until all have them in force.
-func (c *Cluster) Publish(ctx context.Context, n int) (*Published, error) {
+// Publish publishes n revisions one after the other, through each instance in turn,
+// and measures the time until each is in force on all instances.
+func (c *Cluster) Publish(ctx context.Context, n int) (*PublishResult, error) {
 	w := c.watch(ctx)
 	defer w.stop()
 	var sent, accepted []time.Duration
 	for k := range n {
-		a, b, err := c.publishOnce(ctx, w, k%len(c.Instances), k)
+		sinceSent, sinceAccepted, err := c.publishOnce(ctx, w, k%len(c.Instances), k)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		sent, accepted = append(sent, a), append(accepted, b)
+		sent, accepted = append(sent, sinceSent), append(accepted, sinceAccepted)
 	}
 	w.stop()
-	return &Published{Sent: spreadOf(sent), Accepted: spreadOf(accepted), Reversions: w.reversions}, nil
+	return &PublishResult{Sent: newTimeDistribution(sent), Accepted: newTimeDistribution(accepted), Reversions: w.reversions}, nil
 }
 
-func (c *Cluster) publishOnce(ctx context.Context, w *watcher, i, k int) (sent, accepted time.Duration, err error) {
+func (c *Cluster) publishOnce(ctx context.Context, w *revisionWatcher, i, k int) (sent, accepted time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
 	client := c.admin(i)
@@ -76,17 +76,18 @@
 		return 0, 0, trace.Wrap(err)
 	}
 	start := time.Now()
-	out, err := client.Publish(ctx, variant(current, fmt.Sprintf("publisher-%d", k), k))
+	out, err := client.Publish(ctx, newVariant(current, fmt.Sprintf("publisher-%d", k), k))
 	if err != nil {
 		return 0, 0, trace.Wrap(err)
 	}
-	answered := time.Now()
-	last, err := w.reached(ctx, out.Revision)
-	return last.Sub(start), max(0, last.Sub(answered)), trace.Wrap(err)
+	acceptedAt := time.Now()
+	last, err := w.waitForRevision(ctx, out.Revision)
+	return last.Sub(start), max(0, last.Sub(acceptedAt)), trace.Wrap(err)
 }
 
-// variant returns a proposal on current that differs from others by k.
-func variant(current *admin.Config, author string, k int) *admin.Publish {
+// newVariant returns a proposal based on current. The workspace weights depend on
+// k, so that the proposals of different operators differ.
+func newVariant(current *admin.Config, author string, k int) *admin.Publish {
 	for name, workspace := range current.Config.Workspaces {
 		workspace.Weight = 1 + float64(k%1000)/1000
 		current.Config.Workspaces[name] = workspace
@@ -94,35 +95,37 @@
 	return &admin.Publish{Author: author, Base: current.Revision, Config: current.Config}
 }
 
-// Race is the result of Race.
-type Race struct {
+// RaceResult is the result of Race.
+type RaceResult struct {
 	Proposals, Rounds     int
 	Won, Lost, Undecided  int
 	Refused               int
 	BasesWithoutOneWinner int
-	// ToldWrongWinner counts the losers told another than the winner's name, or,
-	// when the winner does not know its fate, another than the first of them.
+	// ToldWrongWinner counts the losing proposals whose response named a wrong
+	// winner. If no operator received the response that its proposal won, all
+	// losers must name the same winner.
 	ToldWrongWinner int
 	Reversions      int
 	Polls           int
-	// Different counts the instances whose last configuration or revision
-	// differs from that of the first.
+	// Different counts the instances whose final revision or configuration differs
+	// from that of the first instance.
 	Different int
 	Took      time.Duration
 }
 
-// Defects names what must never happen and did.
-func (r *Race) Defects() []string {
+// Defects returns one line for each kind of error that must never occur and was
+// observed.
+func (r *RaceResult) Defects() []string {
 	return defects(map[string]int{
-		"bases without exactly one winner": r.BasesWithoutOneWinner,
-		"losers told a wrong winner":       r.ToldWrongWinner,
-		"reversions":                       r.Reversions,
-		"instances that differ":            r.Different,
-		"proposals with another error":     r.Refused,
+		"bases without exactly one winner":           r.BasesWithoutOneWinner,
+		"losers with a wrong winner in the response": r.ToldWrongWinner,
+		"reversions": r.Reversions,
+		"instances with a different configuration": r.Different,
+		"proposals with an unexpected error":       r.Refused,
 	})
 }
 
-// defects returns one sorted line for each count above 0.
+// defects returns one line for each count above 0, sorted.
 func defects(counts map[string]int) []string {
 	var out []string
 	for what, n := range counts {
@@ -134,8 +137,8 @@
 	return out
 }
 
-// proposal is the fate of one proposal as its operator was told.
-type proposal struct {
+// proposalOutcome is the outcome of one proposal as reported to its operator.
+type proposalOutcome struct {
 	author   string
 	revision uint64
 	winner   string
@@ -143,30 +146,30 @@
 	err      error
 }
 
-// Race lets one operator an instance publish at once on the same base, for as
-// many rounds as are needed for n proposals.
-func (c *Cluster) Race(ctx context.Context, n int) (*Race, error) {
+// Race repeats rounds in which one operator per instance publishes on the same base
+// at the same time, until n proposals have been made.
+func (c *Cluster) Race(ctx context.Context, n int) (*RaceResult, error) {
 	start := time.Now()
 	w := c.watch(ctx)
 	defer w.stop()
-	out := &Race{}
+	out := &RaceResult{}
 	for out.Proposals < n {
-		if err := c.round(ctx, w, out); err != nil {
+		if err := c.runRound(ctx, w, out); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
 	w.stop()
 	out.Reversions, out.Polls, out.Took = w.reversions, w.polls, time.Since(start)
 	var err error
-	out.Different, err = c.different(ctx)
+	out.Different, err = c.countDifferent(ctx)
 	return out, trace.Wrap(err)
 }
 
-// round publishes once through every instance on the newest base.
-func (c *Cluster) round(ctx context.Context, w *watcher, out *Race) error {
+// runRound publishes once through every instance, based on the current revision.
+func (c *Cluster) runRound(ctx context.Context, w *revisionWatcher, out *RaceResult) error {
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	proposals := make([]proposal, len(c.Instances))
+	proposals := make([]proposalOutcome, len(c.Instances))
 	base, err := c.admin(0).Config(ctx)
 	if err != nil {
 		return trace.Wrap(err)
@@ -180,7 +183,7 @@
 		}
 		own.Revision = base.Revision
 		author := fmt.Sprintf("operator-%d-%d", out.Rounds, i)
-		message := variant(own, author, out.Rounds*len(c.Instances)+i)
+		message := newVariant(own, author, out.Rounds*len(c.Instances)+i)
 		group.Go(func() {
 			<-release
 			proposals[i] = c.propose(ctx, i, message)
@@ -188,13 +191,13 @@
 	}
 	close(release)
 	group.Wait()
-	out.judge(base.Revision, proposals)
-	_, err = w.reached(ctx, base.Revision+1)
+	out.evaluateRound(base.Revision, proposals)
+	_, err = w.waitForRevision(ctx, base.Revision+1)
 	return trace.Wrap(err)
 }
 
-func (c *Cluster) propose(ctx context.Context, i int, message *admin.Publish) proposal {
-	p := proposal{author: message.Author}
+func (c *Cluster) propose(ctx context.Context, i int, message *admin.Publish) proposalOutcome {
+	p := proposalOutcome{author: message.Author}
 	published, err := c.admin(i).Publish(ctx, message)
 	if err == nil {
 		p.revision = published.Revision
@@ -212,8 +215,8 @@
 	return p
 }
 
-// judge counts the fates of the proposals on one base.
-func (r *Race) judge(base uint64, proposals []proposal) {
+// evaluateRound counts the outcomes of the proposals on one base.
+func (r *RaceResult) evaluateRound(base uint64, proposals []proposalOutcome) {
 	r.Rounds++
 	r.Proposals += len(proposals)
 	winner, winners, undecided := "", 0, 0
@@ -233,7 +236,7 @@
 	}
 	r.Won += winners
 	r.Undecided += undecided
-	// The winner itself may not have been told its fate.
+	// The winner may be among the undecided proposals.
 	if winners > 1 || winners == 0 && undecided == 0 {
 		r.BasesWithoutOneWinner++
 	}
@@ -247,8 +250,9 @@
 	}
 }
 
-// different compares the configurations in force.
-func (c *Cluster) different(ctx context.Context) (int, error) {
+// countDifferent returns the number of instances whose configuration in force
+// differs from that of the first instance.
+func (c *Cluster) countDifferent(ctx context.Context) (int, error) {
 	var first []byte
 	n := 0
 	for i := range c.Instances {
