--- a/cmd/internal/soak/check.go
+++ b/cmd/internal/soak/check.go
@@ -9,120 +9,124 @@
 // Kind is the kind of a request.
 type Kind int
 
-// Kinds of requests.
+// Request kinds.
 const (
 	Lookup Kind = iota
 	Order
 	Stream
-	kinds
+	kindCount
 )
 
-// Request is one attempt of a caller and what came of it.
+// Request is one attempt of a client and its result.
 type Request struct {
 	ID       string
 	Kind     Kind
 	Instance int
 	Sent     time.Time
-	// Status is 0 if no answer came.
+	// Status is 0 if no response was received.
 	Status int
-	// Replica gave the answer; Whole is false if it was broken off.
-	Replica string
-	Whole   bool
+	// Replica is the replica that signed the response. Complete is false if the response was
+	// truncated.
+	Replica  string
+	Complete bool
 }
 
-// Ledger holds what callers and replicas saw. It is safe for concurrent use.
-type Ledger struct {
+// Recorder records the requests of clients and the findings of a run. It is safe for concurrent
+// use.
+type Recorder struct {
 	mu       sync.Mutex
 	requests map[string]Request
 	findings []string
-	// left holds when an answer first said that a process of a replica leaves.
-	left map[leftKey]time.Time
+	// leavingSince holds the time of the first response that announced that a process of a
+	// replica is leaving.
+	leavingSince map[replicaProcess]time.Time
 }
 
-// leftKey names the process of a replica by the number of starts before it, and the
-// instance that passed its answer on.
-type leftKey struct {
+// replicaProcess identifies a process of a replica, by the number of restarts before it, as
+// observed through one instance.
+type replicaProcess struct {
 	instance int
 	replica  string
-	start    int
+	restarts int
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger() *Ledger {
-	return &Ledger{requests: map[string]Request{}, left: map[leftKey]time.Time{}}
+// NewRecorder returns an empty Recorder.
+func NewRecorder() *Recorder {
+	return &Recorder{requests: map[string]Request{}, leavingSince: map[replicaProcess]time.Time{}}
 }
 
-// Found records a broken promise.
-func (l *Ledger) Found(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.findings = append(l.findings, fmt.Sprintf(format, args...))
+// AddFinding records a violation.
+func (rec *Recorder) AddFinding(format string, args ...any) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.findings = append(rec.findings, fmt.Sprintf(format, args...))
 }
 
-// Ended records a request.
-func (l *Ledger) Ended(r Request) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.requests[r.ID] = r
+// AddRequest records a request that has ended.
+func (rec *Recorder) AddRequest(r Request) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.requests[r.ID] = r
 }
 
-// Left records that an answer passed on by an instance said that the process of a replica
-// with so many starts before it leaves.
-func (l *Ledger) Left(instance int, replica string, start int, at time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	key := leftKey{instance, replica, start}
-	if _, known := l.left[key]; !known {
-		l.left[key] = at
+// AddLeaving records that a response relayed by an instance announced that a process of a
+// replica is leaving. restarts is the number of restarts of the replica before that process.
+func (rec *Recorder) AddLeaving(instance int, replica string, restarts int, at time.Time) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	key := replicaProcess{instance, replica, restarts}
+	if _, known := rec.leavingSince[key]; !known {
+		rec.leavingSince[key] = at
 	}
 }
 
-// Ran is one request that a replica ran.
-type Ran struct {
-	Replica, ID string
+// Execution is one execution of a request by a replica.
+type Execution struct {
+	Replica, RequestID string
 }
 
-// drainTime is how long after such an answer requests may still reach the replica.
+// drainTime is how long requests may still be sent to a replica after it has announced that it
+// is leaving.
 const drainTime = 2 * time.Second
 
-// Conclude compares what replicas ran with what callers were told, and returns all
-// findings. starts returns how often a replica had started again before a time;
-// disturbed tells whether an instance was started or paused between two times. calm runs
-// have planned stops only, so that nothing that ran may be without an answer.
-func (l *Ledger) Conclude(runs []Ran, calm bool, starts func(replica string, before time.Time) int, disturbed func(instance int, from, to time.Time) bool) []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := append([]string(nil), l.findings...)
+// Evaluate compares the executions of replicas with the responses to clients, and returns all
+// findings. restartsBefore returns how often a replica was restarted before a time. disrupted
+// reports whether an instance was started or resumed between two times. If plannedOnly is set,
+// the run had planned faults only, so every executed request must have a complete response.
+func (rec *Recorder) Evaluate(executions []Execution, plannedOnly bool, restartsBefore func(replica string, before time.Time) int, disrupted func(instance int, from, to time.Time) bool) []string {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	findings := append([]string(nil), rec.findings...)
 	count := map[string]int{}
-	for _, run := range runs {
-		count[run.ID]++
-		r, known := l.requests[run.ID]
+	for _, execution := range executions {
+		count[execution.RequestID]++
+		r, known := rec.requests[execution.RequestID]
 		if !known {
-			out = append(out, fmt.Sprintf("%s ran %s, which nobody sent", run.Replica, run.ID))
+			findings = append(findings, fmt.Sprintf("%s executed %s, which no client sent", execution.Replica, execution.RequestID))
 			continue
 		}
-		at, left := l.left[leftKey{r.Instance, run.Replica, starts(run.Replica, r.Sent)}]
-		if left && r.Sent.After(at.Add(drainTime)) && !disturbed(r.Instance, at, r.Sent) {
-			out = append(out, fmt.Sprintf("%s ran %s, sent %v after instance %d was told that it leaves", run.Replica, run.ID, r.Sent.Sub(at), r.Instance))
+		at, left := rec.leavingSince[replicaProcess{r.Instance, execution.Replica, restartsBefore(execution.Replica, r.Sent)}]
+		if left && r.Sent.After(at.Add(drainTime)) && !disrupted(r.Instance, at, r.Sent) {
+			findings = append(findings, fmt.Sprintf("%s executed %s, sent %v after instance %d received the announcement that it leaves", execution.Replica, execution.RequestID, r.Sent.Sub(at), r.Instance))
 		}
 	}
-	for id, r := range l.requests {
+	for id, r := range rec.requests {
 		n := count[id]
 		switch {
 		case r.Kind == Order && n > 1:
-			out = append(out, fmt.Sprintf("order %s ran %d times", id, n))
+			findings = append(findings, fmt.Sprintf("order %s was executed %d times", id, n))
 		case r.Kind == Order && notRun(r.Status) && n > 0:
-			out = append(out, fmt.Sprintf("order %s was answered %d and ran", id, r.Status))
-		case calm && r.Status == 0 && n > 0:
-			out = append(out, fmt.Sprintf("request %s ran and had no answer though nothing failed", id))
-		case calm && r.Status != 0 && !r.Whole:
-			out = append(out, fmt.Sprintf("the answer to %s was broken off though nothing failed", id))
+			findings = append(findings, fmt.Sprintf("order %s was executed, but the response has status %d", id, r.Status))
+		case plannedOnly && r.Status == 0 && n > 0:
+			findings = append(findings, fmt.Sprintf("request %s was executed but has no response, with planned faults only", id))
+		case plannedOnly && r.Status != 0 && !r.Complete:
+			findings = append(findings, fmt.Sprintf("the response to %s was truncated, with planned faults only", id))
 		}
 	}
-	return out
+	return findings
 }
 
-// notRun tells whether a status states that the request did not run and will not.
+// notRun reports whether a status states that the request was not executed and will not be.
 func notRun(status int) bool {
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
--- a/cmd/internal/soak/fault.go
+++ b/cmd/internal/soak/fault.go
@@ -11,118 +11,121 @@
 	"masticbank.example/platform/platformtest"
 )
 
-// fault is one kind of trouble.
+// fault is one kind of fault.
 type fault struct {
 	name string
-	// planned work breaks nothing off.
+	// planned faults are planned operations. They must not interrupt any request.
 	planned bool
-	// run returns when the trouble is over.
-	run func(w *world, l *Ledger, random *rand.Rand)
+	// run injects the fault and returns when it is over.
+	run func(env *environment, rec *Recorder, random *rand.Rand)
 }
 
-// onProcess acts on one instance, when earlier faults there are over.
-func onProcess(act func(p *process, l *Ledger, random *rand.Rand)) func(*world, *Ledger, *rand.Rand) {
-	return func(w *world, l *Ledger, random *rand.Rand) {
-		p := w.processes[random.IntN(len(w.processes))]
-		p.turn.Lock()
-		defer p.turn.Unlock()
-		act(p, l, random)
+// processFault returns a fault function that acts on a random instance, after earlier faults of
+// that instance have ended.
+func processFault(act func(p *process, rec *Recorder, random *rand.Rand)) func(*environment, *Recorder, *rand.Rand) {
+	return func(env *environment, rec *Recorder, random *rand.Rand) {
+		p := env.processes[random.IntN(len(env.processes))]
+		p.faultMu.Lock()
+		defer p.faultMu.Unlock()
+		act(p, rec, random)
 	}
 }
 
-// onReplica is the same for one replica.
-func onReplica(act func(w *world, r *replica, l *Ledger, random *rand.Rand)) func(*world, *Ledger, *rand.Rand) {
-	return func(w *world, l *Ledger, random *rand.Rand) {
-		r := w.replicas[random.IntN(len(w.replicas))]
-		r.turn.Lock()
-		defer r.turn.Unlock()
-		act(w, r, l, random)
+// replicaFault returns a fault function that acts on a random replica, after earlier faults of
+// that replica have ended.
+func replicaFault(act func(env *environment, r *replica, rec *Recorder, random *rand.Rand)) func(*environment, *Recorder, *rand.Rand) {
+	return func(env *environment, rec *Recorder, random *rand.Rand) {
+		r := env.replicas[random.IntN(len(env.replicas))]
+		r.faultMu.Lock()
+		defer r.faultMu.Unlock()
+		act(env, r, rec, random)
 	}
 }
 
-// behave changes what a replica does for a while.
-func behave(b func(random *rand.Rand) platformtest.Behavior) func(*world, *Ledger, *rand.Rand) {
-	return onReplica(func(_ *world, r *replica, _ *Ledger, random *rand.Rand) {
-		r.Set(b(random))
-		time.Sleep(between(random, 300*time.Millisecond, 1500*time.Millisecond))
+// temporaryBehavior returns a fault function that changes the behavior of a replica for a
+// random time.
+func temporaryBehavior(behavior func(random *rand.Rand) platformtest.Behavior) func(*environment, *Recorder, *rand.Rand) {
+	return replicaFault(func(_ *environment, r *replica, _ *Recorder, random *rand.Rand) {
+		r.Set(behavior(random))
+		time.Sleep(randomDuration(random, 300*time.Millisecond, 1500*time.Millisecond))
 		r.Set(platformtest.Behavior{})
 	})
 }
 
-func startAgain(p *process, l *Ledger) {
+func restartProcess(p *process, rec *Recorder) {
 	if err := p.start(); err != nil {
-		l.Found("instance not started: %v", err)
+		rec.AddFinding("starting the instance failed: %v", err)
 	}
 }
 
-func restartReplica(w *world, r *replica, l *Ledger, down time.Duration) {
-	if err := w.restart(r, down); err != nil {
-		l.Found("replica not started: %v", err)
+func restartReplica(env *environment, r *replica, rec *Recorder, down time.Duration) {
+	if err := env.restart(r, down); err != nil {
+		rec.AddFinding("restarting the replica failed: %v", err)
 	}
 }
 
-// faults returns all kinds of trouble.
+// faults returns all kinds of faults.
 func faults() []fault {
 	return append(processFaults(), append(storeFaults(), replicaFaults()...)...)
 }
 
 func processFaults() []fault {
 	return []fault{
-		{"instance stopped and started", true, onProcess(func(p *process, l *Ledger, _ *rand.Rand) {
+		{"instance stopped and started", true, processFault(func(p *process, rec *Recorder, _ *rand.Rand) {
 			if !p.stop(syscall.SIGTERM) {
-				l.Found("an instance did not end within its grace time")
+				rec.AddFinding("an instance did not exit within its grace time")
 			}
-			startAgain(p, l)
+			restartProcess(p, rec)
 		})},
-		{"settings signal", true, onProcess(func(p *process, _ *Ledger, _ *rand.Rand) { p.signal(syscall.SIGHUP) })},
-		{"instance killed", false, onProcess(func(p *process, l *Ledger, random *rand.Rand) {
+		{"settings signal", true, processFault(func(p *process, _ *Recorder, _ *rand.Rand) { p.signal(syscall.SIGHUP) })},
+		{"instance killed", false, processFault(func(p *process, rec *Recorder, random *rand.Rand) {
 			p.stop(os.Kill)
-			time.Sleep(between(random, 0, time.Second))
-			startAgain(p, l)
+			time.Sleep(randomDuration(random, 0, time.Second))
+			restartProcess(p, rec)
 		})},
-		{"instance paused", false, onProcess(func(p *process, _ *Ledger, random *rand.Rand) {
-			p.pause(between(random, 200*time.Millisecond, 3*time.Second))
+		{"instance paused", false, processFault(func(p *process, _ *Recorder, random *rand.Rand) {
+			p.pause(randomDuration(random, 200*time.Millisecond, 3*time.Second))
 		})},
 	}
 }
 
 func storeFaults() []fault {
 	return []fault{
-		{"configuration", true, func(w *world, _ *Ledger, _ *rand.Rand) { w.publish() }},
-		{"store away", false, func(w *world, _ *Ledger, random *rand.Rand) {
-			w.store.Fail(http.StatusServiceUnavailable)
-			time.Sleep(between(random, 300*time.Millisecond, 3*time.Second))
-			w.store.Fail(0)
+		{"configuration", true, func(env *environment, _ *Recorder, _ *rand.Rand) { env.publish() }},
+		{"store away", false, func(env *environment, _ *Recorder, random *rand.Rand) {
+			env.store.Fail(http.StatusServiceUnavailable)
+			time.Sleep(randomDuration(random, 300*time.Millisecond, 3*time.Second))
+			env.store.Fail(0)
 		}},
-		{"store loses answers", false, func(w *world, _ *Ledger, random *rand.Rand) { w.store.LoseAnswers(1 + random.IntN(8)) }},
-		{"store forgets history", false, func(w *world, _ *Ledger, _ *rand.Rand) { w.store.Forget(platform.ReplicaTopic) }},
+		{"store loses answers", false, func(env *environment, _ *Recorder, random *rand.Rand) { env.store.LoseAnswers(1 + random.IntN(8)) }},
+		{"store forgets history", false, func(env *environment, _ *Recorder, _ *rand.Rand) { env.store.Forget(platform.ReplicaTopic) }},
 	}
 }
 
 func replicaFaults() []fault {
 	return []fault{
-		{"replica restarted", false, onReplica(func(w *world, r *replica, l *Ledger, random *rand.Rand) {
-			restartReplica(w, r, l, between(random, 200*time.Millisecond, 2*time.Second))
+		{"replica restarted", false, replicaFault(func(env *environment, r *replica, rec *Recorder, random *rand.Rand) {
+			restartReplica(env, r, rec, randomDuration(random, 200*time.Millisecond, 2*time.Second))
 		})},
-		{"replica leaves", false, onReplica(func(w *world, r *replica, l *Ledger, random *rand.Rand) {
+		{"replica leaves", false, replicaFault(func(env *environment, r *replica, rec *Recorder, random *rand.Rand) {
 			r.Set(platformtest.Behavior{Leaving: true})
-			time.Sleep(between(random, 2500*time.Millisecond, 4*time.Second))
-			restartReplica(w, r, l, 200*time.Millisecond)
+			time.Sleep(randomDuration(random, 2500*time.Millisecond, 4*time.Second))
+			restartReplica(env, r, rec, 200*time.Millisecond)
 		})},
-		{"links", false, onReplica(func(_ *world, r *replica, _ *Ledger, random *rand.Rand) {
-			r.proxy.Set(Mode(1 + random.IntN(int(modes)-1)))
-			time.Sleep(between(random, 300*time.Millisecond, 2500*time.Millisecond))
+		{"links", false, replicaFault(func(_ *environment, r *replica, _ *Recorder, random *rand.Rand) {
+			r.proxy.Set(Mode(1 + random.IntN(int(modeCount)-1)))
+			time.Sleep(randomDuration(random, 300*time.Millisecond, 2500*time.Millisecond))
 			r.proxy.Set(Pass)
 		})},
-		{"replica rejects", false, behave(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Reject: true} })},
-		{"replica asks for a pause", false, behave(func(*rand.Rand) platformtest.Behavior {
+		{"replica rejects", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Reject: true} })},
+		{"replica asks for a pause", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior {
 			return platformtest.Behavior{Reject: true, Pause: "0.7"}
 		})},
-		{"answers lost", false, behave(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Lose: true} })},
-		{"answers of other requests", false, behave(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{OtherID: true} })},
-		{"answers unsigned", false, behave(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Unsigned: true} })},
-		{"streams broken off", false, behave(func(random *rand.Rand) platformtest.Behavior {
-			return platformtest.Behavior{BreakAfter: 1 + random.IntN(events-1)}
+		{"answers lost", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Lose: true} })},
+		{"answers of other requests", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{OtherID: true} })},
+		{"answers unsigned", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Unsigned: true} })},
+		{"streams broken off", false, temporaryBehavior(func(random *rand.Rand) platformtest.Behavior {
+			return platformtest.Behavior{BreakAfter: 1 + random.IntN(eventsPerStream-1)}
 		})},
 	}
 }
--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -12,22 +12,22 @@
 	"github.com/gravitational/trace"
 )
 
-// stopTime bounds a planned stop: the grace time of the settings and a margin.
-const stopTime = 8 * time.Second
+// stopTimeout limits a planned stop: the grace time of the settings plus a margin.
+const stopTimeout = 8 * time.Second
 
-// process is one entry instance. It is safe for concurrent use.
+// process is one entry instance, restarted as needed. It is safe for concurrent use.
 type process struct {
 	binary, settings string
 	log              io.Writer
 
-	// turn is held by the fault that acts on the process.
-	turn sync.Mutex
+	// faultMu is held by the fault that acts on the process.
+	faultMu sync.Mutex
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
-	// disturbed are the times at which it was started or paused, or went on.
-	disturbed []time.Time
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
+	// disruptions holds the times at which the process was started or resumed.
+	disruptions []time.Time
 }
 
 func (p *process) start() error {
@@ -38,53 +38,54 @@
 	if err := cmd.Start(); err != nil {
 		return trace.Wrap(err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // the kind of end is known to who brought it about
-		close(ended)
+		_ = cmd.Wait() // the exit status is determined by the fault that ends the process
+		close(exited)
 	}()
-	p.cmd, p.ended = cmd, ended
-	p.disturbed = append(p.disturbed, time.Now())
+	p.cmd, p.exited = cmd, exited
+	p.disruptions = append(p.disruptions, time.Now())
 	return nil
 }
 
-func (p *process) signal(s os.Signal) {
+func (p *process) signal(sig os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // it may have ended already
+	_ = p.cmd.Process.Signal(sig) // the process may have exited already
 }
 
-// pause stops the process for a while.
+// pause suspends the process for the given time.
 func (p *process) pause(d time.Duration) {
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.mu.Lock()
-	p.disturbed = append(p.disturbed, time.Now())
+	p.disruptions = append(p.disruptions, time.Now())
 	p.mu.Unlock()
 	p.signal(syscall.SIGCONT)
 }
 
-// stop asks the process to end and waits; it returns false if it had to be killed.
-func (p *process) stop(how os.Signal) bool {
+// stop sends a signal and waits until the process has exited. It returns false if the process
+// did not exit within stopTimeout and was killed.
+func (p *process) stop(sig os.Signal) bool {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	p.signal(how)
+	p.signal(sig)
 	select {
-	case <-ended:
+	case <-exited:
 		return true
-	case <-time.After(stopTime):
+	case <-time.After(stopTimeout):
 		p.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 		return false
 	}
 }
 
-// disturbedBetween tells whether it was started or paused between two times.
-func (p *process) disturbedBetween(from, to time.Time) bool {
+// disruptedBetween reports whether the process was started or resumed between two times.
+func (p *process) disruptedBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, at := range p.disturbed {
+	for _, at := range p.disruptions {
 		if at.After(from) && at.Before(to) {
 			return true
 		}
@@ -92,10 +93,10 @@
 	return false
 }
 
-// descriptors returns the number of open files of the process.
-func (p *process) descriptors() (int, error) {
+// openFiles returns the number of open files of the process.
+func (p *process) openFiles() (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-	return len(list), trace.ConvertSystemError(err)
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	return len(entries), trace.ConvertSystemError(err)
 }
--- a/cmd/internal/soak/proxy.go
+++ b/cmd/internal/soak/proxy.go
@@ -8,59 +8,60 @@
 	"github.com/gravitational/trace"
 )
 
-// Mode is what a Proxy does with its connections.
+// Mode determines how a Proxy handles its connections.
 type Mode int
 
-// Modes of a Proxy.
+// Proxy modes.
 const (
-	// Pass forwards both ways.
+	// Pass forwards data in both directions.
 	Pass Mode = iota
-	// Delay holds each piece back for proxyDelay.
+	// Delay delays each chunk of data by proxyDelay.
 	Delay
-	// Reset ends the connections and each new one.
+	// Reset resets all connections, including new ones.
 	Reset
-	// OneWay forwards requests and keeps the answers.
+	// OneWay forwards requests and holds back responses.
 	OneWay
-	// Silent forwards nothing.
-	Silent
-	modes
+	// Blackhole forwards nothing.
+	Blackhole
+	modeCount
 )
 
-// String returns the name used in summaries.
+// String returns the name of the mode.
 func (m Mode) String() string { return [...]string{"pass", "delay", "reset", "one_way", "silent"}[m] }
 
 const (
-	proxyDelay = 120 * time.Millisecond
-	proxyPoll  = 20 * time.Millisecond
+	proxyDelay        = 120 * time.Millisecond
+	proxyPollInterval = 20 * time.Millisecond
 )
 
-// Proxy stands before a replica on the loopback interface. It is safe for concurrent use.
+// Proxy forwards TCP connections to a replica on the loopback interface. It is safe for
+// concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	mode  Mode
-	conns map[net.Conn]bool
-	done  sync.WaitGroup
-	ended bool
+	mu         sync.Mutex
+	mode       Mode
+	conns      map[net.Conn]bool
+	goroutines sync.WaitGroup
+	closed     bool
 }
 
-// NewProxy starts a proxy before the address target.
+// NewProxy starts a proxy for the address target.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	p := &Proxy{listener: l, target: target, conns: map[net.Conn]bool{}}
-	p.done.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
-// Address returns IP:port.
+// Address returns the address of the proxy as IP:port.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode, also of the connections that are there.
+// Set changes the mode for new and existing connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	p.mode = m
@@ -70,14 +71,14 @@
 	}
 }
 
-// Close ends the proxy.
+// Close closes the listener and all connections, and waits for the goroutines of the proxy.
 func (p *Proxy) Close() {
 	p.mu.Lock()
-	p.ended = true
+	p.closed = true
 	p.mu.Unlock()
 	_ = p.listener.Close()
 	p.closeAll()
-	p.done.Wait()
+	p.goroutines.Wait()
 }
 
 func (p *Proxy) closeAll() {
@@ -85,7 +86,7 @@
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset, not an orderly end
+			_ = tcp.SetLinger(0) // close with a reset instead of FIN
 		}
 		_ = c.Close()
 	}
@@ -94,14 +95,15 @@
 func (p *Proxy) state() (Mode, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.mode, p.ended
+	return p.mode, p.closed
 }
 
-// add registers a connection, or closes it if the proxy resets or has ended.
+// add registers a connection. If the mode is Reset or the proxy is closed, it closes the
+// connection and returns false.
 func (p *Proxy) add(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended || p.mode == Reset {
+	if p.closed || p.mode == Reset {
 		_ = c.Close()
 		return false
 	}
@@ -116,7 +118,7 @@
 			return
 		}
 		if p.add(c) {
-			p.done.Go(func() { p.serve(c) })
+			p.goroutines.Go(func() { p.serve(c) })
 		}
 	}
 }
@@ -137,14 +139,15 @@
 	delete(p.conns, out)
 }
 
-// copy forwards one direction until either side ends; answers tells which.
-func (p *Proxy) copy(to, from net.Conn, answers bool) {
+// copy forwards one direction until either side closes its connection. response is true for the
+// direction from the replica to the instance.
+func (p *Proxy) copy(to, from net.Conn, response bool) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.pass(answers) {
+		if n > 0 && !p.awaitForwarding(response) {
 			return
 		}
 		if _, werr := to.Write(buffer[:n]); werr != nil || err != nil {
@@ -153,15 +156,16 @@
 	}
 }
 
-// pass waits while the mode holds back a piece; it returns false when the proxy has ended.
-func (p *Proxy) pass(answers bool) bool {
+// awaitForwarding waits while the mode holds data back. It returns false if the proxy is
+// closed.
+func (p *Proxy) awaitForwarding(response bool) bool {
 	for {
-		mode, ended := p.state()
+		mode, closed := p.state()
 		switch {
-		case ended:
+		case closed:
 			return false
-		case mode == Silent, mode == OneWay && answers:
-			time.Sleep(proxyPoll)
+		case mode == Blackhole, mode == OneWay && response:
+			time.Sleep(proxyPollInterval)
 			continue
 		case mode == Delay:
 			time.Sleep(proxyDelay)
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -20,116 +20,119 @@
 )
 
 const (
-	callersPerInstance = 3
-	troubleTime        = 7 * time.Second
-	startTime          = 15 * time.Second
-	// settleTime ends what is under way, so that a request that runs late is seen.
+	clientsPerInstance = 3
+	faultDuration      = 7 * time.Second
+	startTimeout       = 15 * time.Second
+	// settleTime is the wait after the last response, so that requests that are executed late
+	// are recorded.
 	settleTime = 2 * time.Second
-	// requestTime bounds one request of a caller.
-	requestTime = 6 * time.Second
-	// overlapping is the number of series of faults that go on at the same time.
-	overlapping = 3
-	// calmShare is the share of seeds with planned work only.
-	calmShare = 0.25
-	// spareDescriptors may be open at the end beyond those at the start.
-	spareDescriptors = 60
+	// requestTimeout limits one request of a client.
+	requestTimeout = 6 * time.Second
+	// concurrentFaultSeries is the number of series of faults that run at the same time.
+	concurrentFaultSeries = 3
+	// plannedOnlyFraction is the fraction of seeds with planned faults only.
+	plannedOnlyFraction = 0.25
+	// maxExtraDescriptors is the largest allowed increase of open file descriptors during a
+	// run.
+	maxExtraDescriptors = 60
 )
 
-// Summary is what came of one seed.
+// Summary is the result of one seed.
 type Summary struct {
-	Seed     uint64
-	Calm     bool
-	Requests int
-	Served   int
-	// Faults counts those played, by kind.
+	Seed        uint64
+	PlannedOnly bool
+	Requests    int
+	Served      int
+	// Faults counts the injected faults by name.
 	Faults   map[string]int
 	Findings []string
 }
 
-// String returns one line.
+// String returns the summary in one line, without the text of the findings.
 func (s Summary) String() string {
-	return fmt.Sprintf("seed %d calm %t: %d requests, %d served, faults %v, %d findings", s.Seed, s.Calm, s.Requests, s.Served, s.Faults, len(s.Findings))
+	return fmt.Sprintf("seed %d planned faults only %t: %d requests, %d served, faults %v, %d findings", s.Seed, s.PlannedOnly, s.Requests, s.Served, s.Faults, len(s.Findings))
 }
 
-// Run plays one seed with the program at binary. Logs and settings are written to dir.
+// Run runs one seed with the program at the path binary. Logs and settings are written to dir.
 func Run(ctx context.Context, binary, dir string, seed uint64) (Summary, error) {
 	random := rand.New(rand.NewPCG(seed, seed))
-	s := Summary{Seed: seed, Calm: random.Float64() < calmShare, Faults: map[string]int{}}
-	w, err := newWorld(binary, dir)
+	s := Summary{Seed: seed, PlannedOnly: random.Float64() < plannedOnlyFraction, Faults: map[string]int{}}
+	env, err := newEnvironment(binary, dir)
 	if err != nil {
 		return s, err
 	}
-	defer w.close()
-	ledger := NewLedger()
-	before, err := w.begin(ctx, ledger)
+	defer env.close()
+	rec := NewRecorder()
+	before, err := env.startInstances(ctx, rec)
 	if err != nil {
 		return s, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var background sync.WaitGroup
-	background.Go(func() { w.beats(ctx) })
-	calling, stop := context.WithCancel(ctx)
-	var callers errgroup.Group
-	for i := range instances {
-		for k := range callersPerInstance {
-			own := rand.New(rand.NewPCG(seed, uint64(1000+10*i+k)))
-			callers.Go(func() error { return w.call(calling, ledger, i, fmt.Sprintf("s%d-%d-%d", seed, i, k), own) })
+	background.Go(func() { env.writeHeartbeats(ctx) })
+	callCtx, stopClients := context.WithCancel(ctx)
+	var clients errgroup.Group
+	for i := range instanceCount {
+		for k := range clientsPerInstance {
+			clientRand := rand.New(rand.NewPCG(seed, uint64(1000+10*i+k)))
+			clients.Go(func() error { return env.runClient(callCtx, rec, i, fmt.Sprintf("s%d-%d-%d", seed, i, k), clientRand) })
 		}
 	}
-	s.play(w, ledger, random)
-	stop()
-	if err := callers.Wait(); err != nil {
+	s.injectFaults(env, rec, random)
+	stopClients()
+	if err := clients.Wait(); err != nil {
 		return s, err
 	}
 	time.Sleep(settleTime)
-	for i, p := range w.processes {
-		after, err := p.descriptors()
+	for i, p := range env.processes {
+		after, err := p.openFiles()
 		if err != nil {
 			return s, err
 		}
-		if after > before[i]+spareDescriptors {
-			ledger.Found("instance %d has %d descriptors, %d at the start", i, after, before[i])
+		if after > before[i]+maxExtraDescriptors {
+			rec.AddFinding("instance %d has %d open file descriptors, %d at the start", i, after, before[i])
 		}
 	}
-	s.Findings = ledger.Conclude(w.runs(), s.Calm, w.startsBefore, func(i int, from, to time.Time) bool {
-		return w.processes[i].disturbedBetween(from, to)
+	s.Findings = rec.Evaluate(env.executions(), s.PlannedOnly, env.restartsBefore, func(i int, from, to time.Time) bool {
+		return env.processes[i].disruptedBetween(from, to)
 	})
-	s.Requests, s.Served = ledger.count()
+	s.Requests, s.Served = rec.counts()
 	cancel()
 	background.Wait()
 	return s, nil
 }
 
-// begin starts the instances and returns their numbers of open files when they are ready.
-func (w *world) begin(ctx context.Context, l *Ledger) ([]int, error) {
-	for _, p := range w.processes {
+// startInstances starts the instances, waits until each serves a request, and returns the
+// number of open files of each.
+func (env *environment) startInstances(ctx context.Context, rec *Recorder) ([]int, error) {
+	for _, p := range env.processes {
 		if err := p.start(); err != nil {
 			return nil, err
 		}
 	}
-	client := &http.Client{Timeout: requestTime}
+	client := &http.Client{Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
-	end := time.Now().Add(startTime)
-	for i := range w.processes {
+	deadline := time.Now().Add(startTimeout)
+	for i := range env.processes {
 		for {
 			r := Request{ID: fmt.Sprintf("start-%d-%d", i, time.Now().UnixNano()), Kind: Lookup, Instance: i, Sent: time.Now()}
-			if err := w.one(l, client, &r); err != nil {
+			if err := env.send(rec, client, &r); err != nil {
 				return nil, err
 			}
-			l.Ended(r)
+			rec.AddRequest(r)
 			if r.Status == http.StatusOK {
 				break
 			}
-			if ctx.Err() != nil || time.Now().After(end) {
-				return nil, trace.LimitExceeded("instance %d does not serve within %v", i, startTime)
+			if ctx.Err() != nil || time.Now().After(deadline) {
+				return nil, trace.LimitExceeded("instance %d did not become ready within %v", i, startTimeout)
 			}
-			time.Sleep(proxyPoll)
+			time.Sleep(proxyPollInterval)
 		}
 	}
 	var out []int
-	for _, p := range w.processes {
-		n, err := p.descriptors()
+	for _, p := range env.processes {
+		n, err := p.openFiles()
 		if err != nil {
 			return nil, err
 		}
@@ -138,115 +141,116 @@
 	return out, nil
 }
 
-// play brings series of faults about that overlap.
-func (s *Summary) play(w *world, l *Ledger, random *rand.Rand) {
-	var list []fault
+// injectFaults runs concurrent series of random faults for faultDuration.
+func (s *Summary) injectFaults(env *environment, rec *Recorder, random *rand.Rand) {
+	var candidates []fault
 	for _, f := range faults() {
-		if f.planned || !s.Calm {
-			list = append(list, f)
+		if f.planned || !s.PlannedOnly {
+			candidates = append(candidates, f)
 		}
 	}
 	var series sync.WaitGroup
 	var mu sync.Mutex
-	end := time.Now().Add(troubleTime)
-	for range overlapping {
-		own := rand.New(rand.NewPCG(random.Uint64(), 1))
+	end := time.Now().Add(faultDuration)
+	for range concurrentFaultSeries {
+		seriesRand := rand.New(rand.NewPCG(random.Uint64(), 1))
 		series.Go(func() {
 			for time.Now().Before(end) {
-				time.Sleep(between(own, 0, time.Second))
-				f := list[own.IntN(len(list))]
+				time.Sleep(randomDuration(seriesRand, 0, time.Second))
+				f := candidates[seriesRand.IntN(len(candidates))]
 				mu.Lock()
 				s.Faults[f.name]++
 				mu.Unlock()
-				f.run(w, l, own)
+				f.run(env, rec, seriesRand)
 			}
 		})
-		if s.Calm {
-			break // two instances that stop at once leave the third with all connections
+		if s.PlannedOnly {
+			break // stopping two instances at the same time would leave the third with all connections
 		}
 	}
 	series.Wait()
 }
 
-// call sends requests to one instance on connections that are kept, until ctx ends.
-func (w *world) call(ctx context.Context, l *Ledger, instance int, name string, random *rand.Rand) error {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: requestTime}
+// runClient sends requests to one instance over persistent connections until ctx ends.
+func (env *environment) runClient(ctx context.Context, rec *Recorder, instance int, name string, random *rand.Rand) error {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
-		r := Request{ID: fmt.Sprintf("%s-%d", name, n), Kind: Kind(random.IntN(int(kinds))), Instance: instance, Sent: time.Now()}
-		if err := w.one(l, client, &r); err != nil {
+		r := Request{ID: fmt.Sprintf("%s-%d", name, n), Kind: Kind(random.IntN(int(kindCount))), Instance: instance, Sent: time.Now()}
+		if err := env.send(rec, client, &r); err != nil {
 			return err
 		}
-		l.Ended(r)
-		time.Sleep(between(random, 5*time.Millisecond, 40*time.Millisecond))
+		rec.AddRequest(r)
+		time.Sleep(randomDuration(random, 5*time.Millisecond, 40*time.Millisecond))
 	}
 	return nil
 }
 
-// one sends a request and checks its answer.
-func (w *world) one(l *Ledger, client *http.Client, r *Request) error {
+// send sends a request and checks the response.
+func (env *environment) send(rec *Recorder, client *http.Client, r *Request) error {
 	method, path := http.MethodGet, "/look/1"
 	switch r.Kind {
 	case Order:
 		method, path = http.MethodPost, "/order/1"
 	case Stream:
 		method, path = http.MethodPost, "/chat/1"
-	case Lookup, kinds:
+	case Lookup, kindCount:
 	}
-	req, err := platformtest.NewRequest(w.callers[r.Instance], method, path, r.ID, "key1", "")
+	req, err := platformtest.NewRequest(env.clientAddresses[r.Instance], method, path, r.ID, "key1", "")
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil // no answer, which the ledger judges
+		return nil // Evaluate checks requests without a response
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	r.Status, r.Whole = resp.StatusCode, err == nil
-	answer := platform.Codec{}.Answer(resp.StatusCode, resp.Header)
+	r.Status, r.Complete = resp.StatusCode, err == nil
+	response := platform.Codec{}.Answer(resp.StatusCode, resp.Header)
 	r.Replica = strings.TrimPrefix(platformtest.Signature(resp.Header), "signed by ")
-	if answer.Leaving {
+	if response.Leaving {
 		now := time.Now()
-		l.Left(r.Instance, r.Replica, w.startsBefore(r.Replica, now), now)
+		rec.AddLeaving(r.Instance, r.Replica, env.restartsBefore(r.Replica, now), now)
 	}
-	if resp.StatusCode == http.StatusOK && r.Whole {
-		checkAnswer(l, r, answer.ID, string(body))
+	if resp.StatusCode == http.StatusOK && r.Complete {
+		checkResponse(rec, r, response.ID, string(body))
 	}
 	return nil
 }
 
-// checkAnswer finds answers that are not whole, not signed or another request's.
-func checkAnswer(l *Ledger, r *Request, id, body string) {
+// checkResponse reports responses that are incomplete, unsigned or belong to another request.
+func checkResponse(rec *Recorder, r *Request, id, body string) {
 	if id != r.ID {
-		l.Found("%s got the answer to %q", r.ID, id)
+		rec.AddFinding("%s received the response to %q", r.ID, id)
 	}
 	want := "answer of " + r.Replica
 	if r.Kind == Stream {
-		want = wholeStream()
+		want = completeStream()
 	}
 	if r.Replica == "" || body != want {
-		l.Found("%s got %q, signed by %q, which looks complete", r.ID, body, r.Replica)
+		rec.AddFinding("%s received %q, signed by %q, which looks complete but is not", r.ID, body, r.Replica)
 	}
 }
 
-func wholeStream() string {
+func completeStream() string {
 	var b strings.Builder
-	for n := 1; n <= events; n++ {
+	for n := 1; n <= eventsPerStream; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", n, n)
 	}
 	return b.String()
 }
 
-// count returns the number of requests and of those that were served.
-func (l *Ledger) count() (requests, served int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for r := range maps.Values(l.requests) {
-		if r.Status == http.StatusOK && r.Whole {
+// counts returns the number of all requests and of those with a complete response of status
+// 200. It also sorts the findings.
+func (rec *Recorder) counts() (requests, served int) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	for r := range maps.Values(rec.requests) {
+		if r.Status == http.StatusOK && r.Complete {
 			served++
 		}
 	}
-	slices.Sort(l.findings)
-	return len(l.requests), served
+	slices.Sort(rec.findings)
+	return len(rec.requests), served
 }
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -18,38 +18,38 @@
 	keep  = flag.String("soak.keep", "", "folder for the logs of seeds with findings")
 )
 
-// program builds the real program.
-func program(t *testing.T) string {
+// buildProgram builds the real program and returns its path.
+func buildProgram(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "masticbank")
 	out, err := exec.Command("go", "build", "-o", path, "masticbank.example/cmd/masticbank").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	return path
 }
 
-// failed holds the seeds that ever failed, with the cause.
-var failed = map[uint64]string{
-	6:  "the soak started an instance twice when two series of faults acted on it",
-	20: "the soak took a request to a later process of a replica that had left for one to the earlier",
+// regressionSeeds maps seeds that have failed before to the cause of the failure.
+var regressionSeeds = map[uint64]string{
+	6:  "the soak test started an instance twice when two series of faults acted on it at the same time",
+	20: "the soak test attributed a request to a later process of a replica to the earlier process, which had left",
 }
 
-// TestSoak plays seeds; -soak.seeds and -soak.first choose which.
+// TestSoak runs the seeds that -soak.seeds and -soak.first select.
 func TestSoak(t *testing.T) {
-	binary := program(t)
+	binary := buildProgram(t)
 	for i := range *count {
-		play(t, binary, *first+uint64(i))
+		runSeed(t, binary, *first+uint64(i))
 	}
 }
 
-// TestSeedsThatFailed plays those seeds again.
-func TestSeedsThatFailed(t *testing.T) {
-	binary := program(t)
-	for seed, cause := range failed {
+// TestRegressionSeeds runs the seeds that have failed before.
+func TestRegressionSeeds(t *testing.T) {
+	binary := buildProgram(t)
+	for seed, cause := range regressionSeeds {
 		t.Log(cause)
-		play(t, binary, seed)
+		runSeed(t, binary, seed)
 	}
 }
 
-func play(t *testing.T, binary string, seed uint64) {
+func runSeed(t *testing.T, binary string, seed uint64) {
 	dir := t.TempDir()
 	s, err := Run(t.Context(), binary, dir, seed)
 	require.NoError(t, err, "seed %d", seed)
@@ -66,65 +66,66 @@
 	}
 }
 
-// TestCheckersCanFail gives each checker what it must find.
-func TestCheckersCanFail(t *testing.T) {
+// TestCheckersDetectViolations checks that each violation is found, and that similar valid
+// histories have no findings.
+func TestCheckersDetectViolations(t *testing.T) {
 	start := time.Unix(1000, 0)
-	never := func(string, time.Time) int { return 0 }
-	again := func(_ string, at time.Time) int {
+	noRestart := func(string, time.Time) int { return 0 }
+	restartedLater := func(_ string, at time.Time) int {
 		if at.After(start.Add(5 * time.Second)) {
 			return 1
 		}
 		return 0
 	}
-	calm := func(int, time.Time, time.Time) bool { return false }
-	whole := func(id string, kind Kind, status int) Request {
-		return Request{ID: id, Kind: kind, Sent: start, Status: status, Whole: true, Replica: "r"}
+	undisrupted := func(int, time.Time, time.Time) bool { return false }
+	completeRequest := func(id string, kind Kind, status int) Request {
+		return Request{ID: id, Kind: kind, Sent: start, Status: status, Complete: true, Replica: "r"}
 	}
 	cases := map[string]struct {
-		request  Request
-		runs     []Ran
-		findings int
+		request    Request
+		executions []Execution
+		findings   int
 	}{
-		"served once":             {whole("a", Order, 200), []Ran{{"r", "a"}}, 0},
-		"order twice":             {whole("a", Order, 200), []Ran{{"r", "a"}, {"q", "a"}}, 1},
-		"lookup twice":            {whole("a", Lookup, 200), []Ran{{"r", "a"}, {"q", "a"}}, 0},
-		"refused and ran":         {whole("a", Order, 503), []Ran{{"r", "a"}}, 1},
-		"refused":                 {whole("a", Order, 503), nil, 0},
-		"nobody sent it":          {whole("a", Order, 503), []Ran{{"r", "b"}}, 1},
-		"no answer in calm":       {Request{ID: "a", Sent: start}, []Ran{{"r", "a"}}, 1},
-		"not run, no answer":      {Request{ID: "a", Sent: start}, nil, 0},
-		"broken off in calm":      {Request{ID: "a", Sent: start, Status: 200}, []Ran{{"r", "a"}}, 1},
-		"too late after it left":  {Request{ID: "a", Kind: Lookup, Sent: start.Add(10 * time.Second), Status: 200, Whole: true}, []Ran{{"left", "a"}}, 1},
-		"soon after it left":      {Request{ID: "a", Kind: Lookup, Sent: start.Add(time.Second), Status: 200, Whole: true}, []Ran{{"left", "a"}}, 0},
-		"left for another caller": {Request{ID: "a", Instance: 1, Sent: start.Add(10 * time.Second), Status: 200, Whole: true}, []Ran{{"left", "a"}}, 0},
+		"served once":               {completeRequest("a", Order, 200), []Execution{{"r", "a"}}, 0},
+		"order twice":               {completeRequest("a", Order, 200), []Execution{{"r", "a"}, {"q", "a"}}, 1},
+		"lookup twice":              {completeRequest("a", Lookup, 200), []Execution{{"r", "a"}, {"q", "a"}}, 0},
+		"refused and executed":      {completeRequest("a", Order, 503), []Execution{{"r", "a"}}, 1},
+		"refused":                   {completeRequest("a", Order, 503), nil, 0},
+		"execution without request": {completeRequest("a", Order, 503), []Execution{{"r", "b"}}, 1},
+		"executed without response, planned faults only": {Request{ID: "a", Sent: start}, []Execution{{"r", "a"}}, 1},
+		"not executed, no response":                      {Request{ID: "a", Sent: start}, nil, 0},
+		"truncated, planned faults only":                 {Request{ID: "a", Sent: start, Status: 200}, []Execution{{"r", "a"}}, 1},
+		"sent too late after leaving":                    {Request{ID: "a", Kind: Lookup, Sent: start.Add(10 * time.Second), Status: 200, Complete: true}, []Execution{{"left", "a"}}, 1},
+		"sent soon after leaving":                        {Request{ID: "a", Kind: Lookup, Sent: start.Add(time.Second), Status: 200, Complete: true}, []Execution{{"left", "a"}}, 0},
+		"leaving announced to another instance":          {Request{ID: "a", Instance: 1, Sent: start.Add(10 * time.Second), Status: 200, Complete: true}, []Execution{{"left", "a"}}, 0},
 	}
 	for name, c := range cases {
-		l := NewLedger()
-		l.Left(0, "left", 0, start)
-		l.Ended(c.request)
-		require.Len(t, l.Conclude(c.runs, true, never, calm), c.findings, name)
+		rec := NewRecorder()
+		rec.AddLeaving(0, "left", 0, start)
+		rec.AddRequest(c.request)
+		require.Len(t, rec.Evaluate(c.executions, true, noRestart, undisrupted), c.findings, name)
 	}
-	late := Request{ID: "a", Sent: start.Add(10 * time.Second), Status: 200, Whole: true}
-	excused := NewLedger()
-	excused.Left(0, "left", 0, start)
-	excused.Ended(late)
-	require.Empty(t, excused.Conclude([]Ran{{"left", "a"}}, true, never, func(int, time.Time, time.Time) bool { return true }))
-	require.Empty(t, excused.Conclude([]Ran{{"left", "a"}}, true, again, calm), "another process of the replica")
-	excused.Left(0, "left", 1, start.Add(6*time.Second))
-	require.NotEmpty(t, excused.Conclude([]Ran{{"left", "a"}}, true, again, calm), "which has left as well")
+	lateRequest := Request{ID: "a", Sent: start.Add(10 * time.Second), Status: 200, Complete: true}
+	recorder := NewRecorder()
+	recorder.AddLeaving(0, "left", 0, start)
+	recorder.AddRequest(lateRequest)
+	require.Empty(t, recorder.Evaluate([]Execution{{"left", "a"}}, true, noRestart, func(int, time.Time, time.Time) bool { return true }))
+	require.Empty(t, recorder.Evaluate([]Execution{{"left", "a"}}, true, restartedLater, undisrupted), "a later process of the replica")
+	recorder.AddLeaving(0, "left", 1, start.Add(6*time.Second))
+	require.NotEmpty(t, recorder.Evaluate([]Execution{{"left", "a"}}, true, restartedLater, undisrupted), "a later process that is leaving as well")
 
 	for name, c := range map[string]struct{ id, replica, body string }{
-		"another's answer": {"b", "r", "answer of r"},
-		"unsigned":         {"a", "", "answer of "},
-		"cut":              {"a", "r", "answer"},
-		"two answers":      {"a", "r", "answer of ranswer of r"},
+		"response to another request": {"b", "r", "answer of r"},
+		"unsigned":                    {"a", "", "answer of "},
+		"truncated":                   {"a", "r", "answer"},
+		"two responses":               {"a", "r", "answer of ranswer of r"},
 	} {
-		l := NewLedger()
-		checkAnswer(l, &Request{ID: "a", Kind: Lookup, Replica: c.replica}, c.id, c.body)
-		require.NotEmpty(t, l.findings, name)
+		rec := NewRecorder()
+		checkResponse(rec, &Request{ID: "a", Kind: Lookup, Replica: c.replica}, c.id, c.body)
+		require.NotEmpty(t, rec.findings, name)
 	}
-	l := NewLedger()
-	checkAnswer(l, &Request{ID: "a", Kind: Stream, Replica: "r"}, "a", wholeStream())
-	checkAnswer(l, &Request{ID: "a", Kind: Lookup, Replica: "r"}, "a", "answer of r")
-	require.Empty(t, l.findings)
+	rec := NewRecorder()
+	checkResponse(rec, &Request{ID: "a", Kind: Stream, Replica: "r"}, "a", completeStream())
+	checkResponse(rec, &Request{ID: "a", Kind: Lookup, Replica: "r"}, "a", "answer of r")
+	require.Empty(t, rec.findings)
 }
