--- a/cmd/internal/load/check.go
+++ b/cmd/internal/load/check.go
@@ -147,33 +147,33 @@
 }
 
 func (c *client) collectReported(samples []sample) reportedOutcomes {
-	t := reportedOutcomes{orders: make(map[string]reportedOrder)}
+	reported := reportedOutcomes{orders: make(map[string]reportedOrder)}
 	for i := range samples {
 		s := &samples[i]
 		switch {
 		case s.arrival.orderKey != "" && s.outcome != Unsent:
-			t.addOrder(c.idempotencyKey(s.arrival), s)
+			reported.addOrder(c.idempotencyKey(s.arrival), s)
 		case !s.arrival.isModel() || s.requestID == "":
 		case s.execution == executionNotRun:
-			t.notRun = append(t.notRun, s.requestID)
+			reported.notRun = append(reported.notRun, s.requestID)
 		case s.outcome == Completed:
-			t.completed = append(t.completed, s.requestID)
+			reported.completed = append(reported.completed, s.requestID)
 		}
 	}
-	return t
+	return reported
 }
 
-func (t reportedOutcomes) addOrder(key string, s *sample) {
-	order, known := t.orders[key]
-	t.orders[key] = reportedOrder{
+func (r reportedOutcomes) addOrder(key string, s *sample) {
+	order, known := r.orders[key]
+	r.orders[key] = reportedOrder{
 		done:       order.done || s.outcome == Completed || s.outcome == Wrong,
 		notRunOnly: s.execution == executionNotRun && (order.notRunOnly || !known),
 	}
 }
 
-func (t reportedOutcomes) recordsQuery() fleet.RecordsQuery {
-	q := fleet.RecordsQuery{Requests: slices.Concat(t.notRun, t.completed)}
-	for key := range t.orders {
+func (r reportedOutcomes) recordsQuery() fleet.RecordsQuery {
+	q := fleet.RecordsQuery{Requests: slices.Concat(r.notRun, r.completed)}
+	for key := range r.orders {
 		q.Keys = append(q.Keys, key)
 	}
 	return q
@@ -181,8 +181,8 @@
 
 // compare counts the differences between the reported outcomes and the records in
 // out.
-func (t reportedOutcomes) compare(records fleet.Records, out *Checks) {
-	for key, order := range t.orders {
+func (r reportedOutcomes) compare(records fleet.Records, out *Checks) {
+	for key, order := range r.orders {
 		if order.done && records.Orders[key] == 0 {
 			out.OrdersLost++
 		}
@@ -194,13 +194,13 @@
 			out.FalselyNotRun++
 		}
 	}
-	for _, id := range t.notRun {
+	for _, id := range r.notRun {
 		out.NotRun++
 		if records.Ran[id] {
 			out.FalselyNotRun++
 		}
 	}
-	for _, id := range t.completed {
+	for _, id := range r.completed {
 		if !records.Ran[id] {
 			out.Unseen++
 		}
--- a/cmd/internal/load/client.go
+++ b/cmd/internal/load/client.go
@@ -85,11 +85,11 @@
 	} `json:"error"`
 }
 
-func (a *responseBody) text() string {
-	if len(a.Choices) == 0 {
+func (r *responseBody) text() string {
+	if len(r.Choices) == 0 {
 		return ""
 	}
-	c := a.Choices[0]
+	c := r.Choices[0]
 	return c.Message.Content + c.Delta.Content + c.Text
 }
 
--- a/cmd/internal/trial/publish.go
+++ b/cmd/internal/trial/publish.go
@@ -36,9 +36,9 @@
 }
 
 // String returns the distribution in one line.
-func (s TimeDistribution) String() string {
+func (d TimeDistribution) String() string {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	return fmt.Sprintf("n=%d p50=%.1fms p95=%.1fms max=%.1fms", s.Count, ms(s.P50), ms(s.P95), ms(s.Max))
+	return fmt.Sprintf("n=%d p50=%.1fms p95=%.1fms max=%.1fms", d.Count, ms(d.P50), ms(d.P95), ms(d.Max))
 }
 
 // PublishResult is the result of Publish.
