--- a/cmd/masticbank/main.go
+++ b/cmd/masticbank/main.go
@@ -7,12 +7,12 @@
 	"masticbank.example/cmd/internal/command"
 )
 
-// version is set by the linker.
+// version can be set at build time with -ldflags "-X main.version=...".
 var version = "dev"
 
 type cli struct {
 	Serve    serveCmd    `cmd:"" help:"Run an entry instance until SIGTERM or SIGINT."`
-	Platform platformCmd `cmd:"" help:"Run an entry instance on the users' platform until SIGTERM."`
+	Platform platformCmd `cmd:"" help:"Run an entry instance on the users' platform until SIGTERM or SIGINT."`
 	Settings settingsCmd `cmd:"" help:"Print the reference of all settings as Markdown."`
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
--- a/cmd/masticbank/platform.go
+++ b/cmd/masticbank/platform.go
@@ -15,13 +15,13 @@
 )
 
 type platformCmd struct {
-	Settings    string `type:"path" help:"Settings file of the platform. Default: the one that the platform's environment variable names."`
-	MetricsPort int    `default:"0" help:"Port for metrics on the machine's address; 0 for none."`
-	LogLevel    string `default:"info" enum:"debug,info,warn,error" help:"Least severe lines that are logged."`
+	Settings    string `type:"path" help:"Settings file of the platform. Default: the file named by the platform's environment variable."`
+	MetricsPort int    `default:"0" help:"Port of the metrics endpoint on the instance's address; 0 disables it."`
+	LogLevel    string `default:"info" enum:"debug,info,warn,error" help:"Minimum level of log lines."`
 }
 
-// Run serves on the users' platform until SIGTERM. SIGHUP reads the settings
-// again.
+// Run serves on the users' platform until SIGTERM or SIGINT. SIGHUP reloads the
+// settings.
 func (c *platformCmd) Run() error {
 	path, set, err := c.load()
 	if err != nil {
@@ -54,6 +54,7 @@
 	return trace.Wrap(i.Stop())
 }
 
+// load returns the path and the content of the platform's settings file.
 func (c *platformCmd) load() (string, *platform.Settings, error) {
 	path := c.Settings
 	if path == "" {
--- a/cmd/masticbank/serve.go
+++ b/cmd/masticbank/serve.go
@@ -19,10 +19,10 @@
 
 type serveCmd struct {
 	Settings string `required:"" type:"path" help:"INI file with the settings of this process."`
-	Config   string `type:"path" help:"Folder of INI files with the configuration; used when the settings name no log."`
+	Config   string `type:"path" help:"Folder of INI files with the configuration; used only if the settings name no log."`
 }
 
-// Run serves until a signal, then finishes the requests in progress.
+// Run serves until SIGTERM or SIGINT, then finishes the requests in progress.
 func (c *serveCmd) Run() error {
 	set, err := settings.Load(c.Settings)
 	if err != nil {
@@ -49,6 +49,8 @@
 	return c.waitAndStop(a, set, logger)
 }
 
+// waitAndStop waits for a signal and shuts the instance down within the time that
+// the settings allow.
 func (c *serveCmd) waitAndStop(a *app.App, set *settings.Settings, logger *zap.Logger) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -58,7 +60,8 @@
 	return trace.Wrap(a.Stop(ctx))
 }
 
-// startError tells mistakes of the operator from failures of the machine.
+// startError turns mistakes in the settings or the configuration into usage errors
+// and returns all other errors unchanged.
 func startError(err error) error {
 	var ce *inifile.Error
 	if errors.As(err, &ce) {
@@ -72,7 +75,7 @@
 
 type settingsCmd struct{}
 
-// Run prints the reference.
+// Run prints the reference of all settings.
 func (settingsCmd) Run() error {
 	_, err := fmt.Print(settings.Reference())
 	return err
--- a/cmd/masticctl/dev.go
+++ b/cmd/masticctl/dev.go
@@ -12,19 +12,20 @@
 	"masticbank.example/standin/fleet"
 )
 
-// devStopTimeout bounds the end of the development mode.
+// devStopTimeout bounds the shutdown of the development cluster.
 const devStopTimeout = 10 * time.Second
 
 type devCmd struct {
-	Listen    string `default:"127.0.0.1:8080" help:"Address for callers."`
-	Admin     string `default:"127.0.0.1:8081" help:"Address for administration."`
+	Listen    string `default:"127.0.0.1:8080" help:"Listen address of the client API."`
+	Admin     string `default:"127.0.0.1:8081" help:"Listen address of the administration API."`
 	Instances int    `default:"1" help:"Number of entry instances."`
-	LogLevel  string `default:"warn" enum:"debug,info,warn,error" help:"Lowest level logged."`
+	LogLevel  string `default:"warn" enum:"debug,info,warn,error" help:"Minimum level of log lines."`
 }
 
-// Run serves until a signal.
+// Run starts the cluster, prints how to reach it, and serves until SIGTERM or
+// SIGINT.
 func (c *devCmd) Run() error {
-	d, err := local.Start(local.Options{
+	cluster, err := local.Start(local.Options{
 		Instances:     c.Instances,
 		Spec:          fleet.Dev(),
 		Configuration: local.DevConfiguration,
@@ -35,23 +36,24 @@
 	if err != nil {
 		return err
 	}
-	c.printHelp(d)
+	c.printEndpoints(cluster)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	<-signals
 	ctx, cancel := context.WithTimeout(context.Background(), devStopTimeout)
 	defer cancel()
-	d.Close(ctx)
+	cluster.Close(ctx)
 	return nil
 }
 
-func (c *devCmd) printHelp(d *local.Cluster) {
-	fmt.Printf("callers:        http://%s\n", d.Apps[0].CallerAddr())
-	fmt.Printf("administration: http://%s (key %s)\n", d.Apps[0].AdminAddr(), local.AdminKey)
-	fmt.Printf("faults:         http://%s/faults\n\n", d.Fleet.Addresses().Control)
+// printEndpoints prints the addresses of the cluster and two sample requests.
+func (c *devCmd) printEndpoints(cluster *local.Cluster) {
+	fmt.Printf("client API:     http://%s\n", cluster.Apps[0].CallerAddr())
+	fmt.Printf("administration: http://%s (key %s)\n", cluster.Apps[0].AdminAddr(), local.AdminKey)
+	fmt.Printf("faults:         http://%s/faults\n\n", cluster.Fleet.Addresses().Control)
 	fmt.Printf("curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n\n",
-		d.Apps[0].CallerAddr(), local.Key,
+		cluster.Apps[0].CallerAddr(), local.Key,
 		`{"model":"dev","stream":true,"max_tokens":16,"messages":[{"role":"user","content":"Price for a hutch with two doors?"}]}`)
 	fmt.Printf("curl http://%s/services/orders/orders -H 'Authorization: Bearer %s' -H 'Idempotency-Key: order-1' -d '%s'\n",
-		d.Apps[0].CallerAddr(), local.Key, `{"item":"timber"}`)
+		cluster.Apps[0].CallerAddr(), local.Key, `{"item":"timber"}`)
 }
--- a/cmd/masticctl/explain.go
+++ b/cmd/masticctl/explain.go
@@ -9,38 +9,38 @@
 )
 
 type explainCmd struct {
-	remote
-	Request      string `help:"ID of a request, from its answer or from the log."`
-	Model        string `help:"Model of a request that was not sent."`
-	Prompt       string `help:"Its prompt; prefixes that replicas hold in their cache count."`
-	PromptTokens int    `default:"100" help:"Length of its prompt when none is given."`
-	OutputTokens int    `default:"100" help:"Length of its answer."`
+	adminFlags
+	Request      string `help:"ID of a request that was sent, as given in its response and in the log."`
+	Model        string `help:"Model of a hypothetical request."`
+	Prompt       string `help:"Prompt of the hypothetical request; its prefixes are matched with the prefix caches of the replicas."`
+	PromptTokens int    `default:"100" help:"Prompt length in tokens, used when no prompt is given."`
+	OutputTokens int    `default:"100" help:"Response length in tokens."`
 }
 
-// Run explains a request that was sent, or one that was not.
+// Run explains a request that was sent, or the route of a hypothetical one.
 func (c *explainCmd) Run() error {
 	if (c.Request == "") == (c.Model == "") {
-		return &command.UsageError{Err: fmt.Errorf("exactly one of --request and --model is needed")}
+		return &command.UsageError{Err: fmt.Errorf("exactly one of --request and --model is required")}
 	}
-	ctx, cancel := callContext()
+	ctx, cancel := requestContext()
 	defer cancel()
 	if c.Request != "" {
 		e, err := c.client().ExplainRequest(ctx, c.Request)
 		if err != nil {
 			return err
 		}
-		return c.show(e, func() { printRequest(e) })
+		return c.printResult(e, func() { printRequest(e) })
 	}
 	e, err := c.client().ExplainRoute(ctx, c.Model, c.Prompt, c.PromptTokens, c.OutputTokens)
 	if err != nil {
 		return err
 	}
-	return c.show(e, func() { printRoute(e) })
+	return c.printResult(e, func() { printRoute(e) })
 }
 
 func printRequest(e *admin.RequestExplanation) {
 	if e.State == "waiting" {
-		fmt.Printf("waiting in %s: place %d, %.0f tokens ahead, expected wait %.2f s\n", e.Pool, e.Place, e.TokensAhead, e.ExpectedWaitSeconds)
+		fmt.Printf("waiting in %s: position %d, %.0f tokens ahead, expected wait %.2f s\n", e.Pool, e.Place, e.TokensAhead, e.ExpectedWaitSeconds)
 		return
 	}
 	fmt.Printf("%s %s (execution %s) %s\n", e.State, e.Code, e.Execution, e.Message)
--- a/cmd/masticctl/load.go
+++ b/cmd/masticctl/load.go
@@ -21,14 +21,14 @@
 
 type loadRunCmd struct {
 	Scenario string   `arg:"" type:"path" help:"Scenario file."`
-	Target   []string `help:"Entry address for callers, host:port; replaces those of the scenario and may be repeated."`
+	Target   []string `help:"Client API address of an entry instance, host:port; replaces the targets of the scenario and may be repeated."`
 	Control  string   `help:"Control address of the stand-ins, host:port."`
-	Report   string   `type:"path" default:"report" help:"Folder for the result and the report."`
-	Quiet    bool     `help:"Print no progress."`
+	Report   string   `type:"path" default:"report" help:"Output folder of the result and the report."`
+	Quiet    bool     `help:"Do not print progress."`
 }
 
-// Run sends the load, writes the report and prints a summary. It fails when an
-// answer was wrong or a stand-in saw a violation.
+// Run sends the load, writes the report and prints a summary. It returns an error
+// if a response was wrong or a stand-in recorded a violation.
 func (c *loadRunCmd) Run() error {
 	s, err := load.ReadScenario(c.Scenario)
 	if err != nil {
--- a/cmd/masticctl/main.go
+++ b/cmd/masticctl/main.go
@@ -1,4 +1,5 @@
-// Command masticctl is the operators' tool.
+// Command masticctl is the command-line tool for operators. It also runs the
+// stand-ins, load scenarios and trials.
 package main
 
 import (
@@ -7,21 +8,21 @@
 	"masticbank.example/cmd/internal/command"
 )
 
-// version is set by the linker.
+// version can be set at build time with -ldflags "-X main.version=...".
 var version = "dev"
 
 type cli struct {
 	Validate validateCmd `cmd:"" help:"Check a folder of configuration files."`
 	Diff     diffCmd     `cmd:"" help:"Show how a folder differs from the configuration in force."`
 	Publish  publishCmd  `cmd:"" help:"Publish a folder as the next revision."`
-	Status   statusCmd   `cmd:"" help:"Show the state of an instance and of those it knows."`
-	Explain  explainCmd  `cmd:"" help:"Explain a request, or the route that a request would get."`
-	Drain    drainCmd    `cmd:"" help:"Stop new work to an upstream."`
+	Status   statusCmd   `cmd:"" help:"Show the state of an instance and of its peers."`
+	Explain  explainCmd  `cmd:"" help:"Explain a request that was sent, or the route that a request would take."`
+	Drain    drainCmd    `cmd:"" help:"Stop sending new work to an upstream."`
 	LogLevel logLevelCmd `cmd:"" help:"Change the log level of an instance."`
 	Standin  standinCmd  `cmd:"" help:"Serve stand-ins of the upstreams and the platform on loopback ports."`
-	Load     loadCmd     `cmd:"" help:"Send load from a scenario and report what came back."`
-	Dev      devCmd      `cmd:"" help:"Run stand-ins and one entry instance in this process."`
-	Trial    trialCmd    `cmd:"" help:"Measure how instances agree."`
+	Load     loadCmd     `cmd:"" help:"Run load scenarios and compare their results."`
+	Dev      devCmd      `cmd:"" help:"Run stand-ins and entry instances in this process."`
+	Trial    trialCmd    `cmd:"" help:"Measure a running cluster."`
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
@@ -34,5 +35,5 @@
 }
 
 func main() {
-	command.Main("masticctl", "Operators' tool of masticbank.", &cli{})
+	command.Main("masticctl", "Command-line tool for operators of masticbank.", &cli{})
 }
--- a/cmd/masticctl/remote.go
+++ b/cmd/masticctl/remote.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	callTimeout = 30 * time.Second
-	// waitPeriod is the time between two looks at the revisions in force.
-	waitPeriod = 100 * time.Millisecond
+	// requestTimeout bounds each call of the administration API.
+	requestTimeout = 30 * time.Second
+	// pollInterval is the time between two reads of the revisions in force.
+	pollInterval = 100 * time.Millisecond
 )
 
-// remote holds the flags of commands that call an instance.
-type remote struct {
-	Admin string `default:"http://127.0.0.1:8081" env:"MASTICBANK_ADMIN" help:"Base URL of an instance's administration API."`
+// adminFlags holds the flags shared by all commands that call the administration API.
+type adminFlags struct {
+	Admin string `default:"http://127.0.0.1:8081" env:"MASTICBANK_ADMIN" help:"Base URL of the administration API of an instance."`
 	Key   string `env:"MASTICBANK_ADMIN_KEY" required:"" help:"Key of the administration API."`
-	JSON  bool   `name:"json" help:"Print JSON."`
+	JSON  bool   `name:"json" help:"Print the result as JSON."`
 }
 
-func (r *remote) client() *adminclient.Client { return adminclient.New(r.Admin, r.Key) }
+func (f *adminFlags) client() *adminclient.Client { return adminclient.New(f.Admin, f.Key) }
 
-// show prints v as JSON if asked to, and as text otherwise.
-func (r *remote) show(v any, text func()) error {
-	if !r.JSON {
+// printResult prints v as JSON if --json is set, and calls text otherwise.
+func (f *adminFlags) printResult(v any, text func()) error {
+	if !f.JSON {
 		text()
 		return nil
 	}
@@ -42,23 +43,23 @@
 	return enc.Encode(v)
 }
 
-func callContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), callTimeout)
+func requestContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), requestTimeout)
 }
 
 type statusCmd struct {
-	remote
+	adminFlags
 }
 
-// Run prints the state of one instance and what it knows of the others.
+// Run prints the state of one instance and of the peers that it knows.
 func (c *statusCmd) Run() error {
-	ctx, cancel := callContext()
+	ctx, cancel := requestContext()
 	defer cancel()
 	s, err := c.client().Status(ctx)
 	if err != nil {
 		return err
 	}
-	return c.show(s, func() { printStatus(s) })
+	return c.printResult(s, func() { printStatus(s) })
 }
 
 func printStatus(s *admin.Status) {
@@ -81,25 +82,25 @@
 }
 
 type diffCmd struct {
-	remote
+	adminFlags
 	Dir string `arg:"" type:"path" help:"Folder of INI files."`
 }
 
 // Run prints the sections that differ from the configuration in force. The exit
-// status is 0 whether or not there are any.
+// status does not depend on whether there are any.
 func (c *diffCmd) Run() error {
 	wanted, err := config.LoadDir(c.Dir)
 	if err != nil {
 		return &command.UsageError{Err: err}
 	}
-	ctx, cancel := callContext()
+	ctx, cancel := requestContext()
 	defer cancel()
 	current, err := c.client().Config(ctx)
 	if err != nil {
 		return err
 	}
 	changes := config.Diff(current.Config, wanted)
-	return c.show(changes, func() {
+	return c.printResult(changes, func() {
 		for _, ch := range changes {
 			fmt.Println(ch)
 		}
@@ -108,16 +109,16 @@
 }
 
 type publishCmd struct {
-	remote
-	Dir    string        `arg:"" type:"path" help:"Folder of INI files."`
-	Base   *uint64       `help:"Revision that the folder replaces; default is the one in force."`
-	Author string        `help:"Name shown to operators whose proposal lost; default is the user."`
-	Wait   bool          `help:"Wait until every known instance has the revision in force."`
-	Within time.Duration `default:"30s" help:"Longest wait."`
+	adminFlags
+	Dir         string        `arg:"" type:"path" help:"Folder of INI files."`
+	Base        *uint64       `help:"Revision that the folder replaces. Default: the revision in force."`
+	Author      string        `help:"Name shown to operators whose proposal lost against this one. Default: the current user."`
+	Wait        bool          `help:"Wait until the revision is in force on every known instance."`
+	WaitTimeout time.Duration `name:"within" default:"30s" help:"Maximum wait with --wait."`
 }
 
-// published is the JSON output of publish.
-type published struct {
+// publishResult is the JSON output of the publish command.
+type publishResult struct {
 	Revision uint64 `json:"revision"`
 	InForce  int    `json:"in_force"`
 	Known    int    `json:"known"`
@@ -129,7 +130,7 @@
 	if err != nil {
 		return &command.UsageError{Err: err}
 	}
-	ctx, cancel := callContext()
+	ctx, cancel := requestContext()
 	defer cancel()
 	base, err := c.base(ctx)
 	if err != nil {
@@ -139,13 +140,13 @@
 	if err != nil {
 		return publishError(err)
 	}
-	out := &published{Revision: p.Revision}
+	out := &publishResult{Revision: p.Revision}
 	if c.Wait {
 		if err := c.waitInForce(out); err != nil {
 			return err
 		}
 	}
-	return c.show(out, func() {
+	return c.printResult(out, func() {
 		fmt.Printf("revision %d accepted\n", out.Revision)
 		if c.Wait {
 			fmt.Printf("in force on %d of %d instances\n", out.InForce, out.Known)
@@ -174,31 +175,34 @@
 	return "unknown"
 }
 
-// waitInForce waits until the instance and its peers report the revision.
-func (c *publishCmd) waitInForce(out *published) error {
-	deadline := time.Now().Add(c.Within)
+// waitInForce waits until the instance and all its peers report the revision as
+// in force, or until the maximum wait has passed.
+func (c *publishCmd) waitInForce(out *publishResult) error {
+	deadline := time.Now().Add(c.WaitTimeout)
 	for {
-		ctx, cancel := callContext()
+		ctx, cancel := requestContext()
 		s, err := c.client().Status(ctx)
 		cancel()
 		if err != nil {
 			return err
 		}
-		out.InForce, out.Known = inForce(s, out.Revision)
+		out.InForce, out.Known = countInForce(s, out.Revision)
 		if out.InForce == out.Known {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("revision %d is in force on %d of %d instances after %s", out.Revision, out.InForce, out.Known, c.Within)
+			return fmt.Errorf("revision %d is in force on %d of %d instances after %s", out.Revision, out.InForce, out.Known, c.WaitTimeout)
 		}
-		time.Sleep(waitPeriod)
+		time.Sleep(pollInterval)
 	}
 }
 
-func inForce(s *admin.Status, revision uint64) (have, known int) {
+// countInForce counts the instances that have the revision or a later one in force,
+// and all known instances. Peers that are leaving are not counted.
+func countInForce(s *admin.Status, revision uint64) (current, known int) {
 	known = 1
 	if s.Revision >= revision {
-		have++
+		current++
 	}
 	for _, p := range s.Peers {
 		if p.State == "leaving" {
@@ -206,12 +210,13 @@
 		}
 		known++
 		if p.Revision >= revision {
-			have++
+			current++
 		}
 	}
-	return have, known
+	return current, known
 }
 
+// publishError adds the outcome of the proposal to an error of Publish.
 func publishError(err error) error {
 	var se *adminclient.StatusError
 	if !errors.As(err, &se) {
@@ -228,33 +233,33 @@
 }
 
 type drainCmd struct {
-	remote
+	adminFlags
 	Upstream string `arg:"" help:"ID of the upstream."`
 }
 
-// Run stops new work to an upstream.
+// Run drains an upstream: the instance and its peers send it no new work.
 func (c *drainCmd) Run() error {
-	ctx, cancel := callContext()
+	ctx, cancel := requestContext()
 	defer cancel()
 	d, err := c.client().Drain(ctx, c.Upstream)
 	if err != nil {
 		return err
 	}
-	return c.show(d, func() { fmt.Printf("%d instances send no new work to %s\n", d.Instances, c.Upstream) })
+	return c.printResult(d, func() { fmt.Printf("%d instances send no new work to %s\n", d.Instances, c.Upstream) })
 }
 
 type logLevelCmd struct {
-	remote
-	Level string `arg:"" enum:"debug,info,warn,error" help:"Lowest level logged."`
+	adminFlags
+	Level string `arg:"" enum:"debug,info,warn,error" help:"Minimum level of log lines."`
 }
 
 // Run changes the log level of one instance.
 func (c *logLevelCmd) Run() error {
-	ctx, cancel := callContext()
+	ctx, cancel := requestContext()
 	defer cancel()
 	l, err := c.client().LogLevel(ctx, c.Level)
 	if err != nil {
 		return err
 	}
-	return c.show(l, func() { fmt.Println("log level", l.Level) })
+	return c.printResult(l, func() { fmt.Println("log level", l.Level) })
 }
--- a/cmd/masticctl/standin.go
+++ b/cmd/masticctl/standin.go
@@ -18,15 +18,16 @@
 
 type standinCmd struct {
 	Fleet       string        `default:"dev" enum:"dev,asistente,apuntador" help:"Fleet to start: dev, asistente or apuntador."`
-	Host        string        `default:"127.0.0.1" help:"Address that all listeners use; loopback only."`
-	BasePort    int           `default:"9100" help:"First port; 0 takes free ports."`
-	Entry       []string      `help:"Entry instance to list, as ID,zone,address; may be repeated." sep:"none"`
-	LogAppends  int           `default:"400" help:"Appends a second that the log service takes."`
-	LogKeepFor  time.Duration `default:"24h" help:"Time for which the log service keeps a record."`
-	InstanceLag time.Duration `default:"1s" help:"Age of the instance list."`
+	Host        string        `default:"127.0.0.1" help:"Loopback address of all listeners."`
+	BasePort    int           `default:"9100" help:"First port; 0 chooses free ports."`
+	Entry       []string      `help:"Entry instance to put in the instance list, as ID,zone,address; may be repeated." sep:"none"`
+	LogAppends  int           `default:"400" help:"Maximum appends per second of the log service."`
+	LogKeepFor  time.Duration `default:"24h" help:"Retention time of the records of the log service."`
+	InstanceLag time.Duration `default:"1s" help:"Delay after which changes show in the instance list."`
 }
 
-// Run serves the stand-ins until a signal.
+// Run prints the addresses of the stand-ins as JSON, serves until SIGTERM or
+// SIGINT, and then checks what the stand-ins recorded.
 func (c *standinCmd) Run() error {
 	spec := fleets[c.Fleet]()
 	spec.Host = c.Host
@@ -60,8 +61,8 @@
 	"apuntador": fleet.Apuntador,
 }
 
-// checkFleet fails when an engine saw a step out of order or a service recorded an
-// order twice.
+// checkFleet returns an error if an engine recorded a step out of order or a service
+// recorded an order more than once.
 func checkFleet(f *fleet.Fleet) error {
 	violations := f.Violations()
 	for _, v := range violations {
@@ -78,11 +79,11 @@
 	return nil
 }
 
-// parseEntries reads entry instances given as ID,zone,address.
+// parseEntries parses the --entry flags, each of the form ID,zone,address.
 func parseEntries(texts []string) ([]wire.Instance, error) {
 	var out []wire.Instance
 	for _, text := range texts {
-		parts := splitThree(text)
+		parts := splitEntry(text)
 		if parts == nil {
 			return nil, fmt.Errorf("--entry %q is not ID,zone,address", text)
 		}
@@ -91,8 +92,9 @@
 	return out, nil
 }
 
-// splitThree splits at commas and returns nil unless there are three parts.
-func splitThree(text string) []string {
+// splitEntry splits text at commas. It returns nil unless there are exactly three
+// parts, none of them empty.
+func splitEntry(text string) []string {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 || slices.Contains(parts, "") {
 		return nil
--- a/cmd/masticctl/trial.go
+++ b/cmd/masticctl/trial.go
@@ -15,18 +15,18 @@
 )
 
 type trialCmd struct {
-	Publish trialPublishCmd `cmd:"" help:"Time from publishing until in force on all instances."`
-	Race    trialRaceCmd    `cmd:"" help:"Operators that publish on the same base at once."`
-	Orders  trialOrdersCmd  `cmd:"" help:"Orders whose keys are repeated through several instances."`
-	Load    trialLoadCmd    `cmd:"" help:"Streams through ready instances until a signal."`
-	Kill    trialKillCmd    `cmd:"" help:"Kill the last instance under load and watch its slots."`
-	Use     trialUseCmd     `cmd:"" help:"CPU, memory and bytes to peers of each instance."`
+	Publish trialPublishCmd `cmd:"" help:"Measure the time from publishing a revision until it is in force on all instances."`
+	Race    trialRaceCmd    `cmd:"" help:"Let operators publish on the same base revision concurrently."`
+	Orders  trialOrdersCmd  `cmd:"" help:"Send orders and repeat their idempotency keys through several instances."`
+	Load    trialLoadCmd    `cmd:"" help:"Send streams through ready instances until SIGTERM or SIGINT."`
+	Kill    trialKillCmd    `cmd:"" help:"Kill the last instance under load and measure how its slots are taken over."`
+	Usage   trialUsageCmd   `name:"use" cmd:"" help:"Measure CPU, memory and peer traffic of each instance."`
 }
 
-// trialFlags name the instances and the stand-ins.
+// trialFlags holds the addresses of the instances and the stand-ins.
 type trialFlags struct {
-	Target  []string `required:"" help:"Address for callers of an instance, host:port."`
-	Admin   []string `required:"" help:"Base URL of the administration API of the same instance."`
+	Target  []string `required:"" help:"Client API address of an instance, host:port; may be repeated."`
+	Admin   []string `required:"" help:"Base URL of the administration API of an instance, in the order of the targets."`
 	Key     string   `env:"MASTICBANK_ADMIN_KEY" required:"" help:"Key of the administration API."`
 	APIKey  string   `name:"api-key" default:"granja-norte-key" help:"API key of a workspace."`
 	Control string   `env:"CONTROL" help:"Control address of the stand-ins, host:port."`
@@ -43,8 +43,8 @@
 	return c, nil
 }
 
-// conclude prints a result and fails on defects.
-func conclude(result any, defects []string) error {
+// printAndCheck prints a result as JSON and returns an error if there are defects.
+func printAndCheck(result any, defects []string) error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(result); err != nil {
@@ -58,10 +58,10 @@
 
 type trialPublishCmd struct {
 	trialFlags
-	Count int `default:"60" help:"Number of revisions."`
+	Count int `default:"60" help:"Number of revisions to publish."`
 }
 
-// Run measures and prints.
+// Run publishes the revisions and prints the times until they were in force.
 func (t *trialPublishCmd) Run() error {
 	c, err := t.cluster()
 	if err != nil {
@@ -79,10 +79,10 @@
 
 type trialRaceCmd struct {
 	trialFlags
-	Count int `default:"500" help:"Least number of proposals."`
+	Count int `default:"500" help:"Minimum number of proposals."`
 }
 
-// Run races and prints.
+// Run publishes concurrent proposals and prints their outcomes.
 func (t *trialRaceCmd) Run() error {
 	c, err := t.cluster()
 	if err != nil {
@@ -92,51 +92,51 @@
 	if err != nil {
 		return err
 	}
-	return conclude(out, out.Defects())
+	return printAndCheck(out, out.Defects())
 }
 
 type trialOrdersCmd struct {
 	trialFlags
-	Path    string        `default:"/services/socios/orders" help:"Path of the orders."`
-	Callers int           `default:"24" help:"Number of concurrent callers."`
-	Lasting time.Duration `default:"30s" help:"Time in which callers begin new keys."`
-	Seed    uint64        `default:"20261204" help:"Seed of the choice of instances."`
+	Path     string        `default:"/services/socios/orders" help:"Request path of the orders."`
+	Clients  int           `name:"callers" default:"24" help:"Number of concurrent clients."`
+	Duration time.Duration `name:"lasting" default:"30s" help:"Time during which clients start orders with new keys."`
+	Seed     uint64        `default:"20261204" help:"Random seed for the choice of instances."`
 }
 
-// Run sends the orders and prints.
+// Run sends the orders and prints their outcomes.
 func (t *trialOrdersCmd) Run() error {
 	c, err := t.cluster()
 	if err != nil {
 		return err
 	}
 	out, err := c.Orders(context.Background(), trial.OrderOptions{
-		Path: t.Path, Callers: t.Callers, Lasting: t.Lasting, Seed: t.Seed,
+		Path: t.Path, Callers: t.Clients, Lasting: t.Duration, Seed: t.Seed,
 	})
 	if err != nil {
 		return err
 	}
-	return conclude(out, out.Defects())
+	return printAndCheck(out, out.Defects())
 }
 
-// trialStreams configures streams.
-type trialStreams struct {
-	Model     string `default:"asistente" help:"Model."`
-	Layers    int    `default:"32" help:"Layers of the model."`
-	Tokens    int    `default:"24" help:"Tokens of an answer."`
-	Callers   int    `default:"90" help:"Number of concurrent callers."`
-	KeepAlive bool   `help:"Let requests share connections."`
+// streamFlags holds the flags of trials that send streamed completions.
+type streamFlags struct {
+	Model     string `default:"asistente" help:"Name of the model."`
+	Layers    int    `default:"32" help:"Number of layers of the model."`
+	Tokens    int    `default:"24" help:"Tokens per response."`
+	Clients   int    `name:"callers" default:"90" help:"Number of concurrent clients."`
+	KeepAlive bool   `help:"Reuse connections between requests."`
 }
 
-func (t *trialStreams) options() trial.LoadOptions {
-	return trial.LoadOptions{Model: t.Model, Layers: t.Layers, Tokens: t.Tokens, Callers: t.Callers, KeepAlive: t.KeepAlive}
+func (t *streamFlags) options() trial.LoadOptions {
+	return trial.LoadOptions{Model: t.Model, Layers: t.Layers, Tokens: t.Tokens, Callers: t.Clients, KeepAlive: t.KeepAlive}
 }
 
 type trialLoadCmd struct {
 	trialFlags
-	trialStreams
+	streamFlags
 }
 
-// Run loads until a signal and prints.
+// Run sends streams until SIGTERM or SIGINT and prints their outcomes.
 func (t *trialLoadCmd) Run() error {
 	c, err := t.cluster()
 	if err != nil {
@@ -145,16 +145,16 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	out := c.Load(ctx, t.options())
-	return conclude(out, out.Defects())
+	return printAndCheck(out, out.Defects())
 }
 
 type trialKillCmd struct {
 	trialFlags
-	trialStreams
-	PID int `name:"pid" required:"" help:"Process of the last instance."`
+	streamFlags
+	PID int `name:"pid" required:"" help:"Process ID of the last instance."`
 }
 
-// Run kills the instance and prints.
+// Run kills the last instance and prints when the others took over its slots.
 func (t *trialKillCmd) Run() error {
 	c, err := t.cluster()
 	if err != nil {
@@ -165,22 +165,22 @@
 		return err
 	}
 	fmt.Printf("slots taken over after %s, used after %s\n", out.Taken, out.Used)
-	return conclude(out, nil)
+	return printAndCheck(out, nil)
 }
 
-type trialUseCmd struct {
+type trialUsageCmd struct {
 	trialFlags
-	PID     []int         `name:"pid" required:"" help:"Process of each instance."`
-	Lasting time.Duration `default:"10s" help:"Time of the measurement."`
+	PID      []int         `name:"pid" required:"" help:"Process ID of each instance, in the order of the targets."`
+	Duration time.Duration `name:"lasting" default:"10s" help:"Duration of the measurement."`
 }
 
-// Run measures and prints.
-func (t *trialUseCmd) Run() error {
+// Run measures the resource usage of each instance and prints it.
+func (t *trialUsageCmd) Run() error {
 	c, err := t.cluster()
 	if err != nil {
 		return err
 	}
-	out, err := c.Use(context.Background(), t.PID, t.Lasting)
+	out, err := c.Use(context.Background(), t.PID, t.Duration)
 	if err != nil {
 		return err
 	}
--- a/cmd/masticctl/validate.go
+++ b/cmd/masticctl/validate.go
@@ -11,7 +11,7 @@
 	Dir string `arg:"" type:"path" help:"Folder of INI files."`
 }
 
-// Run prints a summary, or the first problem.
+// Run prints a summary of a valid folder, or returns the first problem.
 func (c *validateCmd) Run() error {
 	cfg, err := config.LoadDir(c.Dir)
 	if err != nil {
