--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,3 +1,3 @@
-// Package standin is the root of small in-memory replacements for the systems
-// outside the router. They serve tests and the development mode.
+// Package standin is the root of small in-memory replacements for the systems that
+// the router depends on. They serve tests, load scenarios and the development mode.
 package standin
--- a/standin/engine/batch_test.go
+++ b/standin/engine/batch_test.go
@@ -16,8 +16,9 @@
 	"masticbank.example/standin/fault"
 )
 
-// call posts a step in its own goroutine and sends the status to out.
-func call(ctx context.Context, e *Engine, req wire.StepRequest, out chan<- int) {
+// postStepAsync posts a step in a goroutine of its own and sends the status to out, or 0
+// if the engine aborted the connection.
+func postStepAsync(ctx context.Context, e *Engine, req wire.StepRequest, out chan<- int) {
 	body, _ := json.Marshal(req)
 	r := httptest.NewRequest(http.MethodPost, wire.PathStep, strings.NewReader(string(body)))
 	go func() {
@@ -32,7 +33,7 @@
 	}()
 }
 
-func prefillOf(id string, priority, n int) wire.StepRequest {
+func prefillRequest(id string, priority, n int) wire.StepRequest {
 	return wire.StepRequest{
 		RequestID: id, Attempt: 1, Model: testModel, Version: "1",
 		LastLayer: testLayers - 1, Prefill: true, Prompt: "p", Priority: priority,
@@ -40,11 +41,11 @@
 	}
 }
 
-// Prefills over the slots wait by priority, then by arrival, and a batch shares
-// the time of a step.
+// TestSlotsAndPriority checks that prefills beyond the slots wait in the order of their
+// priority, then of their arrival, and that prefills in different slots run in parallel.
 func TestSlotsAndPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := whole(Options{Slots: 2, PrefillTokensPerSecond: 1000, StepTime: time.Second})
+		e := wholeModelEngine(Options{Slots: 2, PrefillTokensPerSecond: 1000, StepTime: time.Second})
 		start := time.Now()
 		type ended struct {
 			id string
@@ -56,7 +57,7 @@
 			priority int
 		}{{"a", 2}, {"b", 2}, {"late", 2}, {"mid", 1}, {"urgent", 0}, {"later", 2}} {
 			out := make(chan int, 1)
-			call(t.Context(), e, prefillOf(c.id, c.priority, 1), out)
+			postStepAsync(t.Context(), e, prefillRequest(c.id, c.priority, 1), out)
 			synctest.Wait()
 			go func() {
 				<-out
@@ -77,59 +78,62 @@
 	})
 }
 
-// A resend of a step that still runs waits for it; it runs once.
+// TestResendWhileRunning checks that a resend of a step that is still running waits for
+// it, and that the step runs once.
 func TestResendWhileRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := whole(Options{PrefillTokensPerSecond: 100})
+		e := wholeModelEngine(Options{PrefillTokensPerSecond: 100})
 		out := make(chan int, 2)
-		lost, cut := context.WithCancel(t.Context())
-		req := prefillOf("r", 0, 2)
-		call(lost, e, req, out)
+		ctx, cancel := context.WithCancel(t.Context())
+		req := prefillRequest("r", 0, 2)
+		postStepAsync(ctx, e, req, out)
 		synctest.Wait()
-		cut()
+		cancel()
 		require.Zero(t, <-out)
 		req.Resend = true
-		call(t.Context(), e, req, out)
+		postStepAsync(t.Context(), e, req, out)
 		require.Equal(t, http.StatusOK, <-out)
 		require.Equal(t, 1, e.Runs())
 		require.Empty(t, e.Violations())
 	})
 }
 
-// A waiting prefill whose caller leaves has not run and may be sent again.
+// TestAbandonedPrefillLeavesQueue checks that a queued prefill whose client disconnects
+// is removed from the queue without having run, and may be sent again.
 func TestAbandonedPrefillLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := whole(Options{Slots: 1, MaxWaiting: 1, PrefillTokensPerSecond: 100})
+		e := wholeModelEngine(Options{Slots: 1, MaxWaiting: 1, PrefillTokensPerSecond: 100})
 		out := make(chan int, 2)
-		call(t.Context(), e, prefillOf("holder", 0, 1), out)
+		postStepAsync(t.Context(), e, prefillRequest("holder", 0, 1), out)
 		synctest.Wait()
-		lost, cut := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		waiting := make(chan int, 1)
-		call(lost, e, prefillOf("r", 0, 1), waiting)
+		postStepAsync(ctx, e, prefillRequest("r", 0, 1), waiting)
 		synctest.Wait()
-		require.Equal(t, http.StatusTooManyRequests, post(e, wire.PathStep, prefillOf("x", 0, 1), nil))
-		cut()
+		require.Equal(t, http.StatusTooManyRequests, post(e, wire.PathStep, prefillRequest("x", 0, 1), nil))
+		cancel()
 		require.Zero(t, <-waiting)
-		call(t.Context(), e, prefillOf("r", 0, 1), out)
+		postStepAsync(t.Context(), e, prefillRequest("r", 0, 1), out)
 		require.Equal(t, http.StatusOK, <-out)
 		require.Equal(t, http.StatusOK, <-out)
 		require.Equal(t, 2, e.Runs())
 	})
 }
 
-// Idle and cancelled sequences lose their slot; their later steps are refused.
+// TestIdleAndCancelledSequencesEnd checks that idle and cancelled sequences release their
+// slots, and that later steps of them are refused.
 func TestIdleAndCancelledSequencesEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := whole(Options{Slots: 2, IdleTimeout: 4 * time.Second})
-		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillOf("idle", 0, 9), nil))
-		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillOf("cancelled", 0, 9), nil))
+		e := wholeModelEngine(Options{Slots: 2, IdleTimeout: 4 * time.Second})
+		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillRequest("idle", 0, 9), nil))
+		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillRequest("cancelled", 0, 9), nil))
 		cancelled := wire.CancelRequest{RequestID: "cancelled", Attempt: 1}
 		require.Equal(t, http.StatusNoContent, post(e, wire.PathCancel, cancelled, nil))
 		require.Equal(t, 1, e.LoadReport().Running)
 		time.Sleep(10 * time.Second)
 		require.Zero(t, e.LoadReport().Running)
 		for _, id := range []string{"idle", "cancelled"} {
-			next := prefillOf(id, 0, 9)
+			next := prefillRequest(id, 0, 9)
 			next.Prefill, next.Prompt, next.Position, next.Tokens = false, "", 1, []int{1}
 			var refused wire.ErrorBody
 			require.Equal(t, http.StatusNotFound, post(e, wire.PathStep, next, &refused))
@@ -139,16 +143,17 @@
 	})
 }
 
-// Reports show the load of one lag ago; cached prefixes shorten the prefill.
+// TestReportLagAndPrefixCache checks that load reports and cache events show the state
+// of one lag ago, and that the cache evicts the least recently used block.
 func TestReportLagAndPrefixCache(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lag = time.Second
-		e := whole(Options{
+		e := wholeModelEngine(Options{
 			ReportLag: lag, CacheBlocks: 2, CacheEventDelay: lag, IdleTimeout: time.Hour,
 			PrefillTokensPerSecond: 1000,
 		})
 		time.Sleep(lag)
-		req := prefillOf("r", 0, 9)
+		req := prefillRequest("r", 0, 9)
 		req.Prompt = strings.Repeat("x", 3*wire.PrefixBlockBytes)
 		req.CoveredTokens = len(req.Prompt) / bytesPerToken
 		var first, second wire.StepResponse
@@ -175,26 +180,26 @@
 	})
 }
 
-// A leaving engine finishes what it holds and refuses the rest; a slow one
-// takes longer; both faults end by themselves when told so.
+// TestLeavingAndSlow checks that a leaving engine continues its sequences and refuses new
+// attempts, that a slow one takes longer, and that both faults end after their duration.
 func TestLeavingAndSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := whole(Options{StepTime: time.Second})
-		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillOf("held", 0, 3), nil))
+		e := wholeModelEngine(Options{StepTime: time.Second})
+		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillRequest("held", 0, 3), nil))
 		require.NoError(t, e.Inject(fault.Fault{Kind: fault.Leaving}))
 		require.NoError(t, e.Inject(fault.Fault{Kind: fault.Slow, Factor: 3, DurationMillis: 10_000}))
 		var refused wire.ErrorBody
-		require.Equal(t, http.StatusServiceUnavailable, post(e, wire.PathStep, prefillOf("new", 0, 3), &refused))
+		require.Equal(t, http.StatusServiceUnavailable, post(e, wire.PathStep, prefillRequest("new", 0, 3), &refused))
 		require.Equal(t, wire.CodeLeaving, refused.Code)
 		require.True(t, e.LoadReport().Leaving)
 
-		next := prefillOf("held", 0, 3)
+		next := prefillRequest("held", 0, 3)
 		next.Prefill, next.Prompt, next.Tokens, next.Position = false, "", []int{1}, 1
 		start := time.Now()
 		require.Equal(t, http.StatusOK, post(e, wire.PathStep, next, nil))
 		require.Equal(t, 3*time.Second, time.Since(start))
 		time.Sleep(10 * time.Second)
-		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillOf("new", 0, 1), nil))
+		require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefillRequest("new", 0, 1), nil))
 		require.False(t, e.LoadReport().Leaving)
 	})
 }
--- a/standin/engine/benchmark_test.go
+++ b/standin/engine/benchmark_test.go
@@ -7,8 +7,8 @@
 	"masticbank.example/node/wire"
 )
 
-// BenchmarkDecodeStep is the cost of one decode step through the handler,
-// without a network and without step time.
+// BenchmarkDecodeStep measures one decode step through the HTTP handler, without network
+// and with a step time of 0.
 func BenchmarkDecodeStep(b *testing.B) {
 	for _, layers := range []int{8, 32} {
 		b.Run(fmt.Sprintf("layers=%d", layers), func(b *testing.B) {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine is a small stand-in for a model engine that holds a range of
-// layers. Its answers depend on every layer having run exactly once for each
-// token, in order, so that a test can tell a wrong pipeline by its output.
+// layers. The generated tokens are correct only if every layer ran exactly once for
+// each token, in order, so that a test recognizes a wrong pipeline by its output.
 package engine
 
 import (
@@ -14,35 +14,35 @@
 const (
 	finishLength = "length"
 	finishStop   = "stop"
-	// maxEnded bounds the ended attempts that are remembered.
+	// maxEnded is the number of ended attempts that are kept.
 	maxEnded = 1024
 )
 
-// Engine is one replica. It is an http.Handler, safe for concurrent use.
+// Engine is one replica. It is an http.Handler and safe for concurrent use.
 type Engine struct {
 	options Options
 	clock   Clock
 	mux     *http.ServeMux
 
-	mu        sync.Mutex
-	held      wire.EngineState
-	sequences map[attemptKey]*sequence
-	ended     map[attemptKey]*sequence
-	endedFIFO []attemptKey
-	running   int
-	waiting   waitQueue
-	cache     *prefixCache
-	reports   reportHistory
-	faults    faultState
-	network   Network
-	ledger    *Ledger
-	sweeping  bool
+	mu             sync.Mutex
+	state          wire.EngineState
+	sequences      map[attemptKey]*sequence
+	ended          map[attemptKey]*sequence
+	endedOrder     []attemptKey
+	running        int
+	waiting        waitQueue
+	cache          *prefixCache
+	reports        reportHistory
+	faults         faultState
+	network        Network
+	stepChecker    *StepChecker
+	sweepScheduled bool
 
 	violations []Violation
 	runs       int
 }
 
-// Violation is a step that did not follow the last one of its attempt.
+// Violation is a step that did not follow the previous step of its attempt.
 type Violation struct {
 	Engine    string
 	RequestID string
@@ -53,7 +53,7 @@
 	Detail string
 }
 
-// New returns an engine that holds the layers of its options.
+// New returns an engine that holds the layers in its options.
 func New(o Options) *Engine {
 	o = o.withDefaults()
 	e := &Engine{
@@ -63,13 +63,13 @@
 		ended:     make(map[attemptKey]*sequence),
 		cache:     newPrefixCache(o),
 		faults:    newFaultState(),
-		held: wire.EngineState{
+		state: wire.EngineState{
 			Model: o.Model, Version: o.Version,
 			FirstLayer: o.FirstLayer, LastLayer: o.LastLayer,
 			Fencing: o.Fencing,
 		},
 	}
-	e.noteLoad()
+	e.recordLoad()
 	e.mux = http.NewServeMux()
 	e.mux.HandleFunc("POST "+wire.PathStep, e.serveStep)
 	e.mux.HandleFunc("POST "+wire.PathCancel, e.serveCancel)
@@ -82,18 +82,18 @@
 	return e
 }
 
-// ServeHTTP serves the paths of an engine in package wire and fault.Path.
+// ServeHTTP serves the paths of an engine as defined in package wire, and fault.Path.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != fault.Path {
-		e.passFaults(r)
+		e.applyConnectionFaults(r)
 	}
 	e.mux.ServeHTTP(w, r)
 }
 
-// Options returns the options that the engine was created with.
+// Options returns the options of the engine with defaults filled in.
 func (e *Engine) Options() Options { return e.options }
 
-// Violations returns every gap and repeat seen so far.
+// Violations returns every gap and repetition that this engine refused so far.
 func (e *Engine) Violations() []Violation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,9 +107,9 @@
 	return e.runs
 }
 
-// State returns what the engine holds.
+// State returns the model and the layers that the engine holds or loads.
 func (e *Engine) State() wire.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.held
+	return e.state
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -23,7 +23,8 @@
 	testPrompt = "a prompt that is longer than one prefix block of sixty-four bytes, by a little"
 )
 
-// post sends a message to an engine and decodes the answer into out.
+// post sends a message to an engine, decodes the response into out and returns the
+// status.
 func post(e *Engine, path string, message, out any) int {
 	body, _ := json.Marshal(message)
 	r := httptest.NewRequest(http.MethodPost, path, bytes.NewReader(body))
@@ -35,8 +36,8 @@
 	return w.Code
 }
 
-// drawTiling returns one engine for each range of a random tiling.
-func drawTiling(t *rapid.T, ledger *Ledger) []*Engine {
+// drawTiling returns one engine per layer range of a random tiling.
+func drawTiling(t *rapid.T, checker *StepChecker) []*Engine {
 	var stages []*Engine
 	for first := 0; first < testLayers; {
 		last := rapid.IntRange(first, testLayers-1).Draw(t, "last")
@@ -44,14 +45,14 @@
 			ID: fmt.Sprint(first), Model: testModel, Version: "1", Layers: testLayers,
 			FirstLayer: first, LastLayer: last, CacheBlocks: 8,
 		})
-		e.SetLedger(ledger)
+		e.SetStepChecker(checker)
 		stages = append(stages, e)
 		first = last + 1
 	}
 	return stages
 }
 
-// runStep sends one position through the stages.
+// runStep sends one position through all stages and returns the generated token.
 func runStep(stages []*Engine, req wire.StepRequest) (wire.Token, error) {
 	var response wire.StepResponse
 	for _, e := range stages {
@@ -68,7 +69,9 @@
 	return *response.Token, nil
 }
 
-func request(attempt, position, n int, tokens []wire.Token, prefill bool) wire.StepRequest {
+// stepRequest returns the request of a step, or of a prefill up to its position, after
+// the given tokens.
+func stepRequest(attempt, position, n int, tokens []wire.Token, prefill bool) wire.StepRequest {
 	req := wire.StepRequest{
 		RequestID: "r", Attempt: attempt, Position: position, Model: testModel, Version: "1",
 		Prefill: prefill, MaxTokens: n, CoveredTokens: 1,
@@ -85,17 +88,18 @@
 	return req
 }
 
-// Any tiling and any resume points give the output of Expected.
+// TestOutputIsIndependentOfTilingAndResume checks that the output equals the expected
+// one whatever the tiling and the positions at which a new attempt resumes.
 func TestOutputIsIndependentOfTilingAndResume(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 6
-		ledger := NewLedger(testLayers)
+		checker := NewStepChecker(testLayers)
 		var tokens []wire.Token
 		for attempt := 0; len(tokens) < n; attempt++ {
-			stages := drawTiling(t, ledger)
+			stages := drawTiling(t, checker)
 			end := rapid.IntRange(len(tokens)+1, n).Draw(t, "end")
 			for prefill := true; len(tokens) < end; prefill = false {
-				token, err := runStep(stages, request(attempt, len(tokens), n, tokens, prefill))
+				token, err := runStep(stages, stepRequest(attempt, len(tokens), n, tokens, prefill))
 				require.NoError(t, err)
 				tokens = append(tokens, token)
 			}
@@ -104,11 +108,12 @@
 			}
 		}
 		require.Equal(t, Expected(testModel, testLayers, testPrompt, n), tokens)
-		require.Empty(t, ledger.Violations())
+		require.Empty(t, checker.Violations())
 	})
 }
 
-// A layer that is skipped, run twice or run out of order changes the output.
+// TestOutputDependsOnEveryLayer checks that the output changes if a layer is skipped, run
+// twice or run out of order.
 func TestOutputDependsOnEveryLayer(t *testing.T) {
 	right := Expected(testModel, testLayers, testPrompt, 1)[0]
 	run := func(layers ...int) wire.Token {
@@ -125,16 +130,17 @@
 	require.NotEqual(t, right.ID, run(0, 2, 1, 3, 4, 5, 6).ID)
 }
 
-func whole(o Options) *Engine {
+// wholeModelEngine returns an engine that holds all layers.
+func wholeModelEngine(o Options) *Engine {
 	o.Model, o.Version, o.Layers, o.LastLayer = testModel, "1", testLayers, testLayers-1
 	return New(o)
 }
 
 func TestGapsAndRepeatsAreRefusedAndRecorded(t *testing.T) {
-	e := whole(Options{})
+	e := wholeModelEngine(Options{})
 	var first, again wire.StepResponse
 	var refused wire.ErrorBody
-	prefill := request(1, 0, 4, nil, true)
+	prefill := stepRequest(1, 0, 4, nil, true)
 	prefill.LastLayer = testLayers - 1
 	require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefill, &first))
 
@@ -144,17 +150,17 @@
 	require.Equal(t, http.StatusOK, post(e, wire.PathStep, prefill, &again))
 	require.Equal(t, first, again)
 
-	gap := request(1, 2, 4, []wire.Token{*first.Token}, false)
+	gap := stepRequest(1, 2, 4, []wire.Token{*first.Token}, false)
 	gap.LastLayer = testLayers - 1
 	require.Equal(t, http.StatusConflict, post(e, wire.PathStep, gap, &refused))
 	require.Equal(t, wire.CodeGap, refused.Code)
 
-	unknown := request(2, 1, 4, []wire.Token{*first.Token}, false)
+	unknown := stepRequest(2, 1, 4, []wire.Token{*first.Token}, false)
 	unknown.LastLayer = testLayers - 1
 	require.Equal(t, http.StatusNotFound, post(e, wire.PathStep, unknown, &refused))
 	require.Equal(t, wire.CodeUnknownAttempt, refused.Code)
 
-	wrong := request(3, 0, 4, nil, true)
+	wrong := stepRequest(3, 0, 4, nil, true)
 	wrong.LastLayer = 2
 	require.Equal(t, http.StatusConflict, post(e, wire.PathStep, wrong, &refused))
 	require.Equal(t, wire.CodeWrongRange, refused.Code)
@@ -166,13 +172,13 @@
 	require.Equal(t, wire.CodeGap, violations[1].Code)
 }
 
-// A finished attempt answers a resend of its last step; its older results are
-// gone, and a step after the end is a gap.
+// TestResendAfterTheEnd checks that after the end of an attempt its last step can be sent
+// again, older results are discarded, and a further step is a gap.
 func TestResendAfterTheEnd(t *testing.T) {
-	e := whole(Options{})
+	e := wholeModelEngine(Options{})
 	var last, again wire.StepResponse
 	for position := range 3 {
-		req := request(1, position, 3, []wire.Token{{ID: 7}}, position == 0)
+		req := stepRequest(1, position, 3, []wire.Token{{ID: 7}}, position == 0)
 		req.LastLayer = testLayers - 1
 		if req.Prefill {
 			req.Tokens = nil
@@ -180,7 +186,7 @@
 		require.Equal(t, http.StatusOK, post(e, wire.PathStep, req, &last))
 	}
 	require.Equal(t, finishLength, last.Token.Finish)
-	resend := request(1, 2, 3, []wire.Token{{ID: 7}}, false)
+	resend := stepRequest(1, 2, 3, []wire.Token{{ID: 7}}, false)
 	resend.LastLayer, resend.Resend = testLayers-1, true
 	require.Equal(t, http.StatusOK, post(e, wire.PathStep, resend, &again))
 	require.Equal(t, last, again)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -10,57 +10,59 @@
 	"masticbank.example/standin/fault"
 )
 
-// Network is the server in front of an engine; it takes part in crashes.
+// Network is the server in front of an engine. It is disconnected while the engine is
+// crashed.
 type Network interface {
-	// Cut closes all connections and refuses new ones.
-	Cut()
-	// Restore accepts connections again on the same address.
-	Restore() error
+	// Disconnect closes all connections and refuses new ones.
+	Disconnect()
+	// Reconnect accepts connections on the same address again.
+	Reconnect() error
 }
 
-// faultState holds the faults that are on. Engine.mu guards it.
+// faultState holds the active faults of an engine. The engine's lock guards it.
 type faultState struct {
-	crashed  bool
-	closed   bool
-	leaving  bool
-	hangAll  bool
-	factor   float64
-	poison   string
-	answers  map[fault.Kind]int
-	delay    time.Duration
-	revision int
-	// seen holds the remote addresses of connections; hung those that hang.
-	seen map[string]bool
-	hung map[string]bool
-	// healed is closed when hanging connections go on.
-	healed chan struct{}
-}
-
-// maxSeen bounds the remembered remote addresses.
-const maxSeen = 1 << 14
+	crashed   bool
+	closed    bool
+	leaving   bool
+	hangAll   bool
+	factor    float64
+	poison    string
+	remaining map[fault.Kind]int
+	delay     time.Duration
+	revision  int
+	// seenAddresses holds the remote addresses of all connections that brought
+	// requests, hungAddresses those of connections that hang.
+	seenAddresses map[string]bool
+	hungAddresses map[string]bool
+	// resumed is closed when the requests on hanging connections may continue.
+	resumed chan struct{}
+}
+
+// maxSeenAddresses is the maximum number of remote addresses that are kept.
+const maxSeenAddresses = 1 << 14
 
 func newFaultState() faultState {
 	return faultState{
-		factor:  1,
-		answers: make(map[fault.Kind]int),
-		seen:    make(map[string]bool),
-		hung:    make(map[string]bool),
-		healed:  make(chan struct{}),
+		factor:        1,
+		remaining:     make(map[fault.Kind]int),
+		seenAddresses: make(map[string]bool),
+		hungAddresses: make(map[string]bool),
+		resumed:       make(chan struct{}),
 	}
 }
 
-// Attach names the server that crashes together with the engine. Call it
-// before serving. Without one, a crashed engine cuts each connection that
-// brings a request.
-func (e *Engine) Attach(n Network) { e.network = n }
+// AttachNetwork sets the server that is disconnected while the engine is crashed. It
+// must be called before serving. Without a server, a crashed engine closes each
+// connection on which a request arrives.
+func (e *Engine) AttachNetwork(n Network) { e.network = n }
 
-// Inject shows a fault.
+// Inject applies a fault.
 func (e *Engine) Inject(f fault.Fault) error {
-	if err := f.Check(); err != nil {
+	if err := f.Validate(); err != nil {
 		return err
 	}
 	e.mu.Lock()
-	revision, err := e.set(f)
+	revision, err := e.applyFault(f)
 	e.mu.Unlock()
 	if err != nil {
 		return err
@@ -77,13 +79,13 @@
 	_ = e.Inject(fault.Fault{Kind: fault.Restore})
 }
 
-// Close drops everything that the engine holds and stops its work.
+// Close discards all sequences and closes the connection of every further request.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.closed = true
-	e.dropAll()
-	e.heal()
+	e.discardAll()
+	e.resumeHung()
 }
 
 func (e *Engine) isClosed() bool {
@@ -92,7 +94,7 @@
 	return e.faults.closed
 }
 
-// restoreIf ends all faults unless another one was injected meanwhile.
+// restoreIf ends all faults unless another one was injected since the given revision.
 func (e *Engine) restoreIf(revision int) {
 	e.mu.Lock()
 	same := e.faults.revision == revision
@@ -102,17 +104,19 @@
 	}
 }
 
-func (e *Engine) set(f fault.Fault) (int, error) {
+// applyFault applies a fault and returns the new revision of the faults. The caller holds
+// e.mu.
+func (e *Engine) applyFault(f fault.Fault) (int, error) {
 	state := &e.faults
 	switch f.Kind {
 	case fault.Crash:
 		e.crash()
-	case fault.CloseMidAnswer, fault.ForeignIdentity, fault.AnswerTwice, fault.DelayedDuplicate:
-		state.answers[f.Kind] = f.Answers()
+	case fault.CloseMidResponse, fault.WrongRequestID, fault.DuplicateResponse, fault.DelayedDuplicate:
+		state.remaining[f.Kind] = f.Responses()
 		state.delay = f.Delay()
 	case fault.HangConnections:
-		for address := range state.seen {
-			state.hung[address] = true
+		for address := range state.seenAddresses {
+			state.hungAddresses[address] = true
 		}
 	case fault.HangAll:
 		state.hangAll = true
@@ -127,61 +131,63 @@
 	default:
 		return 0, fmt.Errorf("%w %q", fault.ErrUnknown, f.Kind)
 	}
-	e.noteLoad()
+	e.recordLoad()
 	state.revision++
 	return state.revision, nil
 }
 
-// crash loses all sequences and the cache. The caller holds e.mu.
+// crash discards all sequences, ended attempts and the cache. The caller holds e.mu.
 func (e *Engine) crash() {
 	e.faults.crashed = true
-	e.dropAll()
+	e.discardAll()
 	clear(e.ended)
-	e.endedFIFO = nil
+	e.endedOrder = nil
 	e.cache.clear()
-	e.heal()
+	e.resumeHung()
 }
 
-// heal releases the handlers of hanging connections.
-func (e *Engine) heal() {
-	close(e.faults.healed)
-	e.faults.healed = make(chan struct{})
+// resumeHung lets the requests on hanging connections continue. The caller holds e.mu.
+func (e *Engine) resumeHung() {
+	close(e.faults.resumed)
+	e.faults.resumed = make(chan struct{})
 }
 
+// clearFaults ends all faults. The caller holds e.mu.
 func (e *Engine) clearFaults() {
-	e.heal()
+	e.resumeHung()
 	fresh := newFaultState()
 	fresh.closed = e.faults.closed
 	fresh.revision = e.faults.revision
-	fresh.seen = e.faults.seen
-	fresh.healed = e.faults.healed
+	fresh.seenAddresses = e.faults.seenAddresses
+	fresh.resumed = e.faults.resumed
 	e.faults = fresh
 }
 
+// syncNetwork disconnects the server after a crash and reconnects it after Restore.
 func (e *Engine) syncNetwork(kind fault.Kind) {
 	if e.network == nil {
 		return
 	}
 	if kind == fault.Crash {
-		e.network.Cut()
+		e.network.Disconnect()
 	}
 	if kind == fault.Restore {
-		_ = e.network.Restore()
+		_ = e.network.Reconnect()
 	}
 }
 
-// passFaults returns when the request may be served; it cuts the connection of
-// a crashed engine and keeps the request of a hanging one.
-func (e *Engine) passFaults(r *http.Request) {
+// applyConnectionFaults returns when the request may be served. It aborts the connection
+// if the engine is crashed or closed, and blocks while the connection hangs.
+func (e *Engine) applyConnectionFaults(r *http.Request) {
 	for {
 		e.mu.Lock()
-		if len(e.faults.seen) >= maxSeen {
-			clear(e.faults.seen)
+		if len(e.faults.seenAddresses) >= maxSeenAddresses {
+			clear(e.faults.seenAddresses)
 		}
-		e.faults.seen[r.RemoteAddr] = true
+		e.faults.seenAddresses[r.RemoteAddr] = true
 		crashed := e.faults.crashed || e.faults.closed
-		hangs := e.faults.hangAll || e.faults.hung[r.RemoteAddr]
-		healed := e.faults.healed
+		hangs := e.faults.hangAll || e.faults.hungAddresses[r.RemoteAddr]
+		resumed := e.faults.resumed
 		e.mu.Unlock()
 		if crashed {
 			panic(http.ErrAbortHandler)
@@ -190,15 +196,16 @@
 			return
 		}
 		select {
-		case <-healed:
+		case <-resumed:
 		case <-r.Context().Done():
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// isPoison crashes the engine when the prompt holds the poison.
-func (e *Engine) isPoison(prompt string) bool {
+// crashIfPoison crashes the engine if the prompt contains the poison text, and reports
+// whether it did.
+func (e *Engine) crashIfPoison(prompt string) bool {
 	e.mu.Lock()
 	poison := e.faults.poison
 	hit := poison != "" && strings.Contains(prompt, poison)
@@ -213,22 +220,24 @@
 	return hit
 }
 
-// useAnswerFault reports whether the next answer shows the fault.
-func (e *Engine) useAnswerFault(kind fault.Kind) bool {
+// consumeResponseFault reports whether the fault applies to this response, and counts it
+// down.
+func (e *Engine) consumeResponseFault(kind fault.Kind) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	left := e.faults.answers[kind]
+	left := e.faults.remaining[kind]
 	if left > 0 {
-		e.faults.answers[kind] = left - 1
+		e.faults.remaining[kind] = left - 1
 	}
 	return left != 0
 }
 
+// serveFault responds before a crash, because the crash closes the connection.
 func (e *Engine) serveFault(w http.ResponseWriter, r *http.Request) {
 	var f fault.Fault
 	err := json.NewDecoder(r.Body).Decode(&f)
 	if err == nil {
-		err = f.Check()
+		err = f.Validate()
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -16,7 +16,7 @@
 	"masticbank.example/standin/fault"
 )
 
-// client sends steps to a served engine over connections of its own.
+// client sends steps to an engine over HTTP, on connections of its own.
 type client struct {
 	http    http.Client
 	address string
@@ -46,11 +46,12 @@
 	return out, json.Unmarshal(data, &out)
 }
 
-func serveWhole(t *testing.T) (*Engine, *Server) {
-	e := whole(Options{})
+// serveWholeModel starts an engine with all layers behind a server.
+func serveWholeModel(t *testing.T) (*Engine, *Server) {
+	e := wholeModelEngine(Options{})
 	s, err := Listen("127.0.0.1:0", e)
 	require.NoError(t, err)
-	e.Attach(s)
+	e.AttachNetwork(s)
 	t.Cleanup(func() {
 		e.Close()
 		s.Close()
@@ -58,42 +59,43 @@
 	return e, s
 }
 
-func TestAnswerFaults(t *testing.T) {
-	e, s := serveWhole(t)
+func TestResponseFaults(t *testing.T) {
+	e, s := serveWholeModel(t)
 	c := newClient(t, s)
-	require.NoError(t, e.Inject(fault.Fault{Kind: fault.CloseMidAnswer}))
-	_, err := c.step(prefillOf("half", 0, 1))
+	require.NoError(t, e.Inject(fault.Fault{Kind: fault.CloseMidResponse}))
+	_, err := c.step(prefillRequest("half", 0, 1))
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 
-	require.NoError(t, e.Inject(fault.Fault{Kind: fault.ForeignIdentity}))
-	answer, err := c.step(prefillOf("mine", 0, 1))
+	require.NoError(t, e.Inject(fault.Fault{Kind: fault.WrongRequestID}))
+	response, err := c.step(prefillRequest("mine", 0, 1))
 	require.NoError(t, err)
-	require.Equal(t, "foreign-mine", answer.RequestID)
+	require.Equal(t, "foreign-mine", response.RequestID)
 
-	for _, kind := range []fault.Kind{fault.AnswerTwice, fault.DelayedDuplicate} {
+	for _, kind := range []fault.Kind{fault.DuplicateResponse, fault.DelayedDuplicate} {
 		require.NoError(t, e.Inject(fault.Fault{Kind: kind, DelayMillis: 1}))
-		body, _ := json.Marshal(prefillOf(string(kind), 0, 1))
-		require.Equal(t, 2, rawAnswers(t, s, body))
+		body, _ := json.Marshal(prefillRequest(string(kind), 0, 1))
+		require.Equal(t, 2, countRawResponses(t, s, body))
 	}
-	answer, err = c.step(prefillOf("after", 0, 1))
+	response, err = c.step(prefillRequest("after", 0, 1))
 	require.NoError(t, err)
-	require.Equal(t, "after", answer.RequestID)
+	require.Equal(t, "after", response.RequestID)
 	require.ErrorIs(t, e.Inject(fault.Fault{Kind: "none"}), fault.ErrUnknown)
 }
 
-// Connections opened before the fault stay silent; new ones work.
+// TestHangConnections checks that connections opened before the fault get no response,
+// while new ones work.
 func TestHangConnections(t *testing.T) {
-	e, s := serveWhole(t)
+	e, s := serveWholeModel(t)
 	before, after := newClient(t, s), newClient(t, s)
-	_, err := before.step(prefillOf("first", 0, 1))
+	_, err := before.step(prefillRequest("first", 0, 1))
 	require.NoError(t, err)
 	require.NoError(t, e.Inject(fault.Fault{Kind: fault.HangConnections}))
 	silent := make(chan error, 1)
 	go func() {
-		_, err := before.step(prefillOf("silent", 0, 1))
+		_, err := before.step(prefillRequest("silent", 0, 1))
 		silent <- err
 	}()
-	_, err = after.step(prefillOf("new", 0, 1))
+	_, err = after.step(prefillRequest("new", 0, 1))
 	require.NoError(t, err)
 	require.Empty(t, silent)
 	e.Restore()
@@ -101,21 +103,22 @@
 	require.Equal(t, 3, e.Runs())
 }
 
-// A poisoned prompt crashes the engine, which loses its sequences.
+// TestPoisonCrashesEngine checks that a poisoned prompt crashes the engine, which thereby
+// loses its sequences.
 func TestPoisonCrashesEngine(t *testing.T) {
-	e, s := serveWhole(t)
+	e, s := serveWholeModel(t)
 	c := newClient(t, s)
-	_, err := c.step(prefillOf("held", 0, 9))
+	_, err := c.step(prefillRequest("held", 0, 9))
 	require.NoError(t, err)
 	require.NoError(t, e.Inject(fault.Fault{Kind: fault.Poison, Text: "po"}))
-	poisoned := prefillOf("bad", 0, 9)
+	poisoned := prefillRequest("bad", 0, 9)
 	poisoned.Prompt = "a poison"
 	_, err = c.step(poisoned)
 	require.Error(t, err)
-	_, err = newClient(t, s).step(prefillOf("refused", 0, 1))
+	_, err = newClient(t, s).step(prefillRequest("refused", 0, 1))
 	require.ErrorContains(t, err, "refused")
 	e.Restore()
-	next := prefillOf("held", 0, 9)
+	next := prefillRequest("held", 0, 9)
 	next.Prefill, next.Prompt, next.Position, next.Tokens = false, "", 1, []int{1}
 	_, err = c.step(next)
 	require.ErrorContains(t, err, wire.CodeUnknownAttempt)
@@ -123,21 +126,21 @@
 
 func TestFencing(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
-		e := whole(Options{Fencing: fencing})
+		e := wholeModelEngine(Options{Fencing: fencing})
 		target := wire.Order{Fence: 5, Model: testModel, Version: "2", LastLayer: testLayers - 1}
-		var answer wire.OrderResponse
-		require.Equal(t, http.StatusOK, post(e, wire.PathOrder, target, &answer))
-		require.Equal(t, wire.OrderResponse{Accepted: true, Fence: 5}, answer)
+		var response wire.OrderResponse
+		require.Equal(t, http.StatusOK, post(e, wire.PathOrder, target, &response))
+		require.Equal(t, wire.OrderResponse{Accepted: true, Fence: 5}, response)
 		target.Fence, target.Version = 4, "1"
-		require.Equal(t, http.StatusOK, post(e, wire.PathOrder, target, &answer))
-		require.Equal(t, wire.OrderResponse{Accepted: !fencing, Fence: 5}, answer)
+		require.Equal(t, http.StatusOK, post(e, wire.PathOrder, target, &response))
+		require.Equal(t, wire.OrderResponse{Accepted: !fencing, Fence: 5}, response)
 		held := map[bool]string{true: "2", false: "1"}[fencing]
 		require.Equal(t, held, e.State().Version)
 	}
 }
 
-// rawAnswers counts the answers that one request gets on its connection.
-func rawAnswers(t *testing.T, s *Server, body []byte) int {
+// countRawResponses sends a request on a connection of its own and counts the responses.
+func countRawResponses(t *testing.T, s *Server, body []byte) int {
 	conn, err := net.Dial("tcp", s.Address())
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -150,19 +153,19 @@
 	return bytes.Count(data, []byte("HTTP/1.1 200 OK"))
 }
 
-// When everything hangs, new connections get no answer either.
+// TestHangAll checks that with this fault new connections get no response either.
 func TestHangAll(t *testing.T) {
-	e, s := serveWhole(t)
+	e, s := serveWholeModel(t)
 	require.NoError(t, e.Inject(fault.Fault{Kind: fault.HangAll}))
 	silent := make(chan error, 1)
 	go func() {
-		_, err := newClient(t, s).step(prefillOf("silent", 0, 1))
+		_, err := newClient(t, s).step(prefillRequest("silent", 0, 1))
 		silent <- err
 	}()
 	require.Eventually(t, func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return len(e.faults.seen) > 0
+		return len(e.faults.seenAddresses) > 0
 	}, 5*time.Second, time.Millisecond)
 	require.Zero(t, e.Runs())
 	require.Empty(t, silent)
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -13,8 +13,8 @@
 	"masticbank.example/standin/fault"
 )
 
-// statusOf maps the codes of refusals to HTTP status codes.
-func statusOf(code string) int {
+// httpStatus maps the code of a refusal to an HTTP status.
+func httpStatus(code string) int {
 	switch code {
 	case wire.CodeMalformed:
 		return http.StatusBadRequest
@@ -35,10 +35,10 @@
 		writeRefusal(w, refuse(wire.CodeMalformed, err.Error()))
 		return
 	}
-	if e.isPoison(req.Prompt) {
+	if e.crashIfPoison(req.Prompt) {
 		panic(http.ErrAbortHandler)
 	}
-	s, refused := e.begin(req)
+	s, refused := e.beginStep(req)
 	if refused != nil {
 		writeRefusal(w, refused)
 		return
@@ -46,56 +46,57 @@
 	select {
 	case <-s.done:
 	case <-r.Context().Done():
-		e.leave(s)
+		e.stopWaiting(s)
 		panic(http.ErrAbortHandler)
 	}
-	e.leave(s)
-	e.passFaults(r)
+	e.stopWaiting(s)
+	e.applyConnectionFaults(r)
 	if s.refusal != nil {
 		writeRefusal(w, s.refusal)
 		return
 	}
-	e.answer(w, *s.response)
+	e.respond(w, *s.response)
 }
 
-// answer writes a step's response, with the answer faults that are on.
-func (e *Engine) answer(w http.ResponseWriter, response wire.StepResponse) {
-	if e.useAnswerFault(fault.ForeignIdentity) {
+// respond writes the response of a step, with the active response faults.
+func (e *Engine) respond(w http.ResponseWriter, response wire.StepResponse) {
+	if e.consumeResponseFault(fault.WrongRequestID) {
 		response.RequestID = "foreign-" + response.RequestID
 	}
 	body, _ := json.Marshal(response)
 	switch {
-	case e.useAnswerFault(fault.CloseMidAnswer):
+	case e.consumeResponseFault(fault.CloseMidResponse):
 		writeRaw(w, func(b *bufio.Writer, _ net.Conn) {
-			raw := rawAnswer(body)
+			raw := rawResponse(body)
 			_, _ = b.Write(raw[:len(raw)-len(body)/2])
 		})
-	case e.useAnswerFault(fault.AnswerTwice):
+	case e.consumeResponseFault(fault.DuplicateResponse):
 		writeRaw(w, func(b *bufio.Writer, _ net.Conn) {
-			_, _ = b.Write(rawAnswer(body))
-			_, _ = b.Write(rawAnswer(body))
+			_, _ = b.Write(rawResponse(body))
+			_, _ = b.Write(rawResponse(body))
 		})
-	case e.useAnswerFault(fault.DelayedDuplicate):
-		e.answerLateAgain(w, body)
+	case e.consumeResponseFault(fault.DelayedDuplicate):
+		e.respondTwiceDelayed(w, body)
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(body)
 	}
 }
 
-func (e *Engine) answerLateAgain(w http.ResponseWriter, body []byte) {
+// respondTwiceDelayed writes the response and repeats it after the delay of the fault.
+func (e *Engine) respondTwiceDelayed(w http.ResponseWriter, body []byte) {
 	e.mu.Lock()
 	delay := e.faults.delay
 	e.mu.Unlock()
 	writeRaw(w, func(b *bufio.Writer, _ net.Conn) {
-		_, _ = b.Write(rawAnswer(body))
+		_, _ = b.Write(rawResponse(body))
 		_ = b.Flush()
 		time.Sleep(delay)
-		_, _ = b.Write(rawAnswer(body))
+		_, _ = b.Write(rawResponse(body))
 	})
 }
 
-// writeRaw takes the connection over, writes to it and closes it.
+// writeRaw takes over the connection, lets write use it and closes it.
 func writeRaw(w http.ResponseWriter, write func(*bufio.Writer, net.Conn)) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -106,7 +107,8 @@
 	_ = buffer.Flush()
 }
 
-func rawAnswer(body []byte) []byte {
+// rawResponse returns a complete HTTP response with the given body.
+func rawResponse(body []byte) []byte {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ")
 	b.WriteString(strconv.Itoa(len(body)))
@@ -131,7 +133,7 @@
 
 func (e *Engine) serveProbe(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	leaving, loading := e.faults.leaving, e.held.Loading
+	leaving, loading := e.faults.leaving, e.state.Loading
 	e.mu.Unlock()
 	switch {
 	case leaving:
@@ -155,12 +157,12 @@
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var o wire.Order
-	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+	var order wire.Order
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		writeRefusal(w, refuse(wire.CodeMalformed, err.Error()))
 		return
 	}
-	writeJSON(w, http.StatusOK, e.take(o))
+	writeJSON(w, http.StatusOK, e.applyOrder(order))
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
@@ -168,7 +170,7 @@
 }
 
 func writeRefusal(w http.ResponseWriter, r *refusal) {
-	writeJSON(w, statusOf(r.code), wire.ErrorBody{Code: r.code, Message: r.message})
+	writeJSON(w, httpStatus(r.code), wire.ErrorBody{Code: r.code, Message: r.message})
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -13,13 +13,13 @@
 const (
 	// vocabulary is the number of distinct tokens.
 	vocabulary = 4096
-	// hiddenBytes is the size of one position's hidden state.
+	// hiddenBytes is the size of the hidden state of one position.
 	hiddenBytes = 8
 )
 
 var errHidden = errors.New("hidden state of the wrong size")
 
-// mix combines two values; it is the finalizer of splitmix64 over both.
+// mix hashes two values into one with the finalizer of splitmix64.
 func mix(a, b uint64) uint64 {
 	z := bits.RotateLeft64(a, 29) ^ (b + 0x9e3779b97f4a7c15)
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -32,22 +32,22 @@
 	return mix(xxhash.Sum64String(model), xxhash.Sum64String(prompt))
 }
 
-// embedToken returns the input of the position after the token.
+// embedToken returns the input of the position that follows the token.
 func embedToken(id int) uint64 {
 	return mix(1, uint64(id))
 }
 
-// layerState is the KV state of one layer of one sequence.
+// layerState stands for the KV cache of one layer of one sequence.
 type layerState uint64
 
-// run folds one position through layer and returns its output. The output
-// depends on the layer, its input and all earlier inputs of this layer.
+// run computes one position of a layer and returns its output, which depends on the
+// number of the layer, the input and all earlier inputs of this layer.
 func (s *layerState) run(layer int, input uint64) uint64 {
 	*s = layerState(mix(uint64(*s), input))
 	return mix(uint64(layer)+1, uint64(*s))
 }
 
-// runLayers folds one position through consecutive layers from first on.
+// runLayers computes one position of consecutive layers, beginning with layer first.
 func runLayers(first int, states []layerState, hidden uint64) uint64 {
 	for i := range states {
 		hidden = states[i].run(first+i, hidden)
@@ -58,11 +58,11 @@
 // tokenOf derives the token from the output of the last layer.
 func tokenOf(hidden uint64) wire.Token {
 	id := int(hidden % vocabulary)
-	return wire.Token{ID: id, Text: word(id)}
+	return wire.Token{ID: id, Text: tokenText(id)}
 }
 
-// word spells a token as two syllables and a space.
-func word(id int) string {
+// tokenText returns the text of a token: two syllables and a space.
+func tokenText(id int) string {
 	const consonants = "bcdfghlmnprstvyz"
 	const vowels = "aeio"
 	text := make([]byte, 0, 5)
@@ -73,9 +73,9 @@
 	return string(append(text, ' '))
 }
 
-// Expected returns the n tokens that a model of the given number of layers
-// generates for prompt, for any tiling of the layers and any resume point. The
-// last one finishes with "length".
+// Expected returns the n tokens that a model with the given number of layers generates
+// for the prompt. They do not depend on the tiling of the layers or on where an attempt
+// was resumed. The last one has finish reason "length".
 func Expected(model string, layers int, prompt string, n int) []wire.Token {
 	states := make([]layerState, layers)
 	tokens := make([]wire.Token, 0, n)
@@ -91,11 +91,11 @@
 	return tokens
 }
 
-// hiddenState is the decoded content of StepRequest.Hidden.
+// hiddenState is the decoded hidden state in step requests and responses.
 type hiddenState struct {
-	// blocks are the hashes of the prompt's prefix blocks; set at prefill.
+	// blocks holds the hashes of the prompt's prefix blocks; only set at prefill.
 	blocks []uint64
-	// positions holds one value for each position that the step covers.
+	// positions holds the hidden state of each position that the step covers.
 	positions []uint64
 }
 
@@ -126,8 +126,8 @@
 	return hiddenState{blocks: values[1 : 1+blocks], positions: values[1+blocks:]}, nil
 }
 
-// PrefixBlocks returns the hash of every whole prefix block of prompt: the
-// xxHash64 of the prompt up to the block's end.
+// PrefixBlocks returns a hash for every whole prefix block of the prompt: the xxHash64
+// of the prompt up to the end of the block.
 func PrefixBlocks(prompt string) []uint64 {
 	digest := xxhash.New()
 	blocks := make([]uint64, 0, len(prompt)/wire.PrefixBlockBytes)
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -4,43 +4,49 @@
 	"time"
 )
 
-// Options describes one engine replica.
+// Options configures one engine replica.
 type Options struct {
 	ID      string
 	Model   string
 	Version string
-	// FirstLayer and LastLayer are the inclusive layer range that it holds.
+	// FirstLayer and LastLayer are the layer range that the replica holds,
+	// inclusive.
 	FirstLayer int
 	LastLayer  int
 	// Layers is the number of layers of the whole model.
 	Layers      int
 	Accelerator string
 	Zone        string
-	// Slots is the number of sequences held at once.
+	// Slots is the maximum number of concurrent sequences; 0 means 8.
 	Slots int
-	// StepTime is the duration of one decode step, for any batch up to Slots.
+	// StepTime is the duration of one decode step, whatever the batch size.
 	StepTime time.Duration
-	// PrefillTokensPerSecond is the prefill speed of one sequence.
+	// PrefillTokensPerSecond is the prefill speed of one sequence; 0 means that a
+	// prefill takes no time.
 	PrefillTokensPerSecond float64
-	// CacheBlocks bounds the prefix cache, in blocks of wire.PrefixBlockBytes.
+	// CacheBlocks is the capacity of the prefix cache, in blocks of
+	// wire.PrefixBlockBytes.
 	CacheBlocks int
-	// CacheEventDelay is the age at which cache events become visible.
+	// CacheEventDelay is the delay after which cache events become visible.
 	CacheEventDelay time.Duration
-	// CacheEventLossOneIn loses one in so many cache events; 0 loses none.
+	// CacheEventLossOneIn = n loses every nth cache event; 0 loses none.
 	CacheEventLossOneIn int
-	// ReportLag is the age of the load that reports show.
+	// ReportLag is the delay after which a load shows in load reports.
 	ReportLag time.Duration
-	// MaxWaiting bounds the prefills that wait for a slot; 0 means four times
-	// Slots.
+	// MaxWaiting is the maximum number of prefills that wait for a slot; 0 means
+	// four times Slots.
 	MaxWaiting int
-	// IdleTimeout drops sequences without progress; 0 means 10 s.
+	// IdleTimeout is the time without a step after which a sequence is discarded;
+	// 0 means 10 s.
 	IdleTimeout time.Duration
-	// StopOneIn finishes one in so many tokens with "stop"; 0 never does.
+	// StopOneIn = n finishes a sequence with "stop" at each token whose ID is a
+	// multiple of n; 0 never does.
 	StopOneIn int
-	// Fencing makes the engine refuse orders with an old fence.
+	// Fencing makes the engine refuse layer assignments with an outdated fencing
+	// token.
 	Fencing bool
-	// WeightStore is the base URL of the weight store; when empty, models load
-	// at once.
+	// WeightStore is the base URL of the weight store; if empty, models load
+	// instantly.
 	WeightStore string
 	// Clock is the source of time; nil means the system clock.
 	Clock Clock
@@ -55,7 +61,7 @@
 
 type systemClock struct{}
 
-// Now returns the present time.
+// Now returns the current time.
 func (systemClock) Now() time.Time { return time.Now() }
 
 // AfterFunc calls f in its own goroutine after d.
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -12,60 +12,64 @@
 )
 
 const (
-	// weightRetry is the pause before a refused load is tried again.
+	// weightRetry is the delay before a failed fetch of weights is retried.
 	weightRetry = 100 * time.Millisecond
-	// weightTimeout bounds one fetch of weights.
+	// weightTimeout bounds each fetch of weights.
 	weightTimeout = time.Minute
 )
 
-// take applies an order. An engine without fencing takes orders with any fence.
-func (e *Engine) take(o wire.Order) wire.OrderResponse {
+// applyOrder applies a layer assignment. With fencing, one with an outdated fencing token is
+// refused; without, every assignment is accepted.
+func (e *Engine) applyOrder(order wire.Order) wire.OrderResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.Fencing && o.Fence < e.held.Fence {
-		return wire.OrderResponse{Fence: e.held.Fence}
+	if e.options.Fencing && order.Fence < e.state.Fence {
+		return wire.OrderResponse{Fence: e.state.Fence}
 	}
-	e.held.Fence = max(e.held.Fence, o.Fence)
-	if !e.holds(o) {
-		e.dropAll()
+	e.state.Fence = max(e.state.Fence, order.Fence)
+	if !e.matches(order) {
+		e.discardAll()
 		e.cache.clear()
-		e.held.Model, e.held.Version = o.Model, o.Version
-		e.held.FirstLayer, e.held.LastLayer = o.FirstLayer, o.LastLayer
-		e.startLoading(o)
+		e.state.Model, e.state.Version = order.Model, order.Version
+		e.state.FirstLayer, e.state.LastLayer = order.FirstLayer, order.LastLayer
+		e.startLoading(order)
 	}
-	return wire.OrderResponse{Accepted: true, Fence: e.held.Fence}
+	return wire.OrderResponse{Accepted: true, Fence: e.state.Fence}
 }
 
-func (e *Engine) holds(o wire.Order) bool {
-	h := e.held
-	return h.Model == o.Model && h.Version == o.Version &&
-		h.FirstLayer == o.FirstLayer && h.LastLayer == o.LastLayer
+// matches reports whether the engine holds or loads the layers of an assignment.
+func (e *Engine) matches(order wire.Order) bool {
+	held := e.state
+	return held.Model == order.Model && held.Version == order.Version &&
+		held.FirstLayer == order.FirstLayer && held.LastLayer == order.LastLayer
 }
 
-// dropAll drops every sequence. The caller holds e.mu.
-func (e *Engine) dropAll() {
+// discardAll discards all sequences. The caller holds e.mu.
+func (e *Engine) discardAll() {
 	for _, s := range e.sequences {
-		e.end(s, true)
+		e.endSequence(s, true)
 	}
 }
 
-func (e *Engine) startLoading(o wire.Order) {
+// startLoading begins to fetch the weights, if there is a weight store. The caller
+// holds e.mu.
+func (e *Engine) startLoading(order wire.Order) {
 	if e.options.WeightStore == "" {
 		return
 	}
-	e.held.Loading = true
-	go e.fetchWeights(o)
+	e.state.Loading = true
+	go e.loadWeights(order)
 }
 
-// fetchWeights ends the loading when the store has given the weights, unless
-// another order came meanwhile.
-func (e *Engine) fetchWeights(o wire.Order) {
+// loadWeights fetches the weights, with retries, and marks them as loaded. It gives up
+// when another assignment has replaced this one or the engine is closed.
+func (e *Engine) loadWeights(order wire.Order) {
 	for {
-		err := fetchWeights(e.options.WeightStore, o)
+		err := fetchWeights(e.options.WeightStore, order)
 		e.mu.Lock()
-		superseded := !e.holds(o)
+		superseded := !e.matches(order)
 		if err == nil && !superseded {
-			e.held.Loading = false
+			e.state.Loading = false
 		}
 		e.mu.Unlock()
 		if err == nil || superseded || e.isClosed() {
@@ -75,12 +79,13 @@
 	}
 }
 
-func fetchWeights(store string, o wire.Order) error {
+// fetchWeights fetches the weights of an assignment once and discards them.
+func fetchWeights(store string, order wire.Order) error {
 	query := url.Values{}
-	query.Set("model", o.Model)
-	query.Set("version", o.Version)
-	query.Set("first", strconv.Itoa(o.FirstLayer))
-	query.Set("last", strconv.Itoa(o.LastLayer))
+	query.Set("model", order.Model)
+	query.Set("version", order.Version)
+	query.Set("first", strconv.Itoa(order.FirstLayer))
+	query.Set("last", strconv.Itoa(order.LastLayer))
 	client := http.Client{Timeout: weightTimeout}
 	response, err := client.Get(store + wire.PathWeights + "?" + query.Encode())
 	if err != nil {
--- a/standin/engine/queue.go
+++ b/standin/engine/queue.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// waitQueue orders prefills by priority, then by arrival.
+// waitQueue is a queue of prefills ordered by priority, then by arrival.
 type waitQueue struct {
 	items   waitHeap
 	arrival uint64
@@ -26,6 +26,7 @@
 	}
 }
 
+// waitHeap implements container/heap for waitQueue.
 type waitHeap []*step
 
 func (h waitHeap) Len() int { return len(h) }
@@ -43,14 +44,14 @@
 	h[j].index = j
 }
 
-// Push adds a step at the end, for container/heap.
+// Push appends a step, as container/heap requires.
 func (h *waitHeap) Push(x any) {
 	s := x.(*step)
 	s.index = len(*h)
 	*h = append(*h, s)
 }
 
-// Pop removes the step at the end, for container/heap.
+// Pop removes the last step, as container/heap requires.
 func (h *waitHeap) Pop() any {
 	old := *h
 	s := old[len(old)-1]
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -6,21 +6,22 @@
 	"masticbank.example/node/wire"
 )
 
-// reportHistory keeps past load reports, so that an old one can be shown.
+// reportHistory keeps past load reports, so that the engine can return an old one.
 type reportHistory struct {
 	entries []timedReport
 }
 
+// timedReport is the load since the given time.
 type timedReport struct {
 	at     time.Time
 	report wire.LoadReport
 }
 
-// snapshotsPerLag is the number of reports kept within one report lag.
+// snapshotsPerLag is the maximum number of reports kept per report lag.
 const snapshotsPerLag = 4
 
-// add notes the load that holds from at on. Loads that follow each other
-// quickly share one entry, so that the lag may be shorter by a quarter.
+// add records the load since the given time. Loads in quick succession share one entry,
+// so that the effective lag may be shorter by up to a quarter.
 func (h *reportHistory) add(at time.Time, lag time.Duration, report wire.LoadReport) {
 	n := len(h.entries)
 	if n > 0 && at.Sub(h.entries[n-1].at) < lag/snapshotsPerLag {
@@ -33,9 +34,9 @@
 	h.entries = append(h.entries, timedReport{at: at, report: report})
 }
 
-// before returns the newest report that is not younger than at, else the
-// oldest one.
-func (h *reportHistory) before(at time.Time) wire.LoadReport {
+// newestAt returns the newest report that is not later than the given time, or the
+// oldest one if there is none.
+func (h *reportHistory) newestAt(at time.Time) wire.LoadReport {
 	for i := len(h.entries) - 1; i > 0; i-- {
 		if !h.entries[i].at.After(at) {
 			return h.entries[i].report
@@ -44,19 +45,20 @@
 	return h.entries[0].report
 }
 
-// noteLoad keeps the load after a change. The caller holds e.mu.
-func (e *Engine) noteLoad() {
+// recordLoad records the load after a change. The caller holds e.mu.
+func (e *Engine) recordLoad() {
 	if e.options.ReportLag > 0 {
-		e.reports.add(e.clock.Now(), e.options.ReportLag, e.load())
+		e.reports.add(e.clock.Now(), e.options.ReportLag, e.currentLoad())
 	}
 }
 
-func (e *Engine) load() wire.LoadReport {
+// currentLoad returns the present load. The caller holds e.mu.
+func (e *Engine) currentLoad() wire.LoadReport {
 	return wire.LoadReport{
 		Running:                e.running,
 		Waiting:                e.waiting.len(),
 		Slots:                  e.options.Slots,
-		StepMillis:             float64(e.scaled(e.options.StepTime)) / float64(time.Millisecond),
+		StepMillis:             float64(e.slowed(e.options.StepTime)) / float64(time.Millisecond),
 		PrefillTokensPerSecond: e.options.PrefillTokensPerSecond / e.faults.factor,
 		Leaving:                e.faults.leaving,
 	}
@@ -67,7 +69,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.ReportLag <= 0 {
-		return e.load()
+		return e.currentLoad()
 	}
-	return e.reports.before(e.clock.Now().Add(-e.options.ReportLag))
+	return e.reports.newestAt(e.clock.Now().Add(-e.options.ReportLag))
 }
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -6,7 +6,7 @@
 	"masticbank.example/node/wire"
 )
 
-// attemptKey identifies a sequence.
+// attemptKey identifies an attempt of a request.
 type attemptKey struct {
 	request string
 	attempt int
@@ -16,26 +16,27 @@
 type sequence struct {
 	key    attemptKey
 	states []layerState
-	// start is the position of the prefill; steps[i] is position start+i.
-	start    int
-	steps    []*step
-	slot     bool
-	finished bool
-	dropped  bool
-	progress time.Time
+	// steps[i] is the step of position start+i. start is the position of the
+	// prefill until older steps are discarded.
+	start        int
+	steps        []*step
+	hasSlot      bool
+	finished     bool
+	discarded    bool
+	lastProgress time.Time
 }
 
-// step is one step of a sequence.
+// step is one step of a sequence: the prefill or the decoding of one token.
 type step struct {
 	seq    *sequence
 	req    *wire.StepRequest
 	input  hiddenState
 	cached int
 	done   chan struct{}
-	// response or refusal is set when done is closed.
+	// Either response or refusal is set before done is closed.
 	response *wire.StepResponse
 	refusal  *refusal
-	// waiters counts the handlers that wait for the step.
+	// waiters is the number of HTTP handlers that wait for the step.
 	waiters int
 	arrival uint64
 	index   int
@@ -55,7 +56,7 @@
 	close(s.done)
 }
 
-// step returns the step of a position, or nil.
+// step returns the step of a position, or nil if there is none.
 func (s *sequence) step(position int) *step {
 	i := position - s.start
 	if i < 0 || i >= len(s.steps) {
@@ -64,9 +65,9 @@
 	return s.steps[i]
 }
 
-// keepLast forgets the results before the last one, as only that can be asked
-// for again once the attempt has ended.
-func (s *sequence) keepLast() {
+// keepLastStep discards all steps but the last one. After the end of an attempt, only its
+// last step can be sent again.
+func (s *sequence) keepLastStep() {
 	if n := len(s.steps); n > 1 {
 		s.start += n - 1
 		s.steps = []*step{s.steps[n-1]}
@@ -75,31 +76,33 @@
 
 func (s *sequence) last() *step { return s.steps[len(s.steps)-1] }
 
-// end ends a sequence and remembers it. The caller holds e.mu.
-func (e *Engine) end(s *sequence, dropped bool) {
+// endSequence ends a sequence and keeps it among the ended ones. The caller holds e.mu.
+func (e *Engine) endSequence(s *sequence, discard bool) {
 	if e.sequences[s.key] != s {
 		return
 	}
-	s.dropped = dropped
-	if dropped {
-		e.dropSteps(s)
+	s.discarded = discard
+	if discard {
+		e.discardSteps(s)
 	}
-	s.keepLast()
-	e.remember(s)
-	e.release(s)
+	s.keepLastStep()
+	e.keepEnded(s)
+	e.releaseSequence(s)
 }
 
-// release forgets a sequence and frees its slot. The caller holds e.mu.
-func (e *Engine) release(s *sequence) {
+// releaseSequence removes a sequence and frees its slot. The caller holds e.mu.
+func (e *Engine) releaseSequence(s *sequence) {
 	delete(e.sequences, s.key)
-	if s.slot {
-		s.slot = false
+	if s.hasSlot {
+		s.hasSlot = false
 		e.running--
 	}
 	e.startWaiting()
 }
 
-func (e *Engine) dropSteps(s *sequence) {
+// discardSteps refuses the steps that are not done and discards all steps. The caller
+// holds e.mu.
+func (e *Engine) discardSteps(s *sequence) {
 	for _, st := range s.steps {
 		if st.isDone() {
 			continue
@@ -110,35 +113,38 @@
 	s.steps = nil
 }
 
-// remember keeps an ended attempt, so that a late step of it is recognized.
-func (e *Engine) remember(s *sequence) {
+// keepEnded keeps an ended attempt, so that a late step of it is recognized. The caller
+// holds e.mu.
+func (e *Engine) keepEnded(s *sequence) {
 	e.ended[s.key] = s
-	e.endedFIFO = append(e.endedFIFO, s.key)
-	if len(e.endedFIFO) > maxEnded {
-		delete(e.ended, e.endedFIFO[0])
-		e.endedFIFO = e.endedFIFO[1:]
+	e.endedOrder = append(e.endedOrder, s.key)
+	if len(e.endedOrder) > maxEnded {
+		delete(e.ended, e.endedOrder[0])
+		e.endedOrder = e.endedOrder[1:]
 	}
 }
 
-// sweep drops idle sequences until none is held. The caller holds e.mu.
-func (e *Engine) sweep() {
+// discardIdle discards idle sequences and schedules the next sweep while there are
+// sequences. The caller holds e.mu.
+func (e *Engine) discardIdle() {
 	now := e.clock.Now()
 	for _, s := range e.sequences {
-		if s.last().isDone() && now.Sub(s.progress) >= e.options.IdleTimeout {
-			e.end(s, true)
+		if s.last().isDone() && now.Sub(s.lastProgress) >= e.options.IdleTimeout {
+			e.endSequence(s, true)
 		}
 	}
-	e.sweeping = len(e.sequences) > 0
-	if e.sweeping {
-		e.armSweep()
+	e.sweepScheduled = len(e.sequences) > 0
+	if e.sweepScheduled {
+		e.scheduleSweep()
 	}
 }
 
-func (e *Engine) armSweep() {
-	e.sweeping = true
+// scheduleSweep schedules the next sweep. The caller holds e.mu.
+func (e *Engine) scheduleSweep() {
+	e.sweepScheduled = true
 	e.clock.AfterFunc(e.options.IdleTimeout/2, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.sweep()
+		e.discardIdle()
 	})
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// headerTimeout bounds the time to read a request's header.
+// headerTimeout bounds the time to read the header of a request.
 const headerTimeout = 10 * time.Second
 
-// Server serves a handler on one address and can be cut off from its clients.
-// Safe for concurrent use.
+// Server serves a handler on one address and can be disconnected from its clients. It
+// is safe for concurrent use.
 type Server struct {
 	handler http.Handler
 	address string
@@ -23,24 +23,24 @@
 	closed bool
 }
 
-// Listen serves handler on address, "host:port"; port 0 takes a free one.
+// Listen serves handler on address, "host:port". Port 0 chooses a free port.
 func Listen(address string, handler http.Handler) (*Server, error) {
 	s := &Server{handler: handler, address: address}
-	if err := s.Restore(); err != nil {
+	if err := s.Reconnect(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// Address returns the host:port that is served.
+// Address returns the host:port on which the server listens.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Cut closes all connections and refuses new ones until Restore.
-func (s *Server) Cut() {
+// Disconnect closes all connections and refuses new ones until Reconnect.
+func (s *Server) Disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server != nil {
@@ -49,9 +49,9 @@
 	}
 }
 
-// Restore accepts connections on the same address; it does nothing when they
-// are accepted already or the server is closed.
-func (s *Server) Restore() error {
+// Reconnect accepts connections on the same address again. It does nothing if the server
+// is not disconnected or is closed.
+func (s *Server) Reconnect() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server != nil || s.closed {
@@ -75,9 +75,9 @@
 	}
 }
 
-// Close cuts the server off for good.
+// Close closes all connections and the listener. Reconnect has no effect afterwards.
 func (s *Server) Close() {
-	s.Cut()
+	s.Disconnect()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
--- a/standin/engine/ledger_test.go
+++ b/standin/engine/stepchecker_test.go
@@ -11,19 +11,19 @@
 	"masticbank.example/standin/fault"
 )
 
-// A step that runs on two replicas, or skips layers, is seen over all engines,
-// although each of them sees only its own part.
-func TestLedgerSeesAcrossEngines(t *testing.T) {
-	ledger := NewLedger(testLayers)
+// TestStepCheckerAcrossEngines checks that a step that runs on two replicas, and one that
+// skips layers, are found although each engine sees only its own layer range.
+func TestStepCheckerAcrossEngines(t *testing.T) {
+	checker := NewStepChecker(testLayers)
 	start := func(first, last int) *Engine {
 		e := New(Options{
 			Model: testModel, Version: "1", Layers: testLayers, FirstLayer: first, LastLayer: last,
 		})
-		e.SetLedger(ledger)
+		e.SetStepChecker(checker)
 		return e
 	}
 	run := func(e *Engine, request string) wire.StepResponse {
-		req := prefillOf(request, 0, 1)
+		req := prefillRequest(request, 0, 1)
 		o := e.Options()
 		req.FirstLayer, req.LastLayer = o.FirstLayer, o.LastLayer
 		req.Hidden = hiddenState{positions: []uint64{1}}.encode()
@@ -37,23 +37,23 @@
 	run(front, "skip")
 	run(back, "skip")
 	var codes []string
-	for _, v := range ledger.Violations() {
+	for _, v := range checker.Violations() {
 		codes = append(codes, v.RequestID+" "+v.Code)
 	}
 	require.Equal(t, []string{"twice " + wire.CodeRepeat, "skip " + wire.CodeGap}, codes)
-	require.True(t, ledger.Ran("skip"))
-	require.False(t, ledger.Ran("other"))
+	require.True(t, checker.Ran("skip"))
+	require.False(t, checker.Ran("other"))
 }
 
-// A crashed engine behind a plain server cuts every connection that brings a
-// request.
+// TestCrashWithoutNetwork checks that a crashed engine without an attached server aborts
+// the connection of every request.
 func TestCrashWithoutNetwork(t *testing.T) {
-	e := whole(Options{})
+	e := wholeModelEngine(Options{})
 	out := make(chan int, 1)
 	require.NoError(t, e.Inject(fault.Fault{Kind: fault.Crash}))
-	call(context.Background(), e, prefillOf("r", 0, 1), out)
+	postStepAsync(context.Background(), e, prefillRequest("r", 0, 1), out)
 	require.Zero(t, <-out)
 	e.Restore()
-	call(context.Background(), e, prefillOf("r", 0, 1), out)
+	postStepAsync(context.Background(), e, prefillRequest("r", 0, 1), out)
 	require.Equal(t, http.StatusOK, <-out)
 }
--- a/standin/fleet/control.go
+++ b/standin/fleet/control.go
@@ -8,33 +8,34 @@
 	"masticbank.example/standin/fault"
 )
 
-// Paths of the control address besides fault.Path.
+// Paths of the control address. It serves fault.Path too.
 const (
-	// PathCheck answers a Check.
+	// PathCheck serves, by GET, a summary of what the stand-ins have recorded.
 	PathCheck = "/check"
-	// PathRecords takes a RecordsQuery by POST and answers Records.
+	// PathRecords accepts a query by POST and responds with the records of the
+	// orders and requests in it.
 	PathRecords = "/records"
 )
 
-// RecordsQuery asks what became of orders and model requests.
+// RecordsQuery selects the orders and model requests whose records are returned.
 type RecordsQuery struct {
-	// Keys are idempotency keys of orders.
+	// Keys holds the idempotency keys of orders.
 	Keys []string `json:"keys"`
-	// Requests are IDs of model requests.
+	// Requests holds the IDs of model requests.
 	Requests []string `json:"requests"`
 }
 
-// Records answers a RecordsQuery.
+// Records is the response to a RecordsQuery.
 type Records struct {
-	// Orders holds the number of records of each key that has any.
+	// Orders holds the number of recorded orders of each key that has any.
 	Orders map[string]int `json:"orders"`
-	// Ran holds the requests of which at least one step ran.
+	// Ran holds true for each request of which at least one step ran.
 	Ran map[string]bool `json:"ran"`
 }
 
-// Check is what the stand-ins have seen since their start.
+// Check summarizes what the stand-ins have recorded since their start.
 type Check struct {
-	// Violations holds every gap and repeat of model steps.
+	// Violations holds every gap and repetition of model steps.
 	Violations []engine.Violation `json:"violations"`
 	// Orders is the number of orders recorded by all services.
 	Orders int `json:"orders"`
@@ -42,7 +43,7 @@
 	RepeatedKeys []string `json:"repeated_keys"`
 }
 
-// Check returns what the stand-ins have seen.
+// Check returns a summary of what the stand-ins have recorded.
 func (f *Fleet) Check() Check {
 	return Check{
 		Violations:   f.Violations(),
@@ -51,19 +52,19 @@
 	}
 }
 
-// Records returns what became of the orders and requests asked for.
+// Records returns the records of the orders and requests in the query.
 func (f *Fleet) Records(q RecordsQuery) Records {
 	out := Records{Orders: make(map[string]int), Ran: make(map[string]bool)}
 	for _, key := range q.Keys {
-		for _, r := range f.records {
-			if n := r.Records(key); n > 0 {
+		for _, r := range f.serviceRecords {
+			if n := r.Count(key); n > 0 {
 				out.Orders[key] += n
 			}
 		}
 	}
 	for _, id := range q.Requests {
-		for _, l := range f.ledgers {
-			if l.Ran(id) {
+		for _, c := range f.stepCheckers {
+			if c.Ran(id) {
 				out.Ran[id] = true
 			}
 		}
@@ -71,8 +72,8 @@
 	return out
 }
 
-// control returns the handler of the control address.
-func (f *Fleet) control() http.Handler {
+// controlHandler returns the HTTP handler of the control address.
+func (f *Fleet) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathCheck, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, f.Check())
@@ -97,7 +98,8 @@
 	return mux
 }
 
-// readJSON reads a body into v; it answers itself when it cannot.
+// readJSON decodes the request body into v. If that fails, it responds with status 400
+// and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet starts a set of stand-ins on one host, in one process: engines
-// by layer range, plain services, the instance list, the weight store and, when
-// given, a log service.
+// Package fleet starts a set of stand-ins in one process: engines by layer range,
+// plain services, the instance list, the weight store and, if given, a log service.
 package fleet
 
 import (
@@ -17,54 +16,54 @@
 	"masticbank.example/standin/weights"
 )
 
-// defaultHost is the address that listeners use by default.
+// defaultHost is the default address of all listeners.
 const defaultHost = "127.0.0.1"
 
 // Addresses holds the host:port of each listener.
 type Addresses struct {
 	Instances string
 	Weights   string
-	// Log is empty when the fleet serves no log.
+	// Log is empty if the fleet serves no log.
 	Log string
-	// Control takes a fault.Fault for any instance at fault.Path and answers a
-	// Check at PathCheck.
+	// Control is the control address. It accepts a fault for any instance and
+	// returns the records of the stand-ins.
 	Control string
-	// Upstreams maps instance IDs of engines and services to addresses.
+	// Upstreams maps the instance IDs of engines and services to their addresses.
 	Upstreams map[string]string
 }
 
-// injector is a stand-in that can show faults.
+// injector is a stand-in that accepts faults.
 type injector interface {
 	Inject(fault.Fault) error
 }
 
-// Fleet is a running set of stand-ins. Safe for concurrent use.
+// Fleet is a running set of stand-ins. It is safe for concurrent use.
 type Fleet struct {
-	spec      Spec
-	addresses Addresses
-	nextPort  int
-	servers   []*engine.Server
-	engines   []*engine.Engine
-	ledgers   map[string]*engine.Ledger
-	records   map[string]*service.Records
-	injectors map[string]injector
-	list      *instances.List
-	weights   *weights.Store
+	spec           Spec
+	addresses      Addresses
+	nextPort       int
+	servers        []*engine.Server
+	engines        []*engine.Engine
+	stepCheckers   map[string]*engine.StepChecker
+	serviceRecords map[string]*service.Records
+	injectors      map[string]injector
+	instanceList   *instances.List
+	weights        *weights.Store
 }
 
-// Start starts the stand-ins of a specification. Close ends them.
+// Start starts the stand-ins of a specification. Close stops them.
 func Start(spec Spec) (*Fleet, error) {
 	if spec.Host == "" {
 		spec.Host = defaultHost
 	}
 	f := &Fleet{
-		spec:      spec,
-		nextPort:  spec.BasePort,
-		addresses: Addresses{Upstreams: make(map[string]string)},
-		ledgers:   make(map[string]*engine.Ledger),
-		records:   make(map[string]*service.Records),
-		injectors: make(map[string]injector),
-		weights:   weights.New(spec.Weights),
+		spec:           spec,
+		nextPort:       spec.BasePort,
+		addresses:      Addresses{Upstreams: make(map[string]string)},
+		stepCheckers:   make(map[string]*engine.StepChecker),
+		serviceRecords: make(map[string]*service.Records),
+		injectors:      make(map[string]injector),
+		weights:        weights.New(spec.Weights),
 	}
 	if err := f.start(); err != nil {
 		f.Close()
@@ -73,18 +72,18 @@
 	return f, nil
 }
 
-// start opens the platform's listeners before the upstreams, so that a base
-// port gives the platform the same ports whatever the number of upstreams.
+// start opens the platform's listeners before those of the upstreams, so that with a
+// base port the platform's ports do not depend on the number of upstreams.
 func (f *Fleet) start() error {
-	f.list = instances.New(f.spec.InstanceLag)
+	f.instanceList = instances.New(f.spec.InstanceLag)
 	var err error
-	if f.addresses.Instances, err = f.serve(f.list); err != nil {
+	if f.addresses.Instances, err = f.serve(f.instanceList); err != nil {
 		return err
 	}
 	if f.addresses.Weights, err = f.serve(f.weights); err != nil {
 		return err
 	}
-	if f.addresses.Control, err = f.serve(f.control()); err != nil {
+	if f.addresses.Control, err = f.serve(f.controlHandler()); err != nil {
 		return err
 	}
 	if f.spec.Log != nil {
@@ -95,6 +94,7 @@
 	return f.startUpstreams()
 }
 
+// startUpstreams starts all engines and services and fills the instance list.
 func (f *Fleet) startUpstreams() error {
 	var all []wire.Instance
 	for _, m := range f.spec.Models {
@@ -111,12 +111,12 @@
 		}
 		all = append(all, started...)
 	}
-	f.list.Reset(all)
+	f.instanceList.Reset(all)
 	return nil
 }
 
 func (f *Fleet) startModel(m ModelSpec) ([]wire.Instance, error) {
-	f.ledgers[m.Name] = engine.NewLedger(m.Layers)
+	f.stepCheckers[m.Name] = engine.NewStepChecker(m.Layers)
 	var started []wire.Instance
 	for _, r := range m.Ranges {
 		for i, zone := range r.Zones {
@@ -133,12 +133,12 @@
 func (f *Fleet) startEngine(m ModelSpec, r RangeSpec, i int, zone string) (wire.Instance, error) {
 	id := fmt.Sprintf("%s-%d-%d-%s%d", m.Name, r.First, r.Last, r.Accelerator.Name, i)
 	e := engine.New(f.engineOptions(id, m, r, zone))
-	e.SetLedger(f.ledgers[m.Name])
+	e.SetStepChecker(f.stepCheckers[m.Name])
 	server, err := f.listen(e)
 	if err != nil {
 		return wire.Instance{}, err
 	}
-	e.Attach(server)
+	e.AttachNetwork(server)
 	f.engines = append(f.engines, e)
 	f.injectors[id] = e
 	f.addresses.Upstreams[id] = server.Address()
@@ -155,7 +155,7 @@
 		ID: id, Model: m.Name, Version: m.Version, Zone: zone,
 		FirstLayer: r.First, LastLayer: r.Last, Layers: m.Layers,
 		Accelerator: r.Accelerator.Name, Slots: r.Accelerator.Slots,
-		StepTime:               r.Accelerator.StepPerLayer * timesLayers(layers),
+		StepTime:               r.Accelerator.StepPerLayer * layerFactor(layers),
 		PrefillTokensPerSecond: r.Accelerator.PrefillTokensPerSecond / float64(layers),
 		CacheBlocks:            r.Accelerator.CacheBlocks,
 		CacheEventDelay:        f.spec.CacheEventDelay,
@@ -168,7 +168,7 @@
 
 func (f *Fleet) startService(s ServiceSpec) ([]wire.Instance, error) {
 	records := service.NewRecords()
-	f.records[s.Name] = records
+	f.serviceRecords[s.Name] = records
 	started := make([]wire.Instance, 0, len(s.Zones))
 	for i, zone := range s.Zones {
 		id := fmt.Sprintf("%s-%d", s.Name, i)
@@ -188,6 +188,7 @@
 	return started, nil
 }
 
+// serve starts a listener with the handler and returns its address.
 func (f *Fleet) serve(h http.Handler) (string, error) {
 	server, err := f.listen(h)
 	if err != nil {
@@ -196,6 +197,7 @@
 	return server.Address(), nil
 }
 
+// listen starts a listener with the handler, on the next port if there is a base port.
 func (f *Fleet) listen(h http.Handler) (*engine.Server, error) {
 	port := f.nextPort
 	if port > 0 {
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -28,8 +28,8 @@
 	return response.StatusCode, err
 }
 
-// chain returns one engine instance for each of the given first layers.
-func chain(f *Fleet, firsts ...int) []wire.Instance {
+// enginesWithFirstLayers returns one engine instance for each of the given first layers.
+func enginesWithFirstLayers(f *Fleet, firsts ...int) []wire.Instance {
 	var out []wire.Instance
 	for _, first := range firsts {
 		for _, i := range f.Instances().Visible() {
@@ -58,7 +58,7 @@
 		} else {
 			req.Tokens = []int{tokens[len(tokens)-1].ID}
 		}
-		for _, stage := range chain(f, 0, 4, 9) {
+		for _, stage := range enginesWithFirstLayers(f, 0, 4, 9) {
 			req.FirstLayer, req.LastLayer = stage.FirstLayer, stage.LastLayer
 			var response wire.StepResponse
 			status, err := post(t, stage.Address, wire.PathStep, req, &response)
@@ -76,12 +76,13 @@
 	require.Equal(t, Records{Orders: map[string]int{}, Ran: map[string]bool{"r": true}}, records)
 }
 
-// A crashed engine refuses connections until it is restored.
+// TestCrashAndRestoreThroughControl checks that a crashed engine refuses connections
+// until it is restored.
 func TestCrashAndRestoreThroughControl(t *testing.T) {
 	f, err := Start(Dev())
 	require.NoError(t, err)
 	defer f.Close()
-	engine := chain(f, 0)[0]
+	engine := enginesWithFirstLayers(f, 0)[0]
 	crash := fault.Fault{Instance: engine.ID, Kind: fault.Crash}
 	status, err := post(t, f.Addresses().Control, fault.Path, crash, nil)
 	require.NoError(t, err)
@@ -99,24 +100,26 @@
 	require.NoError(t, response.Body.Close())
 }
 
-// An ordered engine fetches the weights and then holds the new range.
+// TestOrderLoadsWeights checks that an engine with a new layer assignment fetches the
+// weights and then holds the new range.
 func TestOrderLoadsWeights(t *testing.T) {
 	f, err := Start(Dev())
 	require.NoError(t, err)
 	defer f.Close()
-	target := chain(f, 0)[0]
+	target := enginesWithFirstLayers(f, 0)[0]
 	order := wire.Order{Fence: 1, Model: "dev", Version: "1", FirstLayer: 4, LastLayer: 8}
-	var answer wire.OrderResponse
-	_, err = post(t, target.Address, wire.PathOrder, order, &answer)
+	var response wire.OrderResponse
+	_, err = post(t, target.Address, wire.PathOrder, order, &response)
 	require.NoError(t, err)
-	require.True(t, answer.Accepted)
+	require.True(t, response.Accepted)
 	require.Eventually(t, func() bool { return !f.Engines()[0].State().Loading }, 5*time.Second, time.Millisecond)
 	require.Equal(t, 4, f.Engines()[0].State().FirstLayer)
 	require.Equal(t, 1, f.Weights().Counts().Loads)
 }
 
-// The fleets of both users have ranges for every layer and the stated sizes.
-func TestRegionSpecs(t *testing.T) {
+// TestUserFleetSpecs checks that the fleets of both users cover every layer and have 40
+// replicas of the model, three of the service, and three zones.
+func TestUserFleetSpecs(t *testing.T) {
 	for _, spec := range []Spec{Asistente(), Apuntador()} {
 		replicas, covered := 0, map[int]bool{}
 		zones := map[string]bool{}
--- a/standin/fleet/spec.go
+++ b/standin/fleet/spec.go
@@ -11,21 +11,22 @@
 type Spec struct {
 	Models   []ModelSpec
 	Services []ServiceSpec
-	// Host is the address that all listeners use; empty means 127.0.0.1.
+	// Host is the address of all listeners; empty means 127.0.0.1.
 	Host string
-	// BasePort is the first port; 0 takes free ports.
+	// BasePort is the first port; 0 means that the system chooses free ports.
 	BasePort int
-	// InstanceLag is the age of the instance list, ReportLag that of load
-	// reports, CacheEventDelay that of cache events.
+	// InstanceLag is the delay after which changes show in the instance list,
+	// ReportLag that of load reports and CacheEventDelay that of cache events.
 	InstanceLag     time.Duration
 	ReportLag       time.Duration
 	CacheEventDelay time.Duration
-	// CacheEventLossOneIn loses one in so many cache events; 0 loses none.
+	// CacheEventLossOneIn = n loses every nth cache event; 0 loses none.
 	CacheEventLossOneIn int
-	// Fencing makes engines refuse orders with an old fence.
+	// Fencing makes engines refuse layer assignments with an outdated fencing
+	// token.
 	Fencing bool
 	Weights weights.Options
-	// Log is served as the log service when set.
+	// Log is the handler of the log service; nil means none.
 	Log http.Handler
 }
 
@@ -37,37 +38,37 @@
 	Ranges  []RangeSpec
 }
 
-// RangeSpec describes the replicas of one layer range.
+// RangeSpec describes the replicas of one layer range. First and Last are inclusive.
 type RangeSpec struct {
 	First       int
 	Last        int
 	Accelerator Accelerator
-	// Zones holds the availability zone of each replica.
+	// Zones holds the availability zone of each replica, and thereby their number.
 	Zones []string
 }
 
-// Accelerator is a kind of accelerator with its speeds.
+// Accelerator describes a kind of accelerator.
 type Accelerator struct {
 	Name string
-	// Slots is the number of sequences that one replica batches.
+	// Slots is the number of sequences that one replica runs in a batch.
 	Slots int
-	// StepPerLayer is the time of one decode step for each layer held.
+	// StepPerLayer is the time of one decode step per layer.
 	StepPerLayer time.Duration
-	// PrefillTokensPerSecond is the prefill speed for one layer; a replica of n
-	// layers has an nth of it.
+	// PrefillTokensPerSecond is the prefill speed for a single layer. A replica of
+	// n layers has 1/n of it.
 	PrefillTokensPerSecond float64
 	CacheBlocks            int
 }
 
-// ServiceSpec describes the replicas of one plain service.
+// ServiceSpec describes the replicas of one plain service, one per entry of Zones.
 type ServiceSpec struct {
 	Name    string
 	Latency time.Duration
 	Zones   []string
 }
 
-// Dev returns the specification of the development mode: model "dev" with 12
-// layers in three ranges and service "orders".
+// Dev returns the fleet of the development mode: model "dev" with 12 layers in three
+// ranges, and service "orders".
 func Dev() Spec {
 	zones := []string{"a", "b"}
 	return Spec{
@@ -85,7 +86,7 @@
 	}
 }
 
-// Kinds of accelerators of the stand-in fleets, from fast to slow.
+// Kinds of accelerators in the fleets, from fast to slow.
 var (
 	acceleratorL = Accelerator{
 		Name: "l", Slots: 8, StepPerLayer: 1200 * time.Microsecond,
@@ -104,17 +105,18 @@
 // Asistente returns the Asociación's fleet: model "asistente" on 40 replicas
 // and service "socios" on three, in zones quito, ambato and cuenca.
 func Asistente() Spec {
-	return region("asistente", "socios", []string{"quito", "ambato", "cuenca"})
+	return regionSpec("asistente", "socios", []string{"quito", "ambato", "cuenca"})
 }
 
 // Apuntador returns Tramoya's fleet: model "apuntador" on 40 replicas and
 // service "taquilla" on three, in zones norte-a, norte-b and norte-c.
 func Apuntador() Spec {
-	return region("apuntador", "taquilla", []string{"norte-a", "norte-b", "norte-c"})
+	return regionSpec("apuntador", "taquilla", []string{"norte-a", "norte-b", "norte-c"})
 }
 
-// region returns 40 replicas of a model with 32 layers, whose ranges cross.
-func region(model, service string, zones []string) Spec {
+// regionSpec returns a fleet with 40 replicas of a model of 32 layers, whose layer ranges
+// overlap, and one replica of a service per zone.
+func regionSpec(model, service string, zones []string) Spec {
 	spread := func(n, from int) []string {
 		out := make([]string, n)
 		for i := range out {
--- a/standin/instances/instances.go
+++ b/standin/instances/instances.go
@@ -1,5 +1,5 @@
-// Package instances is a small stand-in for the platform's list of instances,
-// which lags behind the truth.
+// Package instances is a small stand-in for the platform's instance list, which shows
+// changes with a delay.
 package instances
 
 import (
@@ -12,54 +12,54 @@
 	"masticbank.example/node/wire"
 )
 
-// List is the platform's list. It is an http.Handler, safe for concurrent use.
+// List is the instance list. It is an http.Handler and safe for concurrent use.
 type List struct {
 	lag time.Duration
 	now func() time.Time
 
-	mu       sync.Mutex
-	versions []version
-	down     bool
+	mu        sync.Mutex
+	snapshots []snapshot
+	down      bool
 }
 
-// version is the list as it was from a time on.
-type version struct {
+// snapshot is the content of the list from the given time until the next snapshot.
+type snapshot struct {
 	at        time.Time
 	instances []wire.Instance
 }
 
-// New returns a list that shows changes after lag; the initial entries show at
-// once.
+// New returns a list that shows changes after the given lag. The initial entries are
+// visible immediately.
 func New(lag time.Duration, initial ...wire.Instance) *List {
 	return &List{
-		lag:      lag,
-		now:      time.Now,
-		versions: []version{{instances: slices.Clone(initial)}},
+		lag:       lag,
+		now:       time.Now,
+		snapshots: []snapshot{{instances: slices.Clone(initial)}},
 	}
 }
 
-// Reset replaces the whole list; the new one shows at once.
+// Reset replaces the whole list. The new one is visible immediately.
 func (l *List) Reset(list []wire.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.versions = []version{{instances: slices.Clone(list)}}
+	l.snapshots = []snapshot{{instances: slices.Clone(list)}}
 }
 
-// Add adds an instance or replaces the one with its ID.
+// Add adds an instance, or replaces the one with the same ID.
 func (l *List) Add(instance wire.Instance) {
-	l.change(func(list []wire.Instance) []wire.Instance {
+	l.update(func(list []wire.Instance) []wire.Instance {
 		return append(without(list, instance.ID), instance)
 	})
 }
 
 // Remove removes an instance.
 func (l *List) Remove(id string) {
-	l.change(func(list []wire.Instance) []wire.Instance { return without(list, id) })
+	l.update(func(list []wire.Instance) []wire.Instance { return without(list, id) })
 }
 
-// SetLeaving marks an instance as leaving or not.
+// SetLeaving sets whether an instance is marked as leaving.
 func (l *List) SetLeaving(id string, leaving bool) {
-	l.change(func(list []wire.Instance) []wire.Instance {
+	l.update(func(list []wire.Instance) []wire.Instance {
 		for i := range list {
 			if list[i].ID == id {
 				list[i].Leaving = leaving
@@ -69,19 +69,19 @@
 	})
 }
 
-// SetDown makes the list answer 503, or answer again.
+// SetDown sets whether the list is unavailable and responds with status 503.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// Visible returns the list as callers see it now.
+// Visible returns the list as clients see it now.
 func (l *List) Visible() []wire.Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prune()
-	return slices.Clone(l.versions[0].instances)
+	return slices.Clone(l.snapshots[0].instances)
 }
 
 // ServeHTTP serves wire.PathInstances.
@@ -101,20 +101,21 @@
 	_ = json.NewEncoder(w).Encode(wire.InstanceList{Instances: l.Visible()})
 }
 
-func (l *List) change(edit func([]wire.Instance) []wire.Instance) {
+// update appends a snapshot with the edited list.
+func (l *List) update(edit func([]wire.Instance) []wire.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prune()
-	newest := l.versions[len(l.versions)-1].instances
+	newest := l.snapshots[len(l.snapshots)-1].instances
 	edited := edit(slices.Clone(newest))
-	l.versions = append(l.versions, version{at: l.now(), instances: edited})
+	l.snapshots = append(l.snapshots, snapshot{at: l.now(), instances: edited})
 }
 
-// prune drops the versions before the one that is visible.
+// prune discards the snapshots before the one that is visible now.
 func (l *List) prune() {
 	visible := l.now().Add(-l.lag)
-	for len(l.versions) > 1 && !l.versions[1].at.After(visible) {
-		l.versions = l.versions[1:]
+	for len(l.snapshots) > 1 && !l.snapshots[1].at.After(visible) {
+		l.snapshots = l.snapshots[1:]
 	}
 }
 
--- a/standin/instances/instances_test.go
+++ b/standin/instances/instances_test.go
@@ -10,7 +10,7 @@
 	"masticbank.example/node/wire"
 )
 
-// Changes show after the lag, in their order.
+// TestListLags checks that each change becomes visible after the lag, in order.
 func TestListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := wire.Instance{ID: "a"}, wire.Instance{ID: "b"}
--- a/standin/logservice/http.go
+++ b/standin/logservice/http.go
@@ -9,8 +9,8 @@
 	"masticbank.example/node/wire"
 )
 
-// ServeHTTP serves the log's paths, GET and POST /faults with a JSON Faults,
-// and GET /stats with a JSON Stats.
+// ServeHTTP serves the append and read requests of the log, GET and POST /faults with
+// a Faults in JSON, and GET /stats with a Stats in JSON.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case pathFaults:
@@ -21,7 +21,7 @@
 		return
 	}
 	faults := s.currentFaults()
-	if faults.Slow > 0 && !pause(r, faults.Slow) {
+	if faults.Slow > 0 && !sleep(r, faults.Slow) {
 		return
 	}
 	if faults.Down {
@@ -67,14 +67,15 @@
 		return
 	}
 	if lose {
-		loseAnswer(w)
+		closeWithoutResponse(w)
 		return
 	}
 	writeJSON(w, resp)
 }
 
-// loseAnswer closes the connection without an answer where the server allows.
-func loseAnswer(w http.ResponseWriter) {
+// closeWithoutResponse closes the connection without a response, or responds with
+// status 504 if the server does not allow that.
+func closeWithoutResponse(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if conn, _, err := h.Hijack(); err == nil {
 			_ = conn.Close()
@@ -84,6 +85,7 @@
 	http.Error(w, "answer lost", http.StatusGatewayTimeout)
 }
 
+// serveRead serves a long poll: without records it waits up to wait_ms for an append.
 func (s *Service) serveRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
@@ -91,8 +93,8 @@
 		http.Error(w, "malformed read", http.StatusBadRequest)
 		return
 	}
-	limit := number(query.Get("max"), maxReadRecords)
-	wait := min(time.Duration(number(query.Get("wait_ms"), 0))*time.Millisecond, maxReadWait)
+	limit := parseNonNegative(query.Get("max"), maxReadRecords)
+	wait := min(time.Duration(parseNonNegative(query.Get("wait_ms"), 0))*time.Millisecond, maxReadWait)
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
@@ -115,7 +117,8 @@
 	}
 }
 
-func pause(r *http.Request, d time.Duration) bool {
+// sleep waits for d. It returns false if the request was cancelled first.
+func sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -126,10 +129,12 @@
 	}
 }
 
-func number(text string, otherwise int) int {
+// parseNonNegative parses a non-negative integer and returns defaultValue if
+// text is not one.
+func parseNonNegative(text string, defaultValue int) int {
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
-		return otherwise
+		return defaultValue
 	}
 	return n
 }
--- a/standin/logservice/service.go
+++ b/standin/logservice/service.go
@@ -1,5 +1,5 @@
-// Package logservice is an in-memory replacement for the platform's
-// append-only log, with limited retention, an append limit and fault switches.
+// Package logservice is an in-memory replacement for the platform's append-only log,
+// with limited retention, an append rate limit and fault injection.
 package logservice
 
 import (
@@ -21,34 +21,36 @@
 	pathStats               = "/stats"
 )
 
-// Options sets up a Service. The zero value is usable.
+// Options configures a Service. The zero value is usable.
 type Options struct {
-	// AppendsPerSecond limits append requests; 0 means several hundred, a
-	// negative value no limit.
+	// AppendsPerSecond is the maximum rate of append requests; 0 means 400, and a
+	// negative value means no limit.
 	AppendsPerSecond int
-	// KeepRecords is the number of records kept of a stream; 0 keeps all.
+	// KeepRecords is the maximum number of records kept per stream; 0 means no
+	// limit.
 	KeepRecords int
-	// KeepFor is how long a record is kept; 0 keeps it for good.
+	// KeepFor is the retention time of a record; 0 means no limit.
 	KeepFor time.Duration
-	// Seed starts the random choice of faults.
+	// Seed initializes the random choice of faults.
 	Seed uint64
 }
 
-// Faults are the fault switches.
+// Faults holds the faults to inject. The zero value means none.
 type Faults struct {
-	// Down refuses every request with 503.
+	// Down refuses every request with status 503.
 	Down bool `json:"down"`
-	// Slow delays every request, in nanoseconds.
+	// Slow is the delay before every request is served. In JSON it is a number of
+	// nanoseconds.
 	Slow time.Duration `json:"slow"`
-	// LoseNext is the number of appends that take effect without an answer.
+	// LoseNext is the number of next appends that take effect but get no response.
 	LoseNext int `json:"lose_next"`
-	// LoseProbability is the share of appends that take effect without an answer.
+	// LoseProbability is the share of appends that take effect but get no response.
 	LoseProbability float64 `json:"lose_probability"`
 	// DuplicateProbability is the share of appends that are stored twice.
 	DuplicateProbability float64 `json:"duplicate_probability"`
 }
 
-// Stats counts what the service has done since its start.
+// Stats holds the counters of a service since its start.
 type Stats struct {
 	Appends int64 `json:"appends"`
 	Records int64 `json:"records"`
@@ -60,13 +62,13 @@
 type Service struct {
 	opts Options
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	faults  Faults
-	stats   Stats
-	streams map[string]*stream
-	tokens  float64
-	filled  time.Time
+	mu         sync.Mutex
+	rng        *rand.Rand
+	faults     Faults
+	stats      Stats
+	streams    map[string]*stream
+	tokens     float64
+	refilledAt time.Time
 }
 
 // New returns an empty log.
@@ -75,21 +77,21 @@
 		opts.AppendsPerSecond = defaultAppendsPerSecond
 	}
 	return &Service{
-		opts:    opts,
-		rng:     rand.New(rand.NewPCG(opts.Seed, 0)),
-		streams: map[string]*stream{},
-		tokens:  1,
-		filled:  time.Now(),
+		opts:       opts,
+		rng:        rand.New(rand.NewPCG(opts.Seed, 0)),
+		streams:    map[string]*stream{},
+		tokens:     1,
+		refilledAt: time.Now(),
 	}
 }
 
-// SetFaults replaces the fault switches. Reads that wait notice at once.
+// SetFaults replaces the faults. They apply to waiting reads immediately.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 	for _, st := range s.streams {
-		st.wake()
+		st.wakeReaders()
 	}
 }
 
@@ -100,15 +102,15 @@
 	return s.stats
 }
 
-// Truncate forgets all records of the stream below offset first.
+// Truncate discards all records of the stream below offset first.
 func (s *Service) Truncate(name string, first uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stream(name).truncate(first)
 }
 
-// append stores the records and reports whether the answer is to be lost. It
-// returns false if the append limit is exceeded.
+// append stores the records and reports whether the response is to be lost. ok is
+// false if the append rate limit is exceeded; nothing is stored then.
 func (s *Service) append(req wire.AppendRequest) (resp wire.AppendResponse, lose, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,14 +132,15 @@
 	return resp, lose, true
 }
 
-// takeToken is a token bucket that holds the appends of a tenth of a second.
+// takeToken takes a token for one append and reports whether there was one. The token
+// bucket holds the appends of a tenth of a second, at least one.
 func (s *Service) takeToken(now time.Time) bool {
 	rate := float64(s.opts.AppendsPerSecond)
 	if rate < 0 {
 		return true
 	}
-	s.tokens = min(s.tokens+now.Sub(s.filled).Seconds()*rate, max(1, rate/10))
-	s.filled = now
+	s.tokens = min(s.tokens+now.Sub(s.refilledAt).Seconds()*rate, max(1, rate/10))
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return false
 	}
@@ -145,8 +148,8 @@
 	return true
 }
 
-// read returns the records from offset on, and a channel that is closed at the
-// next append if there are none.
+// read returns at most limit records, starting at offset from, and a channel that is
+// closed at the next append and at the next change of the faults.
 func (s *Service) read(name string, from uint64, limit int) (wire.ReadResponse, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,6 +159,7 @@
 	return st.read(from, limit), st.changed
 }
 
+// stream returns the stream with the given name and creates it if needed.
 func (s *Service) stream(name string) *stream {
 	st, ok := s.streams[name]
 	if !ok {
--- a/standin/logservice/service_test.go
+++ b/standin/logservice/service_test.go
@@ -84,8 +84,9 @@
 	require.ErrorIs(t, err, logstream.ErrUnavailable)
 }
 
-// All records arrive although answers are lost and the limit throttles; records
-// that wait at the same time share an append.
+// TestAppenderGroupsAndRepeats checks that all records are stored although responses
+// are lost and the rate limit throttles, and that records waiting at the same time share
+// an append.
 func TestAppenderGroupsAndRepeats(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	service, log := start(t, logservice.Options{AppendsPerSecond: 200, Seed: 1})
@@ -140,8 +141,8 @@
 	require.ErrorIs(t, err, logstream.ErrStopped)
 }
 
-// BenchmarkAppender appends records of 200 bytes from many callers over HTTP to a
-// log that takes 0.25 ms and 400 appends a second.
+// BenchmarkAppender appends records of 200 bytes from many goroutines over HTTP to a
+// log that takes 0.25 ms per request and at most 400 appends per second.
 func BenchmarkAppender(b *testing.B) {
 	for name, maxRecords := range map[string]int{"single": 1, "group": 0} {
 		b.Run(name, func(b *testing.B) {
--- a/standin/logservice/stream.go
+++ b/standin/logservice/stream.go
@@ -6,48 +6,54 @@
 	"masticbank.example/node/wire"
 )
 
-type stored struct {
-	at   time.Time
-	data []byte
+// storedRecord is a record with the time of its append.
+type storedRecord struct {
+	appendedAt time.Time
+	data       []byte
 }
 
-// stream holds the kept records of one stream. The Service's lock guards it.
+// stream holds the retained records of one stream, beginning with offset first. The
+// lock of the Service guards it.
 type stream struct {
 	first   uint64
-	records []stored
+	records []storedRecord
 	changed chan struct{}
 }
 
+// next returns the offset of the next record to append.
 func (st *stream) next() uint64 { return st.first + uint64(len(st.records)) }
 
+// append adds the records and returns the offset of the first one.
 func (st *stream) append(now time.Time, records [][]byte) uint64 {
 	offset := st.next()
 	for _, data := range records {
-		st.records = append(st.records, stored{at: now, data: data})
+		st.records = append(st.records, storedRecord{appendedAt: now, data: data})
 	}
-	st.wake()
+	st.wakeReaders()
 	return offset
 }
 
-// wake ends the waits of reads.
-func (st *stream) wake() {
+// wakeReaders wakes all waiting reads.
+func (st *stream) wakeReaders() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
+// expire discards the records beyond the retention limits.
 func (st *stream) expire(now time.Time, opts Options) {
 	first := st.first
 	if opts.KeepRecords > 0 && len(st.records) > opts.KeepRecords {
 		first = st.next() - uint64(opts.KeepRecords)
 	}
 	if opts.KeepFor > 0 {
-		for first < st.next() && now.Sub(st.records[first-st.first].at) > opts.KeepFor {
+		for first < st.next() && now.Sub(st.records[first-st.first].appendedAt) > opts.KeepFor {
 			first++
 		}
 	}
 	st.truncate(first)
 }
 
+// truncate discards the records below offset first.
 func (st *stream) truncate(first uint64) {
 	first = min(first, st.next())
 	if first <= st.first {
@@ -59,6 +65,8 @@
 	st.first = first
 }
 
+// read returns at most limit records, starting at offset from or at the first one
+// retained.
 func (st *stream) read(from uint64, limit int) wire.ReadResponse {
 	from = max(from, st.first)
 	resp := wire.ReadResponse{First: st.first, Next: min(from, st.next())}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a small stand-in for a plain service with calls that may
-// be repeated and calls that may not. It records an order each time it is
-// called, so that a double call is seen as two records.
+// Package service is a small stand-in for a plain service with idempotent calls
+// (status) and non-idempotent calls (orders). It records an order for each call that
+// it runs, so that a repeated call shows as two records.
 package service
 
 import (
@@ -16,16 +16,16 @@
 )
 
 const (
-	// KeyHeader carries the idempotency key of an order.
+	// KeyHeader is the header that carries the idempotency key of an order.
 	KeyHeader = "Idempotency-Key"
-	// maxBody bounds the body of an order, in bytes.
+	// maxBody is the maximum size of an order's body in bytes.
 	maxBody = 1 << 20
-	// defaultSlots is the capacity shown in load reports.
+	// defaultSlots is the capacity given in load reports. It is not enforced.
 	defaultSlots = 32
 )
 
-// Records counts the orders of all replicas of a service by idempotency key.
-// Safe for concurrent use.
+// Records counts the orders of all replicas of a service by idempotency key. It is
+// safe for concurrent use.
 type Records struct {
 	mu    sync.Mutex
 	byKey map[string]int
@@ -35,22 +35,22 @@
 // NewRecords returns empty records.
 func NewRecords() *Records { return &Records{byKey: make(map[string]int)} }
 
-// Records returns the number of orders recorded under key.
-func (r *Records) Records(key string) int {
+// Count returns the number of orders recorded under key.
+func (r *Records) Count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byKey[key]
 }
 
-// Total returns the number of orders recorded.
+// Total returns the number of all recorded orders.
 func (r *Records) Total() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total
 }
 
-// Repeated returns the keys that were recorded more than once.
-func (r *Records) Repeated() []string {
+// RepeatedKeys returns the keys under which more than one order was recorded.
+func (r *Records) RepeatedKeys() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var keys []string
@@ -62,6 +62,7 @@
 	return keys
 }
 
+// add records an order and returns the number of all recorded orders.
 func (r *Records) add(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,38 +71,40 @@
 	return r.total
 }
 
-// Options describes one replica of a service.
+// Options configures one replica of a service.
 type Options struct {
 	ID   string
 	Name string
 	// Latency is the processing time of one call.
 	Latency time.Duration
-	// Records are shared by the replicas; nil means own ones.
+	// Records are shared by the replicas of a service; nil means that the replica
+	// has records of its own.
 	Records *Records
 }
 
-// Service is one replica. It is an http.Handler, safe for concurrent use.
+// Service is one replica. It is an http.Handler and safe for concurrent use.
 type Service struct {
 	options Options
 	mux     *http.ServeMux
 
-	mu      sync.Mutex
-	running int
-	leaving bool
-	factor  float64
-	answers map[fault.Kind]int
+	mu        sync.Mutex
+	running   int
+	leaving   bool
+	factor    float64
+	remaining map[fault.Kind]int
 }
 
-// Order is the answer to a recorded order.
+// Order is the response to a recorded order.
 type Order struct {
-	// Number is the order's place among all orders of the service.
+	// Number is the number of orders that the service has recorded, including
+	// this one.
 	Number int    `json:"number"`
 	Key    string `json:"key"`
-	// Body repeats the order's body.
+	// Body is the body of the request.
 	Body string `json:"body"`
 }
 
-// Status is the answer of GET /status.
+// Status is the response to GET /status.
 type Status struct {
 	Service string `json:"service"`
 	Orders  int    `json:"orders"`
@@ -112,7 +115,7 @@
 	if o.Records == nil {
 		o.Records = NewRecords()
 	}
-	s := &Service{options: o, factor: 1, answers: make(map[fault.Kind]int)}
+	s := &Service{options: o, factor: 1, remaining: make(map[fault.Kind]int)}
 	s.mux = http.NewServeMux()
 	s.mux.HandleFunc("POST /orders", s.serveOrder)
 	s.mux.HandleFunc("GET /status", s.serveStatus)
@@ -123,19 +126,19 @@
 	return s
 }
 
-// ServeHTTP serves orders, status, load, probes and faults.
+// ServeHTTP serves orders, status, load reports, probes and faults.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
 
-// Records returns the number of orders recorded under key by all replicas that
+// OrderCount returns the number of orders recorded under key by all replicas that
 // share the records.
-func (s *Service) Records(key string) int { return s.options.Records.Records(key) }
+func (s *Service) OrderCount(key string) int { return s.options.Records.Count(key) }
 
-// Inject shows a fault: Slow, Leaving, CloseAfterRecording,
-// RefuseBeforeRecording or Restore.
+// Inject applies a fault of one of the kinds Slow, Leaving, CloseAfterRecording,
+// RefuseBeforeRecording and Restore.
 func (s *Service) Inject(f fault.Fault) error {
-	if err := f.Check(); err != nil {
+	if err := f.Validate(); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -146,10 +149,10 @@
 	case fault.Leaving:
 		s.leaving = true
 	case fault.CloseAfterRecording, fault.RefuseBeforeRecording:
-		s.answers[f.Kind] = f.Answers()
+		s.remaining[f.Kind] = f.Responses()
 	case fault.Restore:
 		s.factor, s.leaving = 1, false
-		clear(s.answers)
+		clear(s.remaining)
 	default:
 		return fmt.Errorf("%w %q", fault.ErrUnknown, f.Kind)
 	}
@@ -169,14 +172,14 @@
 		writeError(w, http.StatusServiceUnavailable, wire.CodeLeaving, "no new calls")
 		return
 	}
-	if s.useFault(fault.RefuseBeforeRecording) {
+	if s.consumeFault(fault.RefuseBeforeRecording) {
 		writeError(w, http.StatusTooManyRequests, wire.CodeOverloaded, "nothing was recorded")
 		return
 	}
-	defer s.work()()
+	defer s.startWork()()
 	key := r.Header.Get(KeyHeader)
 	number := s.options.Records.add(key)
-	if s.useFault(fault.CloseAfterRecording) {
+	if s.consumeFault(fault.CloseAfterRecording) {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusCreated, Order{Number: number, Key: key, Body: string(body)})
@@ -187,12 +190,13 @@
 		writeError(w, http.StatusServiceUnavailable, wire.CodeLeaving, "no new calls")
 		return
 	}
-	defer s.work()()
+	defer s.startWork()()
 	writeJSON(w, http.StatusOK, Status{Service: s.options.Name, Orders: s.options.Records.Total()})
 }
 
-// work takes the processing time; the returned function ends the call.
-func (s *Service) work() func() {
+// startWork counts the call as running and sleeps for the processing time. The returned
+// function ends the call.
+func (s *Service) startWork() func() {
 	s.mu.Lock()
 	s.running++
 	latency := time.Duration(float64(s.options.Latency) * s.factor)
@@ -211,13 +215,13 @@
 	return s.leaving
 }
 
-// useFault reports whether the next answer shows the fault.
-func (s *Service) useFault(kind fault.Kind) bool {
+// consumeFault reports whether the fault applies to this response, and counts it down.
+func (s *Service) consumeFault(kind fault.Kind) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := s.answers[kind]
+	left := s.remaining[kind]
 	if left > 0 {
-		s.answers[kind] = left - 1
+		s.remaining[kind] = left - 1
 	}
 	return left != 0
 }
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -11,7 +11,7 @@
 	"masticbank.example/standin/fault"
 )
 
-func order(t *testing.T, address, key string) (int, error) {
+func postOrder(t *testing.T, address, key string) (int, error) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, address+"/orders", strings.NewReader("wood"))
 	require.NoError(t, err)
@@ -23,7 +23,8 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// Each call is recorded, also one whose answer is lost, and a refused one is not.
+// TestRecordsCountCalls checks that each call is recorded, including one whose response
+// is lost, and that a refused call is not.
 func TestRecordsCountCalls(t *testing.T) {
 	records := NewRecords()
 	first, second := New(Options{Records: records}), New(Options{Records: records})
@@ -31,21 +32,21 @@
 	defer a.Close()
 	defer b.Close()
 	for _, address := range []string{a.URL, b.URL} {
-		status, err := order(t, address, "k")
+		status, err := postOrder(t, address, "k")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusCreated, status)
 	}
-	require.Equal(t, 2, first.Records("k"))
-	require.Equal(t, []string{"k"}, records.Repeated())
+	require.Equal(t, 2, first.OrderCount("k"))
+	require.Equal(t, []string{"k"}, records.RepeatedKeys())
 
 	require.NoError(t, first.Inject(fault.Fault{Kind: fault.CloseAfterRecording}))
-	_, err := order(t, a.URL, "lost")
+	_, err := postOrder(t, a.URL, "lost")
 	require.Error(t, err)
-	require.Equal(t, 1, records.Records("lost"))
+	require.Equal(t, 1, records.Count("lost"))
 
 	require.NoError(t, first.Inject(fault.Fault{Kind: fault.RefuseBeforeRecording}))
-	status, err := order(t, a.URL, "refused")
+	status, err := postOrder(t, a.URL, "refused")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusTooManyRequests, status)
-	require.Zero(t, records.Records("refused"))
+	require.Zero(t, records.Count("refused"))
 }
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -1,4 +1,5 @@
-// Package weights is a small stand-in for a weight store that limits its rate.
+// Package weights is a small stand-in for a weight store that limits the number and
+// the speed of concurrent loads.
 package weights
 
 import (
@@ -11,22 +12,23 @@
 )
 
 const (
-	defaultConcurrent    = 2
+	defaultMaxConcurrent = 2
 	defaultBytesPerLayer = 64 << 10
 	chunkBytes           = 64 << 10
 )
 
-// Options describes a store.
+// Options configures a store.
 type Options struct {
-	// MaxConcurrent bounds the loads at once; more are answered 429.
+	// MaxConcurrent is the maximum number of concurrent loads; further ones are
+	// refused with status 429. 0 means 2.
 	MaxConcurrent int
-	// BytesPerLayer is the size of one layer.
+	// BytesPerLayer is the size of one layer; 0 means 64 KiB.
 	BytesPerLayer int
-	// BytesPerSecond is the speed of one load; 0 means no limit.
+	// BytesPerSecond is the speed of each load; 0 means no limit.
 	BytesPerSecond float64
 }
 
-// Store is the weight store. It is an http.Handler, safe for concurrent use.
+// Store is the weight store. It is an http.Handler and safe for concurrent use.
 type Store struct {
 	options Options
 
@@ -37,19 +39,20 @@
 	refused int
 }
 
-// Counts tells what a store has served.
+// Counts holds the counters of a store.
 type Counts struct {
-	// Loads is the number of loads started, Refused those answered 429.
+	// Loads is the number of loads started, Refused that of loads refused with
+	// status 429.
 	Loads   int
 	Refused int
-	// Peak is the largest number of loads at once.
+	// Peak is the largest number of concurrent loads.
 	Peak int
 }
 
-// New returns a store.
+// New returns a store without loads.
 func New(o Options) *Store {
 	if o.MaxConcurrent <= 0 {
-		o.MaxConcurrent = defaultConcurrent
+		o.MaxConcurrent = defaultMaxConcurrent
 	}
 	if o.BytesPerLayer <= 0 {
 		o.BytesPerLayer = defaultBytesPerLayer
@@ -57,7 +60,7 @@
 	return &Store{options: o}
 }
 
-// Counts returns what the store has served so far.
+// Counts returns the counters since the store was created.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +107,7 @@
 	s.running--
 }
 
-// send writes size bytes at the store's speed.
+// send writes size bytes at the configured speed.
 func (s *Store) send(w http.ResponseWriter, r *http.Request, size int) {
 	w.Header().Set("Content-Length", strconv.Itoa(size))
 	chunk := make([]byte, chunkBytes)
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -11,7 +11,8 @@
 	"masticbank.example/node/wire"
 )
 
-// The store refuses a load over its bound and sends whole layers.
+// TestStoreLimitsLoads checks that the store sends whole layers and refuses a load over
+// the maximum number of concurrent loads.
 func TestStoreLimitsLoads(t *testing.T) {
 	const perLayer = 1000
 	s := New(Options{MaxConcurrent: 1, BytesPerLayer: perLayer})
