--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# Pinned versions of the tools; `make tools` installs them into bin/.
+# Pinned versions of the tools. `make tools` installs the first two into bin/,
+# `make proto` the third.
 GOFUMPT_VERSION := v0.12.0
 GOLANGCI_VERSION := v2.15.0
 PROTOC_GEN_GO_VERSION := v1.36.12
@@ -22,17 +23,17 @@
 test:
 	go test -race -timeout 15m $(PACKAGES)
 
-# Every fuzz target as file:name, one a line.
+# Prints every fuzz target as file:name, one per line.
 FUZZ_TARGETS := grep -rHo --include='*_test.go' '^func Fuzz[A-Za-z]*' $(MODULES) | sed 's/func //'
 
-# Runs the fuzzing engine for FUZZ_TIME on each target. What it finds depends on
-# the machine and its load, so that the CI runs only fuzz-corpus.
+# Fuzzes each target for FUZZ_TIME. The outcome depends on the machine and its
+# load, so CI runs only fuzz-corpus.
 fuzz:
 	@$(FUZZ_TARGETS) | while IFS=: read -r file name; do \
 		go test -run '^$$' -fuzz "^$$name\$$" -fuzztime $(FUZZ_TIME) "./$$(dirname "$$file")" </dev/null || exit 1; \
 	done
 
-# Runs the committed corpus of each target, which must not be empty.
+# Runs each fuzz target on its committed corpus, which must not be empty.
 fuzz-corpus:
 	@$(FUZZ_TARGETS) | while IFS=: read -r file name; do \
 		dir="$$(dirname "$$file")"; \
@@ -40,8 +41,8 @@
 		go test -count=1 -run "^$$name\$$" "./$$dir" </dev/null || exit 1; \
 	done
 
-# Prints docs/OPERATIONS.md with the present settings between its two markers,
-# and fails when a marker is missing.
+# Prints docs/OPERATIONS.md with the current settings reference between its two
+# markers. Fails if a marker is missing.
 OPERATIONS := docs/OPERATIONS.md
 WITH_SETTINGS = awk -v table=bin/settings.md ' \
 	/^<!-- settings: begin -->$$/ { print; while ((getline line < table) > 0) print line; skip = 1; begin = 1 } \
@@ -84,7 +85,8 @@
 SEEDS := 50
 FIRST := 1
 
-# Plays seeds of the fault soak; the logs of those with findings go to bin/soak.
+# Runs the fault soak test for SEEDS seeds, starting at FIRST. The logs of failed
+# seeds are kept in bin/soak.
 soak:
 	@mkdir -p bin/soak
 	go test -count=1 -v -timeout 120m ./cmd/internal/soak -run TestSoak -soak.seeds $(SEEDS) -soak.first $(FIRST) -soak.keep $(CURDIR)/bin/soak
@@ -100,7 +102,7 @@
 SLOPE_TIME := 200ms
 SLOPE := go test -run '^$$' -benchtime=$(SLOPE_TIME)
 
-# Measures the slopes that docs/CAPACITY.md uses.
+# Runs the benchmarks and tests whose cost figures (slopes) docs/CAPACITY.md uses.
 slopes:
 	$(SLOPE) -bench 'Request|Control|Configure|SetInstances|DecodeList|Memory' ./node/router
 	$(SLOPE) -bench . ./node/api ./node/engine/httpjson ./node/config
--- a/scripts/agreement.sh
+++ b/scripts/agreement.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Measures the agreement between nine instances in separate processes.
+# Runs one trial against nine entry instances in separate processes.
 #
 # usage: scripts/agreement.sh publish|race|away|orders|kill|roll|use
 #
-# Builds nothing: run `make build` first. BASE_PORT is the first port.
+# It does not build the programs: run `make build` first. BASE_PORT is the first
+# port, 12000 by default.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -19,7 +20,8 @@
   exec scripts/cluster.sh asistente "$COUNT" scripts/agreement.sh inside "$what"
 fi
 
-# Here cluster.sh has started the instances.
+# From here on the script runs as the command of cluster.sh, which has started
+# the instances.
 read -ra first <<<"$PIDS"
 pids=()
 load=
@@ -30,7 +32,8 @@
 }
 trap finish EXIT
 
-# addresses N names the first N instances, whether or not they run.
+# addresses N prints the flags for the addresses of the first N instances, whether
+# or not they are running.
 addresses() {
   for ((i = 0; i < $1; i++)); do
     port=$((base + 3000 + 10 * i))
@@ -45,8 +48,8 @@
   bin/masticctl trial "$command" $(addresses "$instances") "$@"
 }
 
-# start_load INSTANCES loads them until end_load. A signal reaches the program
-# only if no shell is between.
+# start_load N sends load to the first N instances until end_load. It must start
+# the program itself: a signal sent to a subshell would not reach the program.
 start_load() {
   # shellcheck disable=SC2046
   bin/masticctl trial load $(addresses "$1") ${LOAD_FLAGS:-} &
@@ -64,7 +67,7 @@
 
 milliseconds() { echo $(($(date +%s%N) / 1000000)); }
 
-# wait_gone PID waits until a process has ended.
+# wait_gone PID waits until the process has ended; a zombie counts as ended.
 wait_gone() {
   while [ -d "/proc/$1" ] && ! grep -q '^State:.Z' "/proc/$1/status" 2>/dev/null; do sleep 0.02; done
 }
@@ -78,7 +81,7 @@
   echo "entry-$1: ready after $(($(milliseconds) - begin)) ms"
 }
 
-# status NUMBER prints what an instance says of itself.
+# status NUMBER prints the first two lines of the status of an instance.
 status() {
   bin/masticctl status --admin "http://127.0.0.1:$((base + 3000 + 10 * $1 + 1))" >"$run/status"
   head -n 2 "$run/status"
@@ -88,7 +91,7 @@
 
 measure_race() { trial race "$COUNT"; }
 
-# Instances that start while the log is away.
+# Starts five instances while the log is unavailable.
 measure_away() {
   log_faults '{"down": true}'
   sleep 1
@@ -97,8 +100,8 @@
   log_faults '{}'
 }
 
-# Orders during kills, pauses beyond the dispatch window, lost answers and an
-# outage of the log.
+# Sends orders while instances are killed, instances are paused for longer than
+# the dispatch window, the log loses responses, and the log is unavailable.
 measure_orders() {
   trial orders "$COUNT" --lasting 30s &
   load=$!
@@ -130,7 +133,7 @@
 
 measure_kill() { trial kill "$COUNT" --callers "${CALLERS:-300}" --tokens 40 --pid "${first[8]}" ${LOAD_FLAGS:-}; }
 
-# Replaces each instance by one with a new ID, under load.
+# Replaces each instance under load by one with a new ID.
 measure_roll() {
   start_load $((2 * COUNT))
   sleep 3
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,17 +1,26 @@
 #!/usr/bin/env bash
-# Starts stand-ins and entry instances as separate processes on loopback,
-# publishes a configuration, runs one command, and stops everything.
+# Starts stand-ins and entry instances as separate processes on the loopback
+# interface, publishes a configuration, runs one command, and stops all processes.
 #
 # usage: scripts/cluster.sh FLEET INSTANCES COMMAND [ARGUMENT...]
 #
-# The command sees these variables: TARGETS (callers' addresses, one --target
-# each), ADMINS (administration URLs), CONTROL (address of the stand-ins),
-# MASTICBANK_ADMIN, MASTICBANK_ADMIN_KEY, PIDS (of the instances), RUN_DIR, LOG
-# (URL of the log). A command in bash can start more with start_instance NUMBER,
-# which sets pids[NUMBER], and has to end them; LISTED lists so many instances
-# beyond INSTANCES from the start.
-# EXTRA holds further settings for every instance, such as
-# $'[policy]\nadmission = fifo'.
+# The command gets these environment variables:
+#   TARGETS               one --target flag per instance, with its client API address
+#   ADMINS                base URLs of the administration APIs
+#   MASTICBANK_ADMIN      administration API of the first instance
+#   MASTICBANK_ADMIN_KEY  key of the administration APIs
+#   CONTROL               control address of the stand-ins
+#   LOG                   URL of the log service
+#   PIDS                  process IDs of the instances
+#   RUN_DIR               temporary folder with settings and logs
+# A bash command can start further instances with start_instance NUMBER, which
+# sets pids[NUMBER]; the command has to stop them itself.
+#
+# Optional environment variables: BASE_PORT is the first port. LISTED is the number
+# of instances beyond INSTANCES that are in the instance list from the start.
+# LOG_LEVEL is the log level of the instances. EXTRA holds further settings for
+# every instance, such as $'[policy]\nadmission = fifo'. STANDIN_FLAGS holds flags
+# of `masticctl standin`. KEEP_LOGS is a folder to which the logs are copied.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/load.sh
+++ b/scripts/load.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs one scenario against a cluster of separate processes.
+# Runs one load scenario against a cluster of separate processes.
 #
 # usage: scripts/load.sh FLEET INSTANCES SCENARIO REPORT_DIR
 set -euo pipefail
