--- a/cmd/internal/adminclient/client.go
+++ b/cmd/internal/adminclient/client.go
@@ -1,4 +1,4 @@
-// Package adminclient calls the administration API of one instance.
+// Package adminclient is a client of the administration API of an instance.
 package adminclient
 
 import (
@@ -19,11 +19,11 @@
 )
 
 const (
-	timeout        = 30 * time.Second
-	maxAnswerBytes = 64 << 20
+	timeout          = 30 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// Client calls one instance. It is safe for concurrent use.
+// Client calls the administration API of one instance. It is safe for concurrent use.
 type Client struct {
 	base string
 	key  string
@@ -35,13 +35,13 @@
 	return &Client{base: strings.TrimSuffix(base, "/"), key: key, http: &http.Client{Timeout: timeout}}
 }
 
-// StatusError is an answer with an unexpected status.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   []byte
 }
 
-// Error returns the status and the message of the body.
+// Error returns the error message in the body, or the status if there is none.
 func (e *StatusError) Error() string {
 	var body admin.ErrorBody
 	if err := json.Unmarshal(e.Body, &body); err == nil && body.Error != "" {
@@ -50,39 +50,40 @@
 	return fmt.Sprintf("status %d", e.Status)
 }
 
-// Status reads the state of the instance.
+// Status returns the state of the instance.
 func (c *Client) Status(ctx context.Context) (*admin.Status, error) {
 	out := &admin.Status{}
-	return out, c.call(ctx, http.MethodGet, "/admin/v1/status", nil, out)
+	return out, c.send(ctx, http.MethodGet, "/admin/v1/status", nil, out)
 }
 
-// Config reads the configuration in force.
+// Config returns the configuration in force and its revision.
 func (c *Client) Config(ctx context.Context) (*admin.Config, error) {
 	out := &admin.Config{}
-	return out, c.call(ctx, http.MethodGet, "/admin/v1/config", nil, out)
+	return out, c.send(ctx, http.MethodGet, "/admin/v1/config", nil, out)
 }
 
-// Publish proposes a configuration. A *StatusError with status 409 tells that
-// another proposal came before, with status 202 that the fate is not known.
+// Publish proposes a configuration. It returns a *StatusError with status 409 if
+// another proposal was accepted first, and with status 202 if the outcome is not
+// known yet.
 func (c *Client) Publish(ctx context.Context, p *admin.Publish) (*admin.Published, error) {
 	out := &admin.Published{}
-	return out, c.call(ctx, http.MethodPost, "/admin/v1/config", p, out)
+	return out, c.send(ctx, http.MethodPost, "/admin/v1/config", p, out)
 }
 
-// Drain stops new work to an upstream.
+// Drain makes the instance and all peers that it can reach send no new work to an upstream.
 func (c *Client) Drain(ctx context.Context, upstream string) (*admin.Drained, error) {
 	out := &admin.Drained{}
-	return out, c.call(ctx, http.MethodPost, "/admin/v1/drain", admin.Drain{Upstream: upstream}, out)
+	return out, c.send(ctx, http.MethodPost, "/admin/v1/drain", admin.Drain{Upstream: upstream}, out)
 }
 
-// ExplainRequest tells what is known of a request.
+// ExplainRequest returns what the instance knows about a request that was sent to it.
 func (c *Client) ExplainRequest(ctx context.Context, id string) (*admin.RequestExplanation, error) {
 	out := &admin.RequestExplanation{}
-	return out, c.call(ctx, http.MethodGet, "/admin/v1/explain?request="+url.QueryEscape(id), nil, out)
+	return out, c.send(ctx, http.MethodGet, "/admin/v1/explain?request="+url.QueryEscape(id), nil, out)
 }
 
-// ExplainRoute gives the grounds of a route choice made now. A prompt that is not
-// empty replaces promptTokens.
+// ExplainRoute returns the route that a request would take now, and the state of the
+// replicas behind that choice. promptTokens is used only if the prompt is empty.
 func (c *Client) ExplainRoute(ctx context.Context, model, prompt string, promptTokens, outputTokens int) (*admin.RouteExplanation, error) {
 	q := url.Values{}
 	q.Set("model", model)
@@ -90,16 +91,17 @@
 	q.Set("prompt_tokens", strconv.Itoa(promptTokens))
 	q.Set("output_tokens", strconv.Itoa(outputTokens))
 	out := &admin.RouteExplanation{}
-	return out, c.call(ctx, http.MethodGet, "/admin/v1/explain?"+q.Encode(), nil, out)
+	return out, c.send(ctx, http.MethodGet, "/admin/v1/explain?"+q.Encode(), nil, out)
 }
 
-// LogLevel changes the level of the instance's log.
+// LogLevel changes the log level of the instance.
 func (c *Client) LogLevel(ctx context.Context, level string) (*admin.LogLevel, error) {
 	out := &admin.LogLevel{}
-	return out, c.call(ctx, http.MethodPut, "/admin/v1/log-level", admin.LogLevel{Level: level}, out)
+	return out, c.send(ctx, http.MethodPut, "/admin/v1/log-level", admin.LogLevel{Level: level}, out)
 }
 
-func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
+// send sends in as JSON, unless it is nil, and decodes the response into out.
+func (c *Client) send(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -118,7 +120,7 @@
 		return trace.Wrap(err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/cmd/internal/command/command.go
+++ b/cmd/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command runs the command line of a program.
+// Package command parses and runs the command line of a program.
 package command
 
 import (
@@ -11,13 +11,13 @@
 
 // Exit statuses of the programs.
 const (
-	// ExitFailed means that the command was understood and failed.
+	// ExitFailed means that the command line was valid but the command failed.
 	ExitFailed = 1
-	// ExitUsage means a mistake in the command line or in the operator's files.
+	// ExitUsage means that the command line or a file that it names is invalid.
 	ExitUsage = 2
 )
 
-// UsageError is a mistake in the command line or in the operator's files.
+// UsageError means that the command line or a file that it names is invalid.
 type UsageError struct{ Err error }
 
 // Error returns the message of the cause.
@@ -26,12 +26,14 @@
 // Unwrap returns the cause.
 func (e *UsageError) Unwrap() error { return e.Err }
 
-// Main parses the arguments of the process into grammar, runs the command and
-// exits.
+// Main parses the process arguments into grammar, a pointer to a kong command struct,
+// runs the chosen command and exits the process.
 func Main(name, description string, grammar any) {
 	os.Exit(run(name, description, grammar, os.Args[1:]))
 }
 
+// run parses args, runs the chosen command, prints its error and returns the exit
+// status.
 func run(name, description string, grammar any, args []string) int {
 	parser := kong.Must(grammar, kong.Name(name), kong.Description(description))
 	ctx, err := parser.Parse(args)
@@ -41,12 +43,12 @@
 	}
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-		return status(err)
+		return exitStatus(err)
 	}
 	return 0
 }
 
-func status(err error) int {
+func exitStatus(err error) int {
 	var usage *UsageError
 	if errors.As(err, &usage) {
 		return ExitUsage
--- a/cmd/internal/local/agreement_test.go
+++ b/cmd/internal/local/agreement_test.go
@@ -14,83 +14,85 @@
 	"masticbank.example/standin/logservice"
 )
 
-// startThree starts three instances.
+// startThree starts a cluster of three instances and checks at the end of the test
+// that no engine recorded a violation.
 func startThree(t *testing.T) *Cluster {
 	t.Helper()
 	t.Parallel()
-	d, err := Start(Options{Instances: 3, Spec: fleet.Dev(), Configuration: DevConfiguration})
+	c, err := Start(Options{Instances: 3, Spec: fleet.Dev(), Configuration: DevConfiguration})
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		require.Empty(t, d.Fleet.Violations())
-		d.Close(context.Background())
+		require.Empty(t, c.Fleet.Violations())
+		c.Close(context.Background())
 	})
-	return d
+	return c
 }
 
-// trial returns the instances as package trial names them.
-func (d *Cluster) trial(apps ...*app.App) *trial.Cluster {
-	c := &trial.Cluster{AdminKey: AdminKey, Key: Key, Control: d.Fleet.Addresses().Control}
+// trialCluster returns the given instances of the cluster as targets of package trial.
+func (c *Cluster) trialCluster(apps ...*app.App) *trial.Cluster {
+	out := &trial.Cluster{AdminKey: AdminKey, Key: APIKey, Control: c.Fleet.Addresses().Control}
 	for _, a := range apps {
-		c.Instances = append(c.Instances, trial.Instance{Caller: a.CallerAddr(), Admin: "http://" + a.AdminAddr()})
+		out.Instances = append(out.Instances, trial.Instance{Caller: a.CallerAddr(), Admin: "http://" + a.AdminAddr()})
 	}
-	return c
+	return out
 }
 
-// TestRacingOperators lets an operator at each instance publish on the same
-// base at once, round after round.
+// TestRacingOperators guards against two concurrent proposals on the same base
+// revision that both win: in each round, one operator per instance publishes on the
+// same base at the same time.
 func TestRacingOperators(t *testing.T) {
-	d := startThree(t)
+	c := startThree(t)
 	const proposals = 60
-	out, err := d.trial(d.Apps...).Race(context.Background(), proposals)
+	out, err := c.trialCluster(c.Apps...).Race(context.Background(), proposals)
 	require.NoError(t, err)
 	require.Empty(t, out.Defects())
 	require.Equal(t, proposals, out.Won+out.Lost+out.Undecided)
 	require.LessOrEqual(t, out.Won, out.Rounds)
 }
 
-// TestInstanceStartedWhileLogIsAway adds an instance that can get the newest
-// configuration from its peers only.
-func TestInstanceStartedWhileLogIsAway(t *testing.T) {
-	d := startThree(t)
-	published, err := d.trial(d.Apps...).Publish(context.Background(), 2)
+// TestInstanceStartedWhileLogIsUnavailable starts an instance while the log is unavailable.
+// It must get the newest configuration from its peers, become ready and serve.
+func TestInstanceStartedWhileLogIsUnavailable(t *testing.T) {
+	c := startThree(t)
+	published, err := c.trialCluster(c.Apps...).Publish(context.Background(), 2)
 	require.NoError(t, err)
 	require.Zero(t, published.Reversions)
-	newest := d.Apps[0].Status().Revision
-	d.Log.SetFaults(logservice.Faults{Down: true})
-	defer d.Log.SetFaults(logservice.Faults{})
+	newest := c.Apps[0].Status().Revision
+	c.Log.SetFaults(logservice.Faults{Down: true})
+	defer c.Log.SetFaults(logservice.Faults{})
 
-	added, err := d.Add()
+	added, err := c.Add()
 	require.NoError(t, err)
 	require.NoError(t, WaitReady(added.AdminAddr()))
 	require.Equal(t, newest, added.Status().Revision)
-	want, _ := d.Apps[0].Config()
+	want, _ := c.Apps[0].Config()
 	got, _ := added.Config()
 	require.Equal(t, want, got)
-	r := d.doOn(t, added.CallerAddr(), http.MethodPost, "/v1/completions", `{"model":"dev","prompt":"p","max_tokens":3}`)
+	r := c.sendTo(t, added.CallerAddr(), http.MethodPost, "/v1/completions", `{"model":"dev","prompt":"p","max_tokens":3}`)
 	require.Equal(t, http.StatusOK, r.status, string(r.body))
 }
 
-// TestInstanceReplacedUnderLoad stops one of three instances while each has
-// streams in progress, and starts another. No answer may be cut or lost.
+// TestInstanceReplacedUnderLoad starts a further instance and then stops one of the
+// other three while it has streams in progress. No response may be truncated or lost.
 func TestInstanceReplacedUnderLoad(t *testing.T) {
-	d := startThree(t)
-	successor, err := d.Add()
+	c := startThree(t)
+	successor, err := c.Add()
 	require.NoError(t, err)
 	require.NoError(t, WaitReady(successor.AdminAddr()))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	result := make(chan *trial.LoadResult, 1)
 	go func() {
-		result <- d.trial(d.Apps...).Load(ctx, trial.LoadOptions{
+		result <- c.trialCluster(c.Apps...).Load(ctx, trial.LoadOptions{
 			Model: "dev", Layers: 12, Tokens: 24, Callers: 8, KeepAlive: true,
 		})
 	}()
-	leaving := d.Apps[0]
+	leaving := c.Apps[0]
 	require.Eventually(t, func() bool { return leaving.Status().InFlight > 0 }, readyTimeout, time.Millisecond)
 	bounded, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	// An instance can be stopped once.
-	d.Apps = d.Apps[1:]
+	// Remove the instance from the cluster, so that Close does not stop it again.
+	c.Apps = c.Apps[1:]
 	require.NoError(t, leaving.Stop(bounded))
 	require.Eventually(t, func() bool { return successor.Status().InFlight > 0 }, readyTimeout, time.Millisecond)
 	stop()
--- a/cmd/internal/local/configuration.go
+++ b/cmd/internal/local/configuration.go
@@ -1,7 +1,7 @@
 package local
 
 // DevConfiguration is the configuration of the development mode: model "dev",
-// service "orders" and workspace "dev" with key Key.
+// service "orders" and workspace "dev", whose API key is APIKey.
 const DevConfiguration = `[rank.urgent]
 priority = 0
 first_token = 1200ms
--- a/cmd/internal/local/local.go
+++ b/cmd/internal/local/local.go
@@ -19,49 +19,52 @@
 )
 
 const (
-	// Key is the API key of the development workspace.
-	Key = "dev-key"
-	// AdminKey is the key of the administration API.
+	// APIKey is the API key of the development workspace.
+	APIKey = "dev-key"
+	// AdminKey is the key of the administration API of every instance.
 	AdminKey = "dev-admin-key-0000"
-	// peerKey is the key shared by the instances.
+	// peerKey is the key that instances use between each other.
 	peerKey = "dev-peer-key-00000"
-	// readyTimeout bounds the start.
-	readyTimeout = 10 * time.Second
-	readyPeriod  = 20 * time.Millisecond
-	// freePort is an address that takes a free port.
-	freePort = "127.0.0.1:0"
+	// readyTimeout bounds the wait for an instance to become ready.
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	// anyFreePort is a loopback address whose port the system chooses.
+	anyFreePort = "127.0.0.1:0"
 )
 
 // Options configures a Cluster.
 type Options struct {
 	// Instances is the number of entry instances; 0 means 1.
 	Instances int
-	// Spec describes the stand-ins.
+	// Spec describes the stand-ins. Its log service is replaced by one with the
+	// options in Log.
 	Spec fleet.Spec
 	// Log configures the log service.
 	Log logservice.Options
-	// Configuration is published first, as one INI file.
+	// Configuration is an INI file that is published as the first revision.
 	Configuration string
-	// Listen and Admin are the addresses of the first instance; empty takes
-	// free ports.
+	// Listen and Admin are the client API address and the administration API
+	// address of the first instance. An empty one means a free port, which all
+	// further instances get.
 	Listen string
 	Admin  string
-	// LogLevel is the level of the instances' logs; empty means error.
+	// LogLevel is the log level of the instances; empty means error.
 	LogLevel string
-	// Extra is added to the settings of every instance.
+	// Extra is INI text appended to the settings of every instance.
 	Extra string
 }
 
 // Cluster is a set of stand-ins and entry instances in one process.
 type Cluster struct {
-	Fleet *fleet.Fleet
-	Log   *logservice.Service
-	Apps  []*app.App
-	opts  Options
-	next  int // number in the ID of the next instance
+	Fleet      *fleet.Fleet
+	Log        *logservice.Service
+	Apps       []*app.App
+	opts       Options
+	nextNumber int // number used in the ID of the next instance
 }
 
-// Start starts the stand-ins and the instances and waits until all are ready.
+// Start starts the stand-ins and the instances, publishes the configuration and
+// waits until all instances are ready.
 func Start(o Options) (*Cluster, error) {
 	if o.Instances == 0 {
 		o.Instances = 1
@@ -97,10 +100,11 @@
 	return nil
 }
 
-// Add starts one more instance and lists it.
+// Add starts one more instance and adds it to the instance list. It does not wait
+// until the instance is ready.
 func (c *Cluster) Add() (*app.App, error) {
-	id := fmt.Sprintf("entry-%d", c.next)
-	zone := fmt.Sprintf("zone-%d", c.next%3)
+	id := fmt.Sprintf("entry-%d", c.nextNumber)
+	zone := fmt.Sprintf("zone-%d", c.nextNumber%3)
 	set, err := settings.Parse(id, []byte(c.settings(id, zone)))
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -113,24 +117,25 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	c.next++
+	c.nextNumber++
 	c.Apps = append(c.Apps, a)
 	c.Fleet.Instances().Add(wire.Instance{ID: id, Role: wire.RoleEntry, Zone: zone, Address: a.PeerAddr()})
 	return a, nil
 }
 
+// settings returns the settings file of the next instance.
 func (c *Cluster) settings(id, zone string) string {
-	callers, admin, level := freePort, freePort, c.opts.LogLevel
-	if c.next == 0 && c.opts.Listen != "" {
-		callers = c.opts.Listen
+	clientAPI, admin, level := anyFreePort, anyFreePort, c.opts.LogLevel
+	if c.nextNumber == 0 && c.opts.Listen != "" {
+		clientAPI = c.opts.Listen
 	}
-	if c.next == 0 && c.opts.Admin != "" {
+	if c.nextNumber == 0 && c.opts.Admin != "" {
 		admin = c.opts.Admin
 	}
 	if level == "" {
 		level = "error"
 	}
-	at := c.Fleet.Addresses()
+	addresses := c.Fleet.Addresses()
 	return fmt.Sprintf(`[instance]
 id = %s
 zone = %s
@@ -149,13 +154,13 @@
 level = %s
 [limits]
 unready_delay = 10ms
-%s`, id, zone, callers, admin, freePort, peerKey, at.Instances, at.Log, AdminKey, level, c.opts.Extra)
+%s`, id, zone, clientAPI, admin, anyFreePort, peerKey, addresses.Instances, addresses.Log, AdminKey, level, c.opts.Extra)
 }
 
-// stopTimeout bounds the end of all instances.
+// stopTimeout bounds the shutdown of all instances together.
 const stopTimeout = 30 * time.Second
 
-// Close ends the instances and the stand-ins.
+// Close stops the instances and then the stand-ins.
 func (c *Cluster) Close(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
@@ -165,7 +170,7 @@
 	c.Fleet.Close()
 }
 
-// Publish makes text, one INI file, the first revision.
+// Publish publishes text, the content of one INI file, as the first revision.
 func Publish(a *app.App, text string) error {
 	cfg, err := config.Merge([]config.File{{Name: "local.ini", Data: []byte(text)}})
 	if err != nil {
@@ -177,7 +182,7 @@
 	return trace.Wrap(err)
 }
 
-// WaitReady waits until the instance with the given administration address
+// WaitReady waits until the instance with the given administration API address
 // reports that it is ready.
 func WaitReady(admin string) error {
 	deadline := time.Now().Add(readyTimeout)
@@ -189,7 +194,7 @@
 				return nil
 			}
 		}
-		time.Sleep(readyPeriod)
+		time.Sleep(readyPollInterval)
 	}
-	return trace.LimitExceeded("the instance was not ready within %s", readyTimeout)
+	return trace.LimitExceeded("instance did not become ready within %s", readyTimeout)
 }
--- a/cmd/masticctl/remote.go
+++ b/cmd/masticctl/admin.go
@@ -237,7 +237,8 @@
 	Upstream string `arg:"" help:"ID of the upstream."`
 }
 
-// Run drains an upstream: the instance and its peers send it no new work.
+// Run drains an upstream: the instance and all peers that it can reach send it no
+// new work.
 func (c *drainCmd) Run() error {
 	ctx, cancel := requestContext()
 	defer cancel()
--- a/cmd/masticctl/dev.go
+++ b/cmd/masticctl/dev.go
@@ -52,8 +52,8 @@
 	fmt.Printf("administration: http://%s (key %s)\n", cluster.Apps[0].AdminAddr(), local.AdminKey)
 	fmt.Printf("faults:         http://%s/faults\n\n", cluster.Fleet.Addresses().Control)
 	fmt.Printf("curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n\n",
-		cluster.Apps[0].CallerAddr(), local.Key,
+		cluster.Apps[0].CallerAddr(), local.APIKey,
 		`{"model":"dev","stream":true,"max_tokens":16,"messages":[{"role":"user","content":"Price for a hutch with two doors?"}]}`)
 	fmt.Printf("curl http://%s/services/orders/orders -H 'Authorization: Bearer %s' -H 'Idempotency-Key: order-1' -d '%s'\n",
-		cluster.Apps[0].CallerAddr(), local.Key, `{"item":"timber"}`)
+		cluster.Apps[0].CallerAddr(), local.APIKey, `{"item":"timber"}`)
 }
--- a/cmd/masticctl/standin.go
+++ b/cmd/masticctl/standin.go
@@ -17,13 +17,13 @@
 )
 
 type standinCmd struct {
-	Fleet       string        `default:"dev" enum:"dev,asistente,apuntador" help:"Fleet to start: dev, asistente or apuntador."`
-	Host        string        `default:"127.0.0.1" help:"Loopback address of all listeners."`
-	BasePort    int           `default:"9100" help:"First port; 0 chooses free ports."`
-	Entry       []string      `help:"Entry instance to put in the instance list, as ID,zone,address; may be repeated." sep:"none"`
-	LogAppends  int           `default:"400" help:"Maximum appends per second of the log service."`
-	LogKeepFor  time.Duration `default:"24h" help:"Retention time of the records of the log service."`
-	InstanceLag time.Duration `default:"1s" help:"Delay after which changes show in the instance list."`
+	Fleet        string        `default:"dev" enum:"dev,asistente,apuntador" help:"Fleet to start: dev, asistente or apuntador."`
+	Host         string        `default:"127.0.0.1" help:"Loopback address of all listeners."`
+	BasePort     int           `default:"9100" help:"First port; 0 chooses free ports."`
+	Entry        []string      `help:"Entry instance to put in the instance list, as ID,zone,address; may be repeated." sep:"none"`
+	LogAppends   int           `default:"400" help:"Maximum appends per second of the log service."`
+	LogRetention time.Duration `name:"log-keep-for" default:"24h" help:"Retention time of the records of the log service."`
+	InstanceLag  time.Duration `default:"1s" help:"Delay after which changes show in the instance list."`
 }
 
 // Run prints the addresses of the stand-ins as JSON, serves until SIGTERM or
@@ -33,7 +33,7 @@
 	spec.Host = c.Host
 	spec.BasePort = c.BasePort
 	spec.InstanceLag = c.InstanceLag
-	spec.Log = logservice.New(logservice.Options{AppendsPerSecond: c.LogAppends, KeepFor: c.LogKeepFor})
+	spec.Log = logservice.New(logservice.Options{AppendsPerSecond: c.LogAppends, Retention: c.LogRetention})
 	entries, err := parseEntries(c.Entry)
 	if err != nil {
 		return &command.UsageError{Err: err}
--- a/standin/engine/order.go
+++ b/standin/engine/assignment.go
@@ -18,30 +18,30 @@
 	weightTimeout = time.Minute
 )
 
-// applyOrder applies a layer assignment. With fencing, one with an outdated fencing token is
-// refused; without, every assignment is accepted.
-func (e *Engine) applyOrder(order wire.Order) wire.OrderResponse {
+// applyAssignment applies a layer assignment. With fencing, an assignment with an outdated
+// fencing token is refused; without fencing, every assignment is accepted.
+func (e *Engine) applyAssignment(a wire.Order) wire.OrderResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.Fencing && order.Fence < e.state.Fence {
+	if e.options.Fencing && a.Fence < e.state.Fence {
 		return wire.OrderResponse{Fence: e.state.Fence}
 	}
-	e.state.Fence = max(e.state.Fence, order.Fence)
-	if !e.matches(order) {
+	e.state.Fence = max(e.state.Fence, a.Fence)
+	if !e.matches(a) {
 		e.discardAll()
 		e.cache.clear()
-		e.state.Model, e.state.Version = order.Model, order.Version
-		e.state.FirstLayer, e.state.LastLayer = order.FirstLayer, order.LastLayer
-		e.startLoading(order)
+		e.state.Model, e.state.Version = a.Model, a.Version
+		e.state.FirstLayer, e.state.LastLayer = a.FirstLayer, a.LastLayer
+		e.startLoading(a)
 	}
 	return wire.OrderResponse{Accepted: true, Fence: e.state.Fence}
 }
 
 // matches reports whether the engine holds or loads the layers of an assignment.
-func (e *Engine) matches(order wire.Order) bool {
+func (e *Engine) matches(a wire.Order) bool {
 	held := e.state
-	return held.Model == order.Model && held.Version == order.Version &&
-		held.FirstLayer == order.FirstLayer && held.LastLayer == order.LastLayer
+	return held.Model == a.Model && held.Version == a.Version &&
+		held.FirstLayer == a.FirstLayer && held.LastLayer == a.LastLayer
 }
 
 // discardAll discards all sequences. The caller holds e.mu.
@@ -53,21 +53,21 @@
 
 // startLoading begins to fetch the weights, if there is a weight store. The caller
 // holds e.mu.
-func (e *Engine) startLoading(order wire.Order) {
+func (e *Engine) startLoading(a wire.Order) {
 	if e.options.WeightStore == "" {
 		return
 	}
 	e.state.Loading = true
-	go e.loadWeights(order)
+	go e.loadWeights(a)
 }
 
 // loadWeights fetches the weights, with retries, and marks them as loaded. It gives up
 // when another assignment has replaced this one or the engine is closed.
-func (e *Engine) loadWeights(order wire.Order) {
+func (e *Engine) loadWeights(a wire.Order) {
 	for {
-		err := fetchWeights(e.options.WeightStore, order)
+		err := fetchWeights(e.options.WeightStore, a)
 		e.mu.Lock()
-		superseded := !e.matches(order)
+		superseded := !e.matches(a)
 		if err == nil && !superseded {
 			e.state.Loading = false
 		}
@@ -80,12 +80,12 @@
 }
 
 // fetchWeights fetches the weights of an assignment once and discards them.
-func fetchWeights(store string, order wire.Order) error {
+func fetchWeights(store string, a wire.Order) error {
 	query := url.Values{}
-	query.Set("model", order.Model)
-	query.Set("version", order.Version)
-	query.Set("first", strconv.Itoa(order.FirstLayer))
-	query.Set("last", strconv.Itoa(order.LastLayer))
+	query.Set("model", a.Model)
+	query.Set("version", a.Version)
+	query.Set("first", strconv.Itoa(a.FirstLayer))
+	query.Set("last", strconv.Itoa(a.LastLayer))
 	client := http.Client{Timeout: weightTimeout}
 	response, err := client.Get(store + wire.PathWeights + "?" + query.Encode())
 	if err != nil {
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -156,13 +156,13 @@
 	writeJSON(w, http.StatusOK, events)
 }
 
-func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var order wire.Order
-	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+func (e *Engine) serveAssignment(w http.ResponseWriter, r *http.Request) {
+	var assignment wire.Order
+	if err := json.NewDecoder(r.Body).Decode(&assignment); err != nil {
 		writeRefusal(w, refuse(wire.CodeMalformed, err.Error()))
 		return
 	}
-	writeJSON(w, http.StatusOK, e.applyOrder(order))
+	writeJSON(w, http.StatusOK, e.applyAssignment(assignment))
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -29,7 +29,7 @@
 	CacheBlocks int
 	// CacheEventDelay is the delay after which cache events become visible.
 	CacheEventDelay time.Duration
-	// CacheEventLossOneIn = n loses every nth cache event; 0 loses none.
+	// CacheEventLossOneIn is n if every nth cache event is lost; 0 loses none.
 	CacheEventLossOneIn int
 	// ReportLag is the delay after which a load shows in load reports.
 	ReportLag time.Duration
@@ -39,8 +39,8 @@
 	// IdleTimeout is the time without a step after which a sequence is discarded;
 	// 0 means 10 s.
 	IdleTimeout time.Duration
-	// StopOneIn = n finishes a sequence with "stop" at each token whose ID is a
-	// multiple of n; 0 never does.
+	// StopOneIn is n if a token whose ID is a multiple of n finishes its sequence
+	// with "stop"; 0 means that no token does.
 	StopOneIn int
 	// Fencing makes the engine refuse layer assignments with an outdated fencing
 	// token.
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -82,34 +82,34 @@
 	f, err := Start(Dev())
 	require.NoError(t, err)
 	defer f.Close()
-	engine := enginesWithFirstLayers(f, 0)[0]
-	crash := fault.Fault{Instance: engine.ID, Kind: fault.Crash}
+	target := enginesWithFirstLayers(f, 0)[0]
+	crash := fault.Fault{Instance: target.ID, Kind: fault.Crash}
 	status, err := post(t, f.Addresses().Control, fault.Path, crash, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNoContent, status)
 
-	_, err = http.Get("http://" + engine.Address + wire.PathProbe)
+	_, err = http.Get("http://" + target.Address + wire.PathProbe)
 	require.ErrorContains(t, err, "refused")
 
-	restore := fault.Fault{Instance: engine.ID, Kind: fault.Restore}
+	restore := fault.Fault{Instance: target.ID, Kind: fault.Restore}
 	_, err = post(t, f.Addresses().Control, fault.Path, restore, nil)
 	require.NoError(t, err)
-	response, err := http.Get("http://" + engine.Address + wire.PathProbe)
+	response, err := http.Get("http://" + target.Address + wire.PathProbe)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNoContent, response.StatusCode)
 	require.NoError(t, response.Body.Close())
 }
 
-// TestOrderLoadsWeights checks that an engine with a new layer assignment fetches the
-// weights and then holds the new range.
-func TestOrderLoadsWeights(t *testing.T) {
+// TestAssignmentLoadsWeights checks that an engine fetches the weights after a layer
+// assignment and then holds the new range.
+func TestAssignmentLoadsWeights(t *testing.T) {
 	f, err := Start(Dev())
 	require.NoError(t, err)
 	defer f.Close()
 	target := enginesWithFirstLayers(f, 0)[0]
-	order := wire.Order{Fence: 1, Model: "dev", Version: "1", FirstLayer: 4, LastLayer: 8}
+	assignment := wire.Order{Fence: 1, Model: "dev", Version: "1", FirstLayer: 4, LastLayer: 8}
 	var response wire.OrderResponse
-	_, err = post(t, target.Address, wire.PathOrder, order, &response)
+	_, err = post(t, target.Address, wire.PathOrder, assignment, &response)
 	require.NoError(t, err)
 	require.True(t, response.Accepted)
 	require.Eventually(t, func() bool { return !f.Engines()[0].State().Loading }, 5*time.Second, time.Millisecond)
--- a/standin/fleet/spec.go
+++ b/standin/fleet/spec.go
@@ -20,7 +20,7 @@
 	InstanceLag     time.Duration
 	ReportLag       time.Duration
 	CacheEventDelay time.Duration
-	// CacheEventLossOneIn = n loses every nth cache event; 0 loses none.
+	// CacheEventLossOneIn is n if every nth cache event is lost; 0 loses none.
 	CacheEventLossOneIn int
 	// Fencing makes engines refuse layer assignments with an outdated fencing
 	// token.
--- a/standin/logservice/service.go
+++ b/standin/logservice/service.go
@@ -26,11 +26,11 @@
 	// AppendsPerSecond is the maximum rate of append requests; 0 means 400, and a
 	// negative value means no limit.
 	AppendsPerSecond int
-	// KeepRecords is the maximum number of records kept per stream; 0 means no
+	// MaxRecords is the maximum number of records kept per stream; 0 means no
 	// limit.
-	KeepRecords int
-	// KeepFor is the retention time of a record; 0 means no limit.
-	KeepFor time.Duration
+	MaxRecords int
+	// Retention is the time for which a record is kept; 0 means no limit.
+	Retention time.Duration
 	// Seed initializes the random choice of faults.
 	Seed uint64
 }
--- a/standin/logservice/service_test.go
+++ b/standin/logservice/service_test.go
@@ -27,7 +27,7 @@
 
 func TestReadAndRetention(t *testing.T) {
 	ctx := context.Background()
-	service, log := start(t, logservice.Options{AppendsPerSecond: -1, KeepRecords: 3})
+	service, log := start(t, logservice.Options{AppendsPerSecond: -1, MaxRecords: 3})
 	for i := range 5 {
 		offset, err := log.Append(ctx, "s", [][]byte{{byte(i)}})
 		require.NoError(t, err)
--- a/standin/logservice/stream.go
+++ b/standin/logservice/stream.go
@@ -42,11 +42,11 @@
 // expire discards the records beyond the retention limits.
 func (st *stream) expire(now time.Time, opts Options) {
 	first := st.first
-	if opts.KeepRecords > 0 && len(st.records) > opts.KeepRecords {
-		first = st.next() - uint64(opts.KeepRecords)
+	if opts.MaxRecords > 0 && len(st.records) > opts.MaxRecords {
+		first = st.next() - uint64(opts.MaxRecords)
 	}
-	if opts.KeepFor > 0 {
-		for first < st.next() && now.Sub(st.records[first-st.first].appendedAt) > opts.KeepFor {
+	if opts.Retention > 0 {
+		for first < st.next() && now.Sub(st.records[first-st.first].appendedAt) > opts.Retention {
 			first++
 		}
 	}
