--- a/node/app/observer.go
+++ b/node/app/observer.go
@@ -11,20 +11,20 @@
 	"masticbank.example/node/router"
 )
 
-// observer turns the router's measurements into metrics and one log line for
-// each finished request. It logs neither prompts nor keys.
+// observer records the router's events as metrics and logs one line for each
+// finished request. It logs neither prompts nor keys.
 type observer struct {
 	registry *metrics.Registry
-	log      *zap.Logger
-	// leaving tells the peers that an upstream leaves.
-	leaving func(upstream string)
+	logger   *zap.Logger
+	// announceLeaving informs the peers that an upstream is leaving.
+	announceLeaving func(upstream string)
 }
 
 var _ router.Metrics = (*observer)(nil)
 
 // Dropped implements router.Metrics.
 func (o *observer) Dropped(attempt.DropKind) {
-	o.registry.Add(metrics.LateAnswers, 1)
+	o.registry.Add(metrics.LateResponses, 1)
 }
 
 // ConnectionReplaced implements router.Metrics.
@@ -39,17 +39,17 @@
 
 // Leaving implements router.Metrics.
 func (o *observer) Leaving(upstream string) {
-	o.leaving(upstream)
+	o.announceLeaving(upstream)
 }
 
 // TokenGap implements router.Metrics.
 func (o *observer) TokenGap(workspace string, rank config.Rank, d time.Duration) {
-	o.registry.Request(int(rank), workspace).Observe(metrics.BetweenTokens, d)
+	o.registry.NewRequest(int(rank), workspace).Observe(metrics.BetweenTokens, d)
 }
 
 // Finished implements router.Metrics.
 func (o *observer) Finished(r *router.Result) {
-	q := o.registry.Request(int(r.Rank), r.Workspace)
+	q := o.registry.NewRequest(int(r.Rank), r.Workspace)
 	if r.Attempts > 0 {
 		q.Observe(metrics.QueueWait, r.QueueWait)
 	}
@@ -61,7 +61,7 @@
 	o.registry.Add(metrics.Attempts, uint64(r.Attempts))
 	o.registry.Add(metrics.Retries, uint64(r.Retries))
 	if !r.Complete {
-		o.registry.Refuse(string(r.Code))
+		o.registry.CountRefusal(string(r.Code))
 	}
 	if r.Code == router.CodePoison && r.Attempts == 0 {
 		o.registry.Add(metrics.PoisonRefusals, 1)
@@ -85,7 +85,7 @@
 }
 
 func (o *observer) logResult(r *router.Result) {
-	o.log.Info("request finished",
+	o.logger.Info("request finished",
 		zap.String("request", r.RequestID),
 		zap.String("workspace", r.Workspace),
 		zap.Int("rank", int(r.Rank)),
--- a/node/instancelist/endless_test.go
+++ b/node/instancelist/endless_test.go
@@ -10,12 +10,13 @@
 	"masticbank.example/node/instancelist"
 )
 
-// TestAnswersWithoutEndAreErrors has no deadline: only a bound ends the call.
-func TestAnswersWithoutEndAreErrors(t *testing.T) {
+// TestEndlessResponsesAreErrors checks that a size limit ends a call with an endless
+// response. The call has no deadline.
+func TestEndlessResponsesAreErrors(t *testing.T) {
 	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
-		for name, answer := range kind {
+		for name, response := range kind {
 			t.Run(name, func(t *testing.T) {
-				s := boundedtest.Start(t, answer)
+				s := boundedtest.Start(t, response)
 				h, err := instancelist.NewHTTP("http://"+s.Address(), nil)
 				require.NoError(t, err)
 				_, err = h.List(context.Background())
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -21,10 +21,11 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-// naive keeps every value of each slice.
-type naive [][]int64
+// referenceHistogram is a reference implementation of a histogram that keeps all values
+// by slice.
+type referenceHistogram [][]int64
 
-func (n naive) window() []int64 {
+func (n referenceHistogram) window() []int64 {
 	return slices.Concat(n[max(0, len(n)-sliceCount):]...)
 }
 
@@ -41,10 +42,10 @@
 	}
 }
 
-// Both distributions agree with a list of all values within 1 %.
+// Both distributions of a histogram agree within 1 % with those of naive.
 func TestHistogramAgainstSortedValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, all := newWindow(), naive{nil}
+		h, all := newSlidingHistogram(), referenceHistogram{nil}
 		for range rapid.IntRange(1, 60).Draw(t, "actions") {
 			if rapid.IntRange(0, 9).Draw(t, "action") == 0 {
 				h.rotate()
@@ -61,8 +62,8 @@
 	})
 }
 
-// Whatever workspaces come and go, their number is bounded, nothing recorded
-// is lost and the most used one has a series of its own.
+// For random sequences of requests, the number of series of workspaces is limited,
+// nothing recorded is lost, and the most used workspace has its own series.
 func TestWorkspacesAreBounded(t *testing.T) {
 	const limit = 3
 	rapid.Check(t, func(t *rapid.T) {
@@ -70,7 +71,7 @@
 		finished := 0
 		record := func(name string, n int) {
 			for range n {
-				q := r.Request(0, name)
+				q := r.NewRequest(0, name)
 				q.Observe(Total, time.Second)
 				q.Finish(Completed, execution.Ran)
 			}
@@ -93,15 +94,15 @@
 	})
 }
 
-// total returns the number of finished requests over all workspaces; it checks
-// that as many times were recorded.
+// total returns the number of finished requests of all workspaces, or -1 if it differs
+// from the number of recorded durations.
 func total(s Snapshot) int {
-	counted, timed := 0, 0
+	counted, durations := 0, 0
 	for _, w := range append(slices.Collect(mapValues(s.Workspaces)), s.Other) {
 		counted += int(w.Outcomes["completed"]["ran"])
-		timed += int(w.Total.Cumulative.Count)
+		durations += int(w.Total.Cumulative.Count)
 	}
-	if counted != timed {
+	if counted != durations {
 		return -1
 	}
 	return counted
@@ -117,7 +118,7 @@
 	}
 }
 
-// Folding loses nothing while requests are in progress.
+// Folding series during concurrent requests loses no recorded value.
 func TestConcurrentUse(t *testing.T) {
 	const workers, each = 8, 400
 	r := New(Options{MaxWorkspaces: 2, Ranks: []string{"urgent"}})
@@ -125,14 +126,14 @@
 	for worker := range workers {
 		group.Go(func() {
 			for i := range each {
-				q := r.Request(worker%2, fmt.Sprint((worker+i/50)%6))
+				q := r.NewRequest(worker%2, fmt.Sprint((worker+i/50)%6))
 				if i%25 == 0 {
 					r.Rotate()
 				}
 				q.Observe(Total, time.Millisecond)
 				q.Finish(Completed, execution.Ran)
 				r.Add(Attempts, 1)
-				r.Refuse(fmt.Sprint(i))
+				r.CountRefusal(fmt.Sprint(i))
 			}
 		})
 	}
@@ -150,7 +151,7 @@
 		r := New(Options{Ranks: []string{"urgent"}})
 		ctx, stop := context.WithCancel(t.Context())
 		go r.Run(ctx)
-		r.Request(0, "w").Observe(FirstToken, 1500*time.Microsecond)
+		r.NewRequest(0, "w").Observe(FirstToken, 1500*time.Microsecond)
 		time.Sleep(2*slicePeriod + 1)
 		require.Equal(t, int64(1), r.Snapshot().Ranks["urgent"].FirstToken.Window.Count)
 		time.Sleep(slicePeriod)
