--- a/core/demand/publisher.go
+++ b/core/demand/publisher.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TellerConfig holds the settings that decide when digests are published.
-type TellerConfig struct {
+// PublisherConfig holds the settings that decide when digests are published.
+type PublisherConfig struct {
 	// MinPeriod is the minimum time between two digests.
 	MinPeriod time.Duration
 	// MaxPeriod is the time after which a digest is published even if nothing has changed.
@@ -26,26 +26,26 @@
 // over: one part in changeDivisor.
 const changeDivisor = 8
 
-// Teller decides when an instance publishes a digest to its peers: soon after demand has changed,
+// Publisher decides when an instance publishes a digest to its peers: soon after demand has changed,
 // periodically if it has not, and always within the bandwidth limit. It is not safe for
 // concurrent use.
-type Teller struct {
-	config      TellerConfig
+type Publisher struct {
+	config      PublisherConfig
 	published   Digest
 	publishedAt time.Time
 	started     bool
 	balance     float64
 }
 
-// NewTeller returns one that has published nothing.
-func NewTeller(config TellerConfig) *Teller {
-	return &Teller{config: config, balance: config.Burst}
+// NewPublisher returns one that has published nothing.
+func NewPublisher(config PublisherConfig) *Publisher {
+	return &Publisher{config: config, balance: config.Burst}
 }
 
 // Due reports whether digest must be published at now. size is the bandwidth that this needs: the
 // bytes of the message times the number of peers. If Due returns true, the digest counts as
 // published.
-func (t *Teller) Due(now time.Time, digest Digest, size int) bool {
+func (t *Publisher) Due(now time.Time, digest Digest, size int) bool {
 	if t.started && !t.isDue(now, &digest) {
 		return false
 	}
@@ -57,7 +57,7 @@
 }
 
 // isDue reports whether the period or a change requires a new digest.
-func (t *Teller) isDue(now time.Time, digest *Digest) bool {
+func (t *Publisher) isDue(now time.Time, digest *Digest) bool {
 	passed := now.Sub(t.publishedAt)
 	if passed >= t.config.MaxPeriod {
 		return true
@@ -67,7 +67,7 @@
 
 // spend withdraws size from the bytes that have accumulated since the last digest. A digest larger
 // than the burst is due once a full burst has accumulated, and leaves a negative balance.
-func (t *Teller) spend(now time.Time, size float64) bool {
+func (t *Publisher) spend(now time.Time, size float64) bool {
 	if t.config.BytesPerSecond <= 0 {
 		return true
 	}
--- a/core/demand/publisher_test.go
+++ b/core/demand/publisher_test.go
@@ -13,7 +13,7 @@
 }
 
 func TestPublisherPublishesChangesSoon(t *testing.T) {
-	publisher := NewTeller(TellerConfig{MinPeriod: DefaultMinPeriod, MaxPeriod: DefaultMaxPeriod})
+	publisher := NewPublisher(PublisherConfig{MinPeriod: DefaultMinPeriod, MaxPeriod: DefaultMaxPeriod})
 	now := time.Unix(1000, 0)
 	require.True(t, publisher.Due(now, queuedDigest(100), 1), "the first")
 	require.False(t, publisher.Due(now.Add(DefaultMinPeriod-1), queuedDigest(0), 1), "too soon")
@@ -44,12 +44,12 @@
 // the budget for it has accumulated.
 func TestPublisherKeepsItsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := TellerConfig{
+		config := PublisherConfig{
 			MinPeriod: DefaultMinPeriod, MaxPeriod: DefaultMaxPeriod,
 			BytesPerSecond: rapid.Float64Range(100, 8000).Draw(t, "budget"),
 			Burst:          rapid.Float64Range(100, 4000).Draw(t, "burst"),
 		}
-		publisher := NewTeller(config)
+		publisher := NewPublisher(config)
 		now := time.Unix(1000, 0)
 		last, largest := now, 0.0
 		var digests []publishedDigest
--- a/core/demand/view.go
+++ b/core/demand/view.go
@@ -41,8 +41,8 @@
 	return true
 }
 
-// Forget deletes the digest of an instance that has left.
-func (v *View) Forget(instance string) { delete(v.digests, instance) }
+// Delete deletes the digest of an instance that has left.
+func (v *View) Delete(instance string) { delete(v.digests, instance) }
 
 // Fresh returns the digests that are not stale at now, sorted by instance ID, and deletes the
 // others.
--- a/core/layout/balance.go
+++ b/core/layout/balance.go
@@ -7,17 +7,17 @@
 
 // groupPipelines groups the replicas with layers into pipeline replicas, so that their ranges
 // follow each other as closely as they do now.
-func (p *plan) groupPipelines() [][]*Node {
-	var loaded []*Node
+func (p *plan) groupPipelines() [][]*Replica {
+	var loaded []*Replica
 	for i := range p.replicas {
 		if !p.replicas[i].isEmpty() {
 			loaded = append(loaded, &p.replicas[i])
 		}
 	}
-	slices.SortStableFunc(loaded, func(a, b *Node) int {
+	slices.SortStableFunc(loaded, func(a, b *Replica) int {
 		return cmp.Compare(middle(a), middle(b))
 	})
-	pipelines := make([][]*Node, p.pipelineCount)
+	pipelines := make([][]*Replica, p.pipelineCount)
 	ends := make([]int, p.pipelineCount)
 	for _, n := range loaded {
 		from, to := n.plannedRange()
@@ -33,7 +33,7 @@
 	return pipelines
 }
 
-func middle(n *Node) int {
+func middle(n *Replica) int {
 	from, to := n.plannedRange()
 	return from + to
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-func (p *plan) memoryOfAll(nodes []*Node) float64 {
+func (p *plan) memoryOfAll(nodes []*Replica) float64 {
 	sum := 0.0
 	for _, n := range nodes {
 		sum += p.memoryOf(n)
@@ -70,7 +70,7 @@
 // insertReplica assigns layers to an empty replica at the position in the pipeline replica that
 // leaves the others closest to what they hold. It returns the members of the pipeline replica
 // with the new one.
-func (p *plan) insertReplica(members []*Node, n *Node) []*Node {
+func (p *plan) insertReplica(members []*Replica, n *Replica) []*Replica {
 	best, bestMoved := -1, 0
 	var bestFrom, bestTo int
 	for at := 0; at <= len(members); at++ {
@@ -102,7 +102,7 @@
 
 // insertIntoGap handles groups that cannot hold the model: the replica is assigned as much as it
 // can hold of the longest gap.
-func (p *plan) insertIntoGap(members []*Node, n *Node) []*Node {
+func (p *plan) insertIntoGap(members []*Replica, n *Replica) []*Replica {
 	from, to := p.longestGap()
 	if to == from {
 		return members
@@ -112,7 +112,7 @@
 }
 
 // missing returns how many of the layers from..to the replica does not hold.
-func (p *plan) missing(n *Node, from, to int) int {
+func (p *plan) missing(n *Replica, from, to int) int {
 	heldFrom, heldTo := n.plannedRange()
 	common := max(0, min(to, heldTo)-max(from, heldFrom))
 	return to - from - common
@@ -120,7 +120,7 @@
 
 // anyPending reports whether an assignment is pending.
 func (p *plan) anyPending() bool {
-	return slices.ContainsFunc(p.replicas, func(n Node) bool { return n.pending() })
+	return slices.ContainsFunc(p.replicas, func(n Replica) bool { return n.pending() })
 }
 
 // weakestCapacity returns the number of tokens that fit at the layer with the least KV cache.
@@ -186,7 +186,7 @@
 		if p.missing(n, t.From, t.To) == 0 {
 			continue
 		}
-		if p.model.LoadsAtOnce > 0 && len(p.assignments)-before >= p.model.LoadsAtOnce {
+		if p.model.MaxConcurrentLoads > 0 && len(p.assignments)-before >= p.model.MaxConcurrentLoads {
 			break
 		}
 		from, to := p.extendToward(n, t)
@@ -197,7 +197,7 @@
 
 // extendToward returns the layers held, extended by as much of the target as the replica's memory
 // allows. No layer is released.
-func (p *plan) extendToward(n, t *Node) (from, to int) {
+func (p *plan) extendToward(n, t *Replica) (from, to int) {
 	spare := max(0, maxLayers(p.model, n.Kind, balanceCacheShare)-(n.To-n.From))
 	if t.To > n.To {
 		return n.From, min(t.To, n.To+spare)
--- a/core/layout/bench_test.go
+++ b/core/layout/bench_test.go
@@ -12,15 +12,15 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, zones := range []int{3, 8, 80} {
 		m := model()
-		var nodes []layout.Node
+		var nodes []layout.Replica
 		for z := range zones {
 			nodes = append(nodes, zone(fmt.Sprintf("z%02d", z), map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})...)
 		}
 		converge(b, m, nodes)
-		for name, list := range map[string][]layout.Node{"stable": nodes, "loss": without(nodes, nodes[3].ID)} {
+		for name, list := range map[string][]layout.Replica{"stable": nodes, "loss": without(nodes, nodes[3].ID)} {
 			b.Run(fmt.Sprintf("%s-%d", name, len(list)), func(b *testing.B) {
 				for b.Loop() {
-					work := append([]layout.Node(nil), list...)
+					work := append([]layout.Replica(nil), list...)
 					layout.Plan(m, work, always)
 				}
 			})
--- a/core/layout/gap.go
+++ b/core/layout/gap.go
@@ -75,7 +75,7 @@
 
 // redundantReplica returns a replica without a pending assignment whose layers are all held
 // redundantly, or nil. Layers that other replicas are yet to load do not count as held.
-func (p *plan) redundantReplica() *Node {
+func (p *plan) redundantReplica() *Replica {
 	holders := p.remainingHolders()
 	for i := range p.replicas {
 		n := &p.replicas[i]
@@ -101,7 +101,7 @@
 		n := &p.replicas[i]
 		from, to := n.From, n.To
 		if n.pending() {
-			from, to = max(from, n.WantFrom), min(to, n.WantTo)
+			from, to = max(from, n.PendingFrom), min(to, n.PendingTo)
 		}
 		for l := from; l < min(to, len(holders)); l++ {
 			holders[l]++
@@ -115,7 +115,7 @@
 // largest. It returns the number of layers that this replica can hold afterwards, or 0 if there
 // is none.
 func (p *plan) freeReplica(layers int) int {
-	var best, bestLeft, bestRight *Node
+	var best, bestLeft, bestRight *Replica
 	bestByLeft := 0
 	for i := range p.replicas {
 		n := &p.replicas[i]
@@ -170,8 +170,8 @@
 
 // neighbor returns the replica without a pending assignment whose range fits and that can take
 // the most additional layers, and that number.
-func (p *plan) neighbor(fits func(from, to int) bool) (*Node, int) {
-	var best *Node
+func (p *plan) neighbor(fits func(from, to int) bool) (*Replica, int) {
+	var best *Replica
 	spare := 0
 	for i := range p.replicas {
 		n := &p.replicas[i]
@@ -188,7 +188,7 @@
 
 // preferFreeing reports whether a is a better replica to free than b: one that can hold the wanted
 // layers, the smallest of these, or else the largest.
-func (p *plan) preferFreeing(a, b *Node, layers int) bool {
+func (p *plan) preferFreeing(a, b *Replica, layers int) bool {
 	fitsA := maxLayers(p.model, a.Kind, minCacheShare) >= layers
 	fitsB := maxLayers(p.model, b.Kind, minCacheShare) >= layers
 	if fitsA != fitsB {
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -31,37 +31,37 @@
 	balanceCacheShare = 0.25
 )
 
-// Node is a replica that can hold layers.
-type Node struct {
+// Replica is a replica that can hold layers.
+type Replica struct {
 	ID   string
 	Zone string
 	Kind string
 	// From and To bound the layers held: From <= layer < To. Both are 0 for an empty replica.
 	From, To int
-	// WantFrom and WantTo bound the layers of a pending assignment; both are 0 without one.
-	WantFrom, WantTo int
+	// PendingFrom and PendingTo bound the layers of a pending assignment; both are 0 without one.
+	PendingFrom, PendingTo int
 }
 
-func (n *Node) isEmpty() bool { return n.From == n.To && n.WantFrom == n.WantTo }
+func (n *Replica) isEmpty() bool { return n.From == n.To && n.PendingFrom == n.PendingTo }
 
 // plannedRange returns the layers that the replica holds once a pending assignment is carried
 // out.
-func (n *Node) plannedRange() (from, to int) {
-	if n.WantFrom != n.WantTo {
-		return n.WantFrom, n.WantTo
+func (n *Replica) plannedRange() (from, to int) {
+	if n.PendingFrom != n.PendingTo {
+		return n.PendingFrom, n.PendingTo
 	}
 	return n.From, n.To
 }
 
 // pending reports whether an assignment is pending.
-func (n *Node) pending() bool { return n.WantFrom != n.WantTo }
+func (n *Replica) pending() bool { return n.PendingFrom != n.PendingTo }
 
-// Order is the range of layers that a replica must hold: From <= layer < To.
-type Order struct {
+// Assignment is the range of layers that a replica must hold: From <= layer < To.
+type Assignment struct {
 	ID       string
 	From, To int
-	// Why is a short reason for the log.
-	Why string
+	// Reason is a short reason for the log.
+	Reason string
 }
 
 // Plan returns the assignments that bring the fleet closer to a layout in which each group runs
@@ -71,10 +71,10 @@
 // rebalanced only if all zones of their group are stable, because a replica that releases layers
 // accepts no other assignment until the requests that use them have ended. Groups with several
 // pipeline replicas reinforce their weakest layers at any time.
-func Plan(m *pipeline.Model, nodes []Node, stable func(zone string) bool) []Order {
-	var out []Order
+func Plan(m *pipeline.Model, nodes []Replica, stable func(zone string) bool) []Assignment {
+	var out []Assignment
 	for _, group := range groups(m, nodes) {
-		allStable := !slices.ContainsFunc(group, func(n Node) bool { return !stable(n.Zone) })
+		allStable := !slices.ContainsFunc(group, func(n Replica) bool { return !stable(n.Zone) })
 		out = append(out, planGroup(m, group, allStable)...)
 	}
 	return out
@@ -82,8 +82,8 @@
 
 // groups groups the replicas by zone. All zones that cannot hold the model on their own form one
 // group.
-func groups(m *pipeline.Model, nodes []Node) [][]Node {
-	byZone := map[string][]Node{}
+func groups(m *pipeline.Model, nodes []Replica) [][]Replica {
+	byZone := map[string][]Replica{}
 	var zones []string
 	for _, n := range nodes {
 		if m.MaxLayers(n.Kind) == 0 {
@@ -95,8 +95,8 @@
 		byZone[n.Zone] = append(byZone[n.Zone], n)
 	}
 	slices.Sort(zones)
-	var out [][]Node
-	var rest []Node
+	var out [][]Replica
+	var rest []Replica
 	for _, z := range zones {
 		if totalLayers(m, byZone[z], minCacheShare) >= m.Layers {
 			out = append(out, byZone[z])
@@ -108,7 +108,7 @@
 		out = append(out, rest)
 	}
 	for _, group := range out {
-		slices.SortFunc(group, func(a, b Node) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(group, func(a, b Replica) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return out
 }
@@ -120,7 +120,7 @@
 }
 
 // totalLayers returns the number of layers that the replicas can hold together.
-func totalLayers(m *pipeline.Model, nodes []Node, freeShare float64) int {
+func totalLayers(m *pipeline.Model, nodes []Replica, freeShare float64) int {
 	sum := 0
 	for _, n := range nodes {
 		sum += maxLayers(m, n.Kind, freeShare)
@@ -129,11 +129,11 @@
 }
 
 // countPipelines returns the number of pipeline replicas that the group holds, at least 1.
-func countPipelines(m *pipeline.Model, group []Node) int {
+func countPipelines(m *pipeline.Model, group []Replica) int {
 	return max(1, totalLayers(m, group, cacheShare)/m.Layers)
 }
 
-func planGroup(m *pipeline.Model, group []Node, stable bool) []Order {
+func planGroup(m *pipeline.Model, group []Replica, stable bool) []Assignment {
 	p := &plan{model: m, replicas: group, pipelineCount: countPipelines(m, group), freed: map[string]bool{}}
 	for _, n := range group {
 		p.memory += m.Kinds[n.Kind].MemoryMB
@@ -173,11 +173,11 @@
 // plan collects the assignments for one group.
 type plan struct {
 	model         *pipeline.Model
-	replicas      []Node
+	replicas      []Replica
 	pipelineCount int
 	// memory is the total memory of the group in MB.
 	memory      float64
-	assignments []Order
+	assignments []Assignment
 	// freed holds the IDs of the replicas whose layers are being taken over by others.
 	freed map[string]bool
 }
@@ -192,25 +192,25 @@
 }
 
 // assign records an assignment, unless the replica holds or was assigned these layers already.
-func (p *plan) assign(n *Node, from, to int, reason string) {
+func (p *plan) assign(n *Replica, from, to int, reason string) {
 	if f, t := n.plannedRange(); f == from && t == to {
 		return
 	}
-	n.WantFrom, n.WantTo = from, to
-	p.assignments = append(p.assignments, Order{ID: n.ID, From: from, To: to, Why: reason})
+	n.PendingFrom, n.PendingTo = from, to
+	p.assignments = append(p.assignments, Assignment{ID: n.ID, From: from, To: to, Reason: reason})
 }
 
 // layOut lays out a group that holds no layers: it forms pipeline replicas of about equal memory,
 // and within each the layers are split in proportion to memory.
 func (p *plan) layOut() {
-	byMemory := make([]*Node, len(p.replicas))
+	byMemory := make([]*Replica, len(p.replicas))
 	for i := range p.replicas {
 		byMemory[i] = &p.replicas[i]
 	}
-	slices.SortStableFunc(byMemory, func(a, b *Node) int {
+	slices.SortStableFunc(byMemory, func(a, b *Replica) int {
 		return cmp.Compare(p.memoryOf(b), p.memoryOf(a))
 	})
-	pipelines := make([][]*Node, p.pipelineCount)
+	pipelines := make([][]*Replica, p.pipelineCount)
 	sums := make([]float64, p.pipelineCount)
 	for _, n := range byMemory {
 		smallest := 0
@@ -230,11 +230,11 @@
 	}
 }
 
-func (p *plan) memoryOf(n *Node) float64 { return p.model.Kinds[n.Kind].MemoryMB }
+func (p *plan) memoryOf(n *Replica) float64 { return p.model.Kinds[n.Kind].MemoryMB }
 
 // assignInOrder assigns the layers from..to to the replicas in order, in proportion to their
 // memory. It returns false if they do not fit.
-func (p *plan) assignInOrder(nodes []*Node, from, to int, reason string) bool {
+func (p *plan) assignInOrder(nodes []*Replica, from, to int, reason string) bool {
 	sizes, ok := p.splitLayers(nodes, to-from, minCacheShare)
 	if !ok {
 		return false
@@ -251,7 +251,7 @@
 
 // splitLayers splits a number of layers in proportion to memory by the largest remainder method,
 // limited by what each replica can hold.
-func (p *plan) splitLayers(nodes []*Node, layers int, freeShare float64) ([]int, bool) {
+func (p *plan) splitLayers(nodes []*Replica, layers int, freeShare float64) ([]int, bool) {
 	total := 0.0
 	limit := make([]int, len(nodes))
 	capacity := 0
@@ -294,7 +294,7 @@
 		if to <= from {
 			continue
 		}
-		each := p.model.Room(n.Kind, to-from) / float64(to-from)
+		each := p.model.CacheCapacity(n.Kind, to-from) / float64(to-from)
 		for l := from; l < min(to, len(out)); l++ {
 			out[l] += each
 		}
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -26,24 +26,24 @@
 
 func never(string) bool { return false }
 
-func zone(name string, kinds map[string]int) []layout.Node {
-	var out []layout.Node
+func zone(name string, kinds map[string]int) []layout.Replica {
+	var out []layout.Replica
 	for _, kind := range []string{"h100", "a100s", "l4", "t4"} {
 		for i := range kinds[kind] {
-			out = append(out, layout.Node{ID: fmt.Sprintf("%s-%s-%d", name, kind, i), Zone: name, Kind: kind})
+			out = append(out, layout.Replica{ID: fmt.Sprintf("%s-%s-%d", name, kind, i), Zone: name, Kind: kind})
 		}
 	}
 	return out
 }
 
 // fleet returns one zone with a large accelerator and one zone with many medium ones.
-func fleet() []layout.Node {
+func fleet() []layout.Replica {
 	nodes := zone("quito", map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})
 	return append(nodes, zone("ambato", map[string]int{"a100s": 1, "l4": 8, "t4": 3})...)
 }
 
 // apply carries out the assignments as if all loads had finished.
-func apply(nodes []layout.Node, orders []layout.Order) {
+func apply(nodes []layout.Replica, orders []layout.Assignment) {
 	for _, o := range orders {
 		for i := range nodes {
 			if nodes[i].ID == o.ID {
@@ -54,7 +54,7 @@
 }
 
 // converge plans and applies assignments until none is left. It returns the number of rounds.
-func converge(t require.TestingT, m *pipeline.Model, nodes []layout.Node) int {
+func converge(t require.TestingT, m *pipeline.Model, nodes []layout.Replica) int {
 	for round := range 60 {
 		orders := layout.Plan(m, nodes, always)
 		if len(orders) == 0 {
@@ -66,7 +66,7 @@
 	return 0
 }
 
-func requireFits(t require.TestingT, m *pipeline.Model, nodes []layout.Node) {
+func requireFits(t require.TestingT, m *pipeline.Model, nodes []layout.Replica) {
 	for _, n := range nodes {
 		require.LessOrEqual(t, n.To-n.From, m.MaxLayers(n.Kind), "%s", n.ID)
 		require.GreaterOrEqual(t, n.From, 0)
@@ -74,7 +74,7 @@
 	}
 }
 
-func holders(m *pipeline.Model, nodes []layout.Node, zone string) []int {
+func holders(m *pipeline.Model, nodes []layout.Replica, zone string) []int {
 	out := make([]int, m.Layers)
 	for _, n := range nodes {
 		if zone != "" && n.Zone != zone {
@@ -87,14 +87,14 @@
 	return out
 }
 
-func requireCovered(t require.TestingT, m *pipeline.Model, nodes []layout.Node, zone string) {
+func requireCovered(t require.TestingT, m *pipeline.Model, nodes []layout.Replica, zone string) {
 	for l, d := range holders(m, nodes, zone) {
 		require.Positive(t, d, "layer %d in zone %q", l, zone)
 	}
 }
 
-func without(nodes []layout.Node, id string) []layout.Node {
-	var out []layout.Node
+func without(nodes []layout.Replica, id string) []layout.Replica {
+	var out []layout.Replica
 	for _, n := range nodes {
 		if n.ID != id {
 			out = append(out, n)
@@ -119,17 +119,17 @@
 	nodes := fleet()
 	apply(nodes, layout.Plan(m, nodes, always))
 	for _, n := range nodes {
-		capacity := m.Room(n.Kind, n.To-n.From) / float64(n.To-n.From)
+		capacity := m.CacheCapacity(n.Kind, n.To-n.From) / float64(n.To-n.From)
 		require.Greater(t, capacity, 50_000.0, "tokens that fit beside the layers of %s", n.ID)
 	}
 }
 
 // weakest returns the number of tokens that fit at the layer of a zone with the least KV cache.
-func weakest(m *pipeline.Model, nodes []layout.Node, zone string) float64 {
+func weakest(m *pipeline.Model, nodes []layout.Replica, zone string) float64 {
 	tokens := make([]float64, m.Layers)
 	for _, n := range nodes {
 		for l := n.From; n.Zone == zone && l < n.To; l++ {
-			tokens[l] += m.Room(n.Kind, n.To-n.From) / float64(n.To-n.From)
+			tokens[l] += m.CacheCapacity(n.Kind, n.To-n.From) / float64(n.To-n.From)
 		}
 	}
 	return slices.Min(tokens)
@@ -168,7 +168,7 @@
 	lost := nodes[1]
 	nodes = without(nodes, lost.ID)
 	converge(t, m, nodes)
-	nodes = append(nodes, layout.Node{ID: lost.ID, Zone: lost.Zone, Kind: lost.Kind})
+	nodes = append(nodes, layout.Replica{ID: lost.ID, Zone: lost.Zone, Kind: lost.Kind})
 	converge(t, m, nodes)
 	requireCovered(t, m, nodes, lost.Zone)
 	require.Positive(t, nodes[len(nodes)-1].To)
@@ -203,7 +203,7 @@
 
 func TestUnknownKindsGetNoAssignments(t *testing.T) {
 	m := model()
-	nodes := append(fleet(), layout.Node{ID: "x", Zone: "quito", Kind: "unknown"})
+	nodes := append(fleet(), layout.Replica{ID: "x", Zone: "quito", Kind: "unknown"})
 	for _, o := range layout.Plan(m, nodes, always) {
 		require.NotEqual(t, "x", o.ID)
 	}
@@ -215,7 +215,7 @@
 	for _, o := range layout.Plan(m, nodes, always) {
 		for i := range nodes {
 			if nodes[i].ID == o.ID {
-				nodes[i].WantFrom, nodes[i].WantTo = o.From, o.To
+				nodes[i].PendingFrom, nodes[i].PendingTo = o.From, o.To
 			}
 		}
 	}
@@ -226,7 +226,7 @@
 // layer must have at least 0.6 of its former capacity; a ninth of the total was lost.
 func TestWeakLayersAreReinforcedWhileTheFleetChanges(t *testing.T) {
 	m := model()
-	m.LoadsAtOnce = 4
+	m.MaxConcurrentLoads = 4
 	large := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
 	for k := range large {
 		nodes := slices.Clone(large)
@@ -269,7 +269,7 @@
 	lost := nodes[9]
 	nodes = without(nodes, lost.ID)
 	weak := weakest(m, nodes, "quito")
-	nodes = append(nodes, layout.Node{ID: "new", Zone: lost.Zone, Kind: lost.Kind})
+	nodes = append(nodes, layout.Replica{ID: "new", Zone: lost.Zone, Kind: lost.Kind})
 	apply(nodes, layout.Plan(m, nodes, never))
 	require.Greater(t, weakest(m, nodes, "quito"), 1.2*weak)
 }
--- a/core/layout/reinforce.go
+++ b/core/layout/reinforce.go
@@ -40,7 +40,7 @@
 
 // move is a change of the layers of one replica.
 type move struct {
-	replica  *Node
+	replica  *Replica
 	from, to int
 	shortage float64
 	reason   string
@@ -66,7 +66,7 @@
 }
 
 // evaluate evaluates one move.
-func (s *search) evaluate(n *Node, from, to int, reason string) {
+func (s *search) evaluate(n *Replica, from, to int, reason string) {
 	if from < 0 || to > s.model.Layers || to <= from {
 		return
 	}
@@ -80,11 +80,11 @@
 }
 
 // addCapacity adds (sign 1) or removes (sign -1) the capacity of a replica that holds the layers.
-func (s *search) addCapacity(n *Node, from, to int, sign float64) {
+func (s *search) addCapacity(n *Replica, from, to int, sign float64) {
 	if to <= from {
 		return
 	}
-	each := sign * s.model.Room(n.Kind, to-from) / float64(to-from)
+	each := sign * s.model.CacheCapacity(n.Kind, to-from) / float64(to-from)
 	for l := from; l < min(to, len(s.buffer)); l++ {
 		s.buffer[l] += each
 	}
@@ -109,7 +109,7 @@
 			return
 		}
 		if s.loadsLayers(s.best) {
-			if loads++; p.model.LoadsAtOnce > 0 && loads > p.model.LoadsAtOnce {
+			if loads++; p.model.MaxConcurrentLoads > 0 && loads > p.model.MaxConcurrentLoads {
 				return
 			}
 		}
@@ -119,7 +119,7 @@
 
 // evaluateBoundaryMove evaluates loading layers at an end of another replica's range, which that
 // replica releases afterwards: the first half of moving the boundary between the two.
-func (s *search) evaluateBoundaryMove(n *Node) {
+func (s *search) evaluateBoundaryMove(n *Replica) {
 	spare := maxLayers(s.model, n.Kind, minCacheShare) - (n.To - n.From)
 	if spare <= 0 {
 		return
@@ -142,7 +142,7 @@
 }
 
 // evaluatePair evaluates a move of one replica that allows a later move of another one.
-func (s *search) evaluatePair(n *Node, from, to int, o *Node, otherFrom, otherTo int) {
+func (s *search) evaluatePair(n *Replica, from, to int, o *Replica, otherFrom, otherTo int) {
 	copy(s.buffer, s.current)
 	heldFrom, heldTo := n.plannedRange()
 	s.addCapacity(n, heldFrom, heldTo, -1)
@@ -178,7 +178,7 @@
 }
 
 // evaluateExtension evaluates loading layers next to those held.
-func (s *search) evaluateExtension(n *Node) {
+func (s *search) evaluateExtension(n *Replica) {
 	spare := maxLayers(s.model, n.Kind, minCacheShare) - (n.To - n.From)
 	for k := 1; k <= spare; k++ {
 		s.evaluate(n, n.From-k, n.To, "reinforces")
@@ -187,7 +187,7 @@
 }
 
 // evaluateRelease evaluates releasing layers at an end that another replica holds too.
-func (s *search) evaluateRelease(n *Node, holders []int) {
+func (s *search) evaluateRelease(n *Replica, holders []int) {
 	for from := n.From; from < n.To-1 && holders[from] > 1; from++ {
 		s.evaluate(n, from+1, n.To, "held twice")
 	}
@@ -198,8 +198,8 @@
 
 // evaluateRelocation evaluates replacing a replica's layers with the weakest ones, if its own
 // layers keep more capacity without it than the weakest layer has now.
-func (s *search) evaluateRelocation(n *Node, holders []int, weakFrom, weakTo int) {
-	each := s.model.Room(n.Kind, n.To-n.From) / float64(n.To-n.From)
+func (s *search) evaluateRelocation(n *Replica, holders []int, weakFrom, weakTo int) {
+	each := s.model.CacheCapacity(n.Kind, n.To-n.From) / float64(n.To-n.From)
 	for l := n.From; l < n.To; l++ {
 		if holders[l] < 2 || s.current[l]-each <= s.currentWeakest {
 			return
--- a/core/pipeline/bench_test.go
+++ b/core/pipeline/bench_test.go
@@ -18,7 +18,7 @@
 		from, to := at*80/perZone, (at+1)*80/perZone
 		list = append(list, replica(fmt.Sprintf("r%05d", i), fmt.Sprintf("z%d", i/perZone), "large", from, to))
 	}
-	f.Set(start, list)
+	f.SetReplicas(start, list)
 	return f
 }
 
--- a/core/pipeline/choose.go
+++ b/core/pipeline/choose.go
@@ -38,8 +38,8 @@
 	// FirstTo.
 	First   string
 	FirstTo int
-	// IgnoreRoom allows replicas without free KV cache capacity.
-	IgnoreRoom bool
+	// IgnoreCapacity allows replicas without free KV cache capacity.
+	IgnoreCapacity bool
 }
 
 // Choose returns the cheapest path with enough KV cache capacity for the demand, or false if
@@ -167,8 +167,8 @@
 		used += s.demand.reservedTokens() * held
 		freeCapacity := capacity*maxReservedShare - used
 		s.usable[i] = !s.now.Before(m.blockedUntil) && !s.constraint.Avoid[m.ID] &&
-			(s.constraint.IgnoreRoom || freeCapacity >= 0) && (f.model.Slots == 0 || m.entering < f.model.Slots)
-		if s.usable[i] && !s.neverSkip && !s.constraint.IgnoreRoom && capacity > 0 && f.skip(used/capacity) {
+			(s.constraint.IgnoreCapacity || freeCapacity >= 0) && (f.model.Slots == 0 || m.entering < f.model.Slots)
+		if s.usable[i] && !s.neverSkip && !s.constraint.IgnoreCapacity && capacity > 0 && f.skip(used/capacity) {
 			s.usable[i], s.skipped = false, true
 		}
 		if m.ID == s.constraint.First {
@@ -187,9 +187,9 @@
 	model := s.fleet.model
 	kind := model.Kinds[m.Kind]
 	prefillTokens := (s.demand.Prompt*float64(max(1, m.To-m.From)) + m.prefill + m.remotePrefill) / float64(max(1, m.To-m.From))
-	prefillMS := prefillTokens / model.ReadPerMS * kind.ReadFactor
+	prefillMS := prefillTokens / model.PrefillTokensPerMS * kind.PrefillFactor
 	sequences := m.sequences + m.remoteSequences + 1
-	context := sequences * (model.UsualPrompt + model.UsualOutput/2) / 1000
+	context := sequences * (model.MeanPromptTokens + model.MeanOutputTokens/2) / 1000
 	stepMS := (model.StepMS + model.PerSequenceMS*sequences + model.PerContextMS*context) * kind.StepFactor
 	share := 1 / float64(model.Layers)
 	utilizationFactor := 1.0
@@ -291,7 +291,7 @@
 	for l := last; l >= 0; l-- {
 		m := f.ordered[at]
 		if len(path) == 0 || path[len(path)-1].ID != m.ID {
-			path = append(path, Hop{ID: m.ID, Address: m.Address, Zone: m.Zone, From: l, To: l + 1, Born: m.Born})
+			path = append(path, Stage{ID: m.ID, Address: m.Address, Zone: m.Zone, From: l, To: l + 1, StartTime: m.StartTime})
 		} else {
 			path[len(path)-1].From = l
 		}
@@ -318,13 +318,13 @@
 
 // prefillMS returns the time in milliseconds until a stage has finished the prefill of a request,
 // queued behind the pending prefill work of the replica.
-func (f *Fleet) prefillMS(h Hop, d Demand) float64 {
+func (f *Fleet) prefillMS(h Stage, d Demand) float64 {
 	m := f.replicas[h.ID]
 	if m == nil {
 		return 0
 	}
 	work := d.Prompt*float64(h.To-h.From) + m.prefill + m.remotePrefill
-	return work / f.model.ReadPerMS * f.model.Kinds[m.Kind].ReadFactor / float64(f.model.Layers) * m.stepTimeRatio
+	return work / f.model.PrefillTokensPerMS * f.model.Kinds[m.Kind].PrefillFactor / float64(f.model.Layers) * m.stepTimeRatio
 }
 
 func sortMembers(list []*member) {
--- a/core/pipeline/cluster_test.go
+++ b/core/pipeline/cluster_test.go
@@ -41,8 +41,8 @@
 	c.model.KVTokenBytes = 10_000
 	c.model.LinkMbps = 6300
 	c.model.ActivationBytes = 29_500
-	c.model.Kinds["small"] = pipeline.Kind{Name: "small", MemoryMB: 2400, StepFactor: 12, ReadFactor: 9}
-	c.model.Kinds["large"] = pipeline.Kind{Name: "large", MemoryMB: 2400, StepFactor: 12 / faster, ReadFactor: 9 / faster}
+	c.model.Kinds["small"] = pipeline.Kind{Name: "small", MemoryMB: 2400, StepFactor: 12, PrefillFactor: 9}
+	c.model.Kinds["large"] = pipeline.Kind{Name: "large", MemoryMB: 2400, StepFactor: 12 / faster, PrefillFactor: 9 / faster}
 	for z := range 5 {
 		for index := range 3 {
 			kind := "small"
@@ -56,7 +56,7 @@
 	}
 	for range instances {
 		f := pipeline.NewFleet(c.model)
-		f.Set(start, c.list)
+		f.SetReplicas(start, c.list)
 		f.SetSharing(pipeline.Sharing{Random: c.random.Float64, Instances: instances})
 		c.instances = append(c.instances, f)
 	}
@@ -70,21 +70,21 @@
 		if k == i {
 			continue
 		}
-		for id, l := range f.Own() {
+		for id, l := range f.OwnLoads() {
 			s := sum[id]
 			s.Reserved += l.Reserved
 			s.Sequences += l.Sequences
-			s.Reading += l.Reading
+			s.Prefill += l.Prefill
 			sum[id] = s
 		}
 	}
-	c.instances[i].SetForeign(func(id string) pipeline.Load { return sum[id] }, func(pipeline.Link) float64 { return 0 })
+	c.instances[i].SetRemoteLoad(func(id string) pipeline.Load { return sum[id] }, func(pipeline.Link) float64 { return 0 })
 }
 
 func (c *cluster) reserve(p pipeline.Path, d pipeline.Demand, sign float64) (exceeded bool) {
 	for _, h := range p {
 		c.reserved[h.ID] += sign * (d.Prompt + 0.6*d.Output) * float64(h.To-h.From)
-		capacity := c.model.Room(c.kind(h.ID), 20)
+		capacity := c.model.CacheCapacity(c.kind(h.ID), 20)
 		exceeded = exceeded || c.reserved[h.ID] > capacity
 	}
 	return exceeded
@@ -157,7 +157,7 @@
 }
 
 // capacity returns the number of average requests that fit at the same time.
-func (c *cluster) capacity() float64 { return 15 * c.model.Room("small", 20) / 20 / 890 }
+func (c *cluster) capacity() float64 { return 15 * c.model.CacheCapacity("small", 20) / 20 / 890 }
 
 // Up to 95 instances choose paths with load information that is up to 0.95 s old. At 60 % of the
 // capacity hardly any path may exceed the capacity of a replica.
--- a/core/pipeline/link.go
+++ b/core/pipeline/link.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// OwnLinks returns the prompt tokens per second that this instance sends over each link.
-func (f *Fleet) OwnLinks(now time.Time) map[Link]float64 {
+// OwnLinkRates returns the prompt tokens per second that this instance sends over each link.
+func (f *Fleet) OwnLinkRates(now time.Time) map[Link]float64 {
 	out := map[Link]float64{}
 	for k, l := range f.links {
 		if r := l.rate(now); r >= 1 {
--- a/core/pipeline/model.go
+++ b/core/pipeline/model.go
@@ -10,8 +10,8 @@
 	MemoryMB float64
 	// StepFactor multiplies the time of a decoding step.
 	StepFactor float64
-	// ReadFactor multiplies the prefill time.
-	ReadFactor float64
+	// PrefillFactor multiplies the prefill time.
+	PrefillFactor float64
 }
 
 // Model holds the published parameters of a model and of the engines that run it.
@@ -29,28 +29,28 @@
 	StepMS        float64
 	PerSequenceMS float64
 	PerContextMS  float64
-	// ReadPerMS is the number of prompt tokens processed per millisecond of prefill.
-	ReadPerMS float64
+	// PrefillTokensPerMS is the number of prompt tokens processed per millisecond of prefill.
+	PrefillTokensPerMS float64
 	// LoadSeconds is the time to load all layers on one replica.
 	LoadSeconds float64
-	// LoadsAtOnce is the number of replicas that can load weights concurrently at full speed.
-	LoadsAtOnce int
+	// MaxConcurrentLoads is the number of replicas that can load weights concurrently at full speed.
+	MaxConcurrentLoads int
 	// Slots is the maximum number of running requests whose path starts at a replica.
 	Slots int
 	// LinkMbps is the bandwidth between zones, shared by all transfers.
 	LinkMbps float64
-	// UsualPrompt and UsualOutput are the mean numbers of prompt and output tokens.
-	UsualPrompt float64
-	UsualOutput float64
-	Kinds       map[string]Kind
+	// MeanPromptTokens and UsualOutput are the mean numbers of prompt and output tokens.
+	MeanPromptTokens float64
+	MeanOutputTokens float64
+	Kinds            map[string]Kind
 }
 
 // bytesPerMB is the number of bytes in a megabyte, also of bits in a megabit.
 const bytesPerMB = 1e6
 
-// Room returns the capacity of the KV cache, in tokens times layers, of a replica of the kind
+// CacheCapacity returns the capacity of the KV cache, in tokens times layers, of a replica of the kind
 // that holds the number of layers.
-func (m *Model) Room(kind string, layers int) float64 {
+func (m *Model) CacheCapacity(kind string, layers int) float64 {
 	k, ok := m.Kinds[kind]
 	if !ok || layers <= 0 || m.KVTokenBytes <= 0 {
 		return 0
--- a/core/pipeline/observed.go
+++ b/core/pipeline/observed.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Observed is the content of a report about a replica.
-type Observed struct {
-	// Pace is the step time divided by the usual step time; 0 if unknown.
-	Pace float64
-	// Used and Room are the used and the total KV cache in tokens times layers.
-	Used, Room float64
+// Report is the content of a report about a replica.
+type Report struct {
+	// StepTimeRatio is the step time divided by the usual step time; 0 if unknown.
+	StepTimeRatio float64
+	// CacheUsed and CacheCapacity are the used and the total KV cache in tokens times layers.
+	CacheUsed, CacheCapacity float64
 	// From and To bound the layers held, if HasLayers is set. Otherwise the layers of the
 	// previous report stay in force.
 	From, To  int
@@ -18,7 +18,7 @@
 const maxReportAge = 3 * time.Second
 
 // Observe records the report of a replica.
-func (f *Fleet) Observe(now time.Time, id string, o Observed) {
+func (f *Fleet) Observe(now time.Time, id string, o Report) {
 	m := f.replicas[id]
 	if m == nil {
 		return
@@ -30,12 +30,12 @@
 	}
 	m.observed, m.observedAt = o, now
 	m.stepTimeRatio = 1
-	if o.Pace > 0 {
-		m.stepTimeRatio = o.Pace
+	if o.StepTimeRatio > 0 {
+		m.stepTimeRatio = o.StepTimeRatio
 	}
 	if m.layersReportedAt.Equal(now) && (o.From != m.From || o.To != m.To) {
 		m.From, m.To = o.From, o.To
-		m.setCapacity(now, f.model.Room(m.Kind, m.To-m.From), false)
+		m.setCapacity(now, f.model.CacheCapacity(m.Kind, m.To-m.From), false)
 		f.rebuildIndex()
 	}
 }
@@ -61,18 +61,18 @@
 		m.stepTimeRatio = 1
 		return capacity, used
 	}
-	if m.observed.Room > 0 {
-		capacity = min(capacity, m.observed.Room)
+	if m.observed.CacheCapacity > 0 {
+		capacity = min(capacity, m.observed.CacheCapacity)
 	}
 	if now.Before(f.orphansUntil) {
-		used = max(used, m.observed.Used)
+		used = max(used, m.observed.CacheUsed)
 	}
 	return capacity, used
 }
 
-// Pace returns the step time of a replica divided by the usual step time, or 1 without a recent
+// StepTimeRatio returns the step time of a replica divided by the usual step time, or 1 without a recent
 // report.
-func (f *Fleet) Pace(now time.Time, id string) float64 {
+func (f *Fleet) StepTimeRatio(now time.Time, id string) float64 {
 	m := f.replicas[id]
 	if m == nil || m.observedAt.IsZero() || now.Sub(m.observedAt) > maxReportAge {
 		return 1
--- a/core/pipeline/pipeline.go
+++ b/core/pipeline/pipeline.go
@@ -10,26 +10,26 @@
 	Address string
 	Zone    string
 	Kind    string
-	// Born is the start time of the process in Unix milliseconds; it changes when the replica
+	// StartTime is the start time of the process in Unix milliseconds; it changes when the replica
 	// restarts.
-	Born int64
+	StartTime int64
 	// From and To bound the layers that serve requests: From <= layer < To.
 	From, To int
 }
 
-// Hop is one stage of a path: a replica and the layers that it runs.
-type Hop struct {
+// Stage is one stage of a path: a replica and the layers that it runs.
+type Stage struct {
 	ID       string
 	Address  string
 	Zone     string
 	From, To int
-	// Born is the start time of the replica's process; it distinguishes the process from an
+	// StartTime is the start time of the replica's process; it distinguishes the process from an
 	// earlier one of the same replica.
-	Born int64
+	StartTime int64
 }
 
 // Path lists the stages that together run all layers, in order.
-type Path []Hop
+type Path []Stage
 
 // Uses reports whether the path includes the replica.
 func (p Path) Uses(id string) bool {
@@ -77,7 +77,7 @@
 	// stepTimeRatio is the step time divided by the usual step time; above 1 the replica is
 	// slower than its kind of accelerator.
 	stepTimeRatio float64
-	observed      Observed
+	observed      Report
 	observedAt    time.Time
 	// layersReportedAt is the time of the last report that contained the layers.
 	layersReportedAt time.Time
@@ -130,7 +130,7 @@
 func (f *Fleet) SetModel(m *Model) {
 	f.model = m
 	for _, r := range f.replicas {
-		r.cacheCapacity = m.Room(r.Kind, r.To-r.From)
+		r.cacheCapacity = m.CacheCapacity(r.Kind, r.To-r.From)
 	}
 	f.rebuildIndex()
 }
@@ -158,15 +158,15 @@
 	}
 }
 
-// Set replaces the list of replicas and keeps the load of replicas that stay. Recently reported
+// SetReplicas replaces the list of replicas and keeps the load of replicas that stay. Recently reported
 // layers take precedence over those in the list, unless the replica has restarted.
-func (f *Fleet) Set(now time.Time, list []Replica) {
+func (f *Fleet) SetReplicas(now time.Time, list []Replica) {
 	for _, m := range f.replicas {
 		m.listed = false
 	}
 	for _, r := range list {
 		m := f.replicas[r.ID]
-		fresh := m == nil || m.Born != r.Born
+		fresh := m == nil || m.StartTime != r.StartTime
 		if m == nil {
 			m = &member{load: load{stepTimeRatio: 1}}
 			f.replicas[r.ID] = m
@@ -176,7 +176,7 @@
 		}
 		m.Replica = r
 		m.listed = true
-		m.setCapacity(now, f.model.Room(r.Kind, r.To-r.From), fresh)
+		m.setCapacity(now, f.model.CacheCapacity(r.Kind, r.To-r.From), fresh)
 	}
 	for id, m := range f.replicas {
 		if !m.listed && m.sequences == 0 {
@@ -326,9 +326,9 @@
 	}
 }
 
-// Reading adds (sign 1) or removes (sign -1) the prefill work of a request on all replicas of its
+// AdjustPrefill adds (sign 1) or removes (sign -1) the prefill work of a request on all replicas of its
 // path.
-func (f *Fleet) Reading(p Path, d Demand, sign float64) {
+func (f *Fleet) AdjustPrefill(p Path, d Demand, sign float64) {
 	for _, h := range p {
 		if m := f.replicas[h.ID]; m != nil {
 			m.prefill = max(0, m.prefill+sign*d.Prompt*float64(h.To-h.From))
@@ -341,24 +341,24 @@
 	// Reserved is the reserved KV cache in tokens times layers.
 	Reserved  float64
 	Sequences float64
-	// Reading is the prefill work still to be done, in prompt tokens times layers.
-	Reading float64
+	// Prefill is the prefill work still to be done, in prompt tokens times layers.
+	Prefill float64
 }
 
 // State is a snapshot of a replica and its load.
 type State struct {
 	Replica
-	// Room is the capacity of the KV cache in tokens times layers.
-	Room         float64
-	Own, Foreign Load
+	// CacheCapacity is the capacity of the KV cache in tokens times layers.
+	CacheCapacity float64
+	Own, Remote   Load
 }
 
-// Use returns the reserved share of the KV cache, or 1 if the replica has none.
-func (s State) Use() float64 {
-	if s.Room <= 0 {
+// Utilization returns the reserved share of the KV cache, or 1 if the replica has none.
+func (s State) Utilization() float64 {
+	if s.CacheCapacity <= 0 {
 		return 1
 	}
-	return (s.Own.Reserved + s.Foreign.Reserved) / s.Room
+	return (s.Own.Reserved + s.Remote.Reserved) / s.CacheCapacity
 }
 
 // State returns a snapshot of the replica, or the zero value if the replica is unknown.
@@ -368,34 +368,34 @@
 		return State{}
 	}
 	return State{
-		Replica: m.Replica,
-		Room:    m.cacheCapacity,
-		Own:     Load{Reserved: m.reserved, Sequences: m.sequences, Reading: m.prefill},
-		Foreign: Load{Reserved: m.remoteReserved, Sequences: m.remoteSequences, Reading: m.remotePrefill},
+		Replica:       m.Replica,
+		CacheCapacity: m.cacheCapacity,
+		Own:           Load{Reserved: m.reserved, Sequences: m.sequences, Prefill: m.prefill},
+		Remote:        Load{Reserved: m.remoteReserved, Sequences: m.remoteSequences, Prefill: m.remotePrefill},
 	}
 }
 
-// Own returns the load of this instance's requests by replica ID, without replicas that have
+// OwnLoads returns the load of this instance's requests by replica ID, without replicas that have
 // none.
-func (f *Fleet) Own() map[string]Load {
+func (f *Fleet) OwnLoads() map[string]Load {
 	out := map[string]Load{}
 	for id, m := range f.replicas {
 		if m.sequences > 0 {
-			out[id] = Load{Reserved: m.reserved, Sequences: m.sequences, Reading: m.prefill}
+			out[id] = Load{Reserved: m.reserved, Sequences: m.sequences, Prefill: m.prefill}
 		}
 	}
 	return out
 }
 
-// SetForeign sets the total load of all other instances: by replica, and by link in prompt tokens
+// SetRemoteLoad sets the total load of all other instances: by replica, and by link in prompt tokens
 // per second.
-func (f *Fleet) SetForeign(of func(id string) Load, link func(Link) float64) {
+func (f *Fleet) SetRemoteLoad(of func(id string) Load, link func(Link) float64) {
 	for k, l := range f.links {
 		l.remoteRate = link(k)
 	}
 	for id, m := range f.replicas {
 		l := of(id)
-		m.remoteReserved, m.remoteSequences, m.remotePrefill = l.Reserved, l.Sequences, l.Reading
+		m.remoteReserved, m.remoteSequences, m.remotePrefill = l.Reserved, l.Sequences, l.Prefill
 	}
 }
 
--- a/core/pipeline/pipeline_test.go
+++ b/core/pipeline/pipeline_test.go
@@ -17,10 +17,10 @@
 func model(layers int) *pipeline.Model {
 	return &pipeline.Model{
 		Layers: layers, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, PerSequenceMS: 0.004, PerContextMS: 0.005,
-		ReadPerMS: 100, UsualPrompt: 700, UsualOutput: 170,
+		PrefillTokensPerMS: 100, MeanPromptTokens: 700, MeanOutputTokens: 170,
 		Kinds: map[string]pipeline.Kind{
-			"large": {Name: "large", MemoryMB: 4000, StepFactor: 1, ReadFactor: 1},
-			"small": {Name: "small", MemoryMB: 1500, StepFactor: 10, ReadFactor: 8},
+			"large": {Name: "large", MemoryMB: 4000, StepFactor: 1, PrefillFactor: 1},
+			"small": {Name: "small", MemoryMB: 1500, StepFactor: 10, PrefillFactor: 8},
 		},
 	}
 }
@@ -63,7 +63,7 @@
 			zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 			list = append(list, replica(fmt.Sprintf("r%02d", i), zone, kind, from, to))
 		}
-		f.Set(start, list)
+		f.SetReplicas(start, list)
 		c, ok := f.Choose(start, pipeline.Demand{Prompt: 10, Output: 5}, pipeline.Constraint{})
 		if ok {
 			requireTiling(t, layers, list, c.Path)
@@ -88,7 +88,7 @@
 				list = append(list, replica(fmt.Sprintf("r%d-%d", stage[0], i), zone, kind, stage[0], stage[1]))
 			}
 		}
-		f.Set(start, list)
+		f.SetReplicas(start, list)
 		d := pipeline.Demand{Prompt: 50, Output: 20}
 		got, ok := f.Choose(start, d, pipeline.Constraint{})
 		require.True(t, ok)
@@ -117,7 +117,7 @@
 
 func TestPathsStayInTheirZone(t *testing.T) {
 	f := pipeline.NewFleet(model(8))
-	f.Set(start, []pipeline.Replica{
+	f.SetReplicas(start, []pipeline.Replica{
 		replica("a1", "a", "large", 0, 4), replica("a2", "a", "large", 4, 8),
 		replica("b1", "b", "large", 0, 4), replica("b2", "b", "large", 4, 8),
 	})
@@ -136,9 +136,9 @@
 func TestFullReplicasAreNotChosen(t *testing.T) {
 	m := model(4)
 	f := pipeline.NewFleet(m)
-	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
 	d := pipeline.Demand{Prompt: 1000, Output: 100}
-	maxRequests := m.Room("small", 4) / 4 / 1060
+	maxRequests := m.CacheCapacity("small", 4) / 4 / 1060
 	n := 0
 	for ; n < 10_000; n++ {
 		c, ok := f.Choose(start, d, pipeline.Constraint{})
@@ -155,10 +155,10 @@
 func TestRemoteLoadCounts(t *testing.T) {
 	m := model(4)
 	f := pipeline.NewFleet(m)
-	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 4), replica("b", "z", "small", 0, 4)})
-	f.SetForeign(func(id string) pipeline.Load {
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "small", 0, 4), replica("b", "z", "small", 0, 4)})
+	f.SetRemoteLoad(func(id string) pipeline.Load {
 		if id == "a" {
-			return pipeline.Load{Reserved: m.Room("small", 4), Sequences: 40}
+			return pipeline.Load{Reserved: m.CacheCapacity("small", 4), Sequences: 40}
 		}
 		return pipeline.Load{}
 	}, func(pipeline.Link) float64 { return 0 })
@@ -169,7 +169,7 @@
 
 func TestRepathKeepsTheFirstStage(t *testing.T) {
 	f := pipeline.NewFleet(model(8))
-	f.Set(start, []pipeline.Replica{
+	f.SetReplicas(start, []pipeline.Replica{
 		replica("a1", "a", "large", 0, 4), replica("a2", "a", "large", 4, 8), replica("a3", "a", "small", 4, 8),
 		replica("b1", "b", "large", 0, 8),
 	})
@@ -182,7 +182,7 @@
 
 func TestBlockedReplicasAreAvoidedForATime(t *testing.T) {
 	f := pipeline.NewFleet(model(4))
-	f.Set(start, []pipeline.Replica{replica("a", "z", "large", 0, 4)})
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "large", 0, 4)})
 	f.Block("a", start.Add(time.Second))
 	_, ok := f.Choose(start, pipeline.Demand{}, pipeline.Constraint{})
 	require.False(t, ok)
@@ -192,28 +192,28 @@
 
 func TestReleaseRevertsReserve(t *testing.T) {
 	f := pipeline.NewFleet(model(4))
-	f.Set(start, []pipeline.Replica{replica("a", "z", "large", 0, 4)})
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "large", 0, 4)})
 	d := pipeline.Demand{Prompt: 100, Output: 50}
 	c, _ := f.Choose(start, d, pipeline.Constraint{})
 	f.Reserve(start, c.Path, d)
-	f.Reading(c.Path, d, 1)
-	require.Equal(t, map[string]pipeline.Load{"a": {Reserved: 520, Sequences: 1, Reading: 400}}, f.Own())
-	f.Reading(c.Path, d, -1)
+	f.AdjustPrefill(c.Path, d, 1)
+	require.Equal(t, map[string]pipeline.Load{"a": {Reserved: 520, Sequences: 1, Prefill: 400}}, f.OwnLoads())
+	f.AdjustPrefill(c.Path, d, -1)
 	f.Release(c.Path, d)
-	require.Empty(t, f.Own())
+	require.Empty(t, f.OwnLoads())
 }
 
 func TestCapacityOfReleasedLayersIsAvailableLater(t *testing.T) {
 	m := model(4)
 	f := pipeline.NewFleet(m)
-	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
-	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 2), replica("b", "z", "large", 2, 4)})
-	require.Equal(t, m.Room("small", 4), f.State("a").Room)
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "small", 0, 2), replica("b", "z", "large", 2, 4)})
+	require.Equal(t, m.CacheCapacity("small", 4), f.State("a").CacheCapacity)
 	_, ok := f.Choose(start.Add(10*time.Second), pipeline.Demand{}, pipeline.Constraint{})
 	require.True(t, ok)
-	require.Equal(t, m.Room("small", 2), f.State("a").Room)
-	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 3)})
-	require.Equal(t, m.Room("small", 3), f.State("a").Room, "a lower capacity applies at once")
+	require.Equal(t, m.CacheCapacity("small", 2), f.State("a").CacheCapacity)
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "small", 0, 3)})
+	require.Equal(t, m.CacheCapacity("small", 3), f.State("a").CacheCapacity, "a lower capacity applies at once")
 }
 
 // TestBusyLinksAreAvoided checks that a cheaper replica in another zone is used only while the
@@ -222,7 +222,7 @@
 	m := model(8)
 	m.LinkMbps, m.ActivationBytes = 100, 10_000
 	f := pipeline.NewFleet(m)
-	f.Set(start, []pipeline.Replica{
+	f.SetReplicas(start, []pipeline.Replica{
 		replica("a1", "a", "small", 0, 4), replica("a2", "a", "small", 4, 8), replica("b2", "b", "large", 4, 8),
 	})
 	d := pipeline.Demand{Prompt: 700, Output: 100}
@@ -233,7 +233,7 @@
 	second, ok := f.Choose(start, d, pipeline.Constraint{})
 	require.True(t, ok)
 	require.False(t, second.Path.Uses("b2"), "700 tokens of 10 kB occupy 100 Mbit/s for half a second")
-	require.Len(t, f.OwnLinks(start), 1)
+	require.Len(t, f.OwnLinkRates(start), 1)
 	later, ok := f.Choose(start.Add(10*time.Second), d, pipeline.Constraint{})
 	require.True(t, ok)
 	require.True(t, later.Path.Uses("b2"))
@@ -243,50 +243,50 @@
 	m := model(4)
 	f := pipeline.NewFleet(m)
 	f.ExpectOrphans(start)
-	f.Set(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
-	f.Observe(start, "a", pipeline.Observed{Pace: 1, Used: m.Room("small", 4), Room: m.Room("small", 4)})
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "small", 0, 4)})
+	f.Observe(start, "a", pipeline.Report{StepTimeRatio: 1, CacheUsed: m.CacheCapacity("small", 4), CacheCapacity: m.CacheCapacity("small", 4)})
 	d := pipeline.Demand{Prompt: 100}
 	_, ok := f.Choose(start.Add(time.Second), d, pipeline.Constraint{})
 	require.False(t, ok, "orphaned requests fill the replica")
 	later := start.Add(20 * time.Second)
-	f.Observe(later, "a", pipeline.Observed{Pace: 1, Used: m.Room("small", 4), Room: m.Room("small", 4)})
+	f.Observe(later, "a", pipeline.Report{StepTimeRatio: 1, CacheUsed: m.CacheCapacity("small", 4), CacheCapacity: m.CacheCapacity("small", 4)})
 	_, ok = f.Choose(later, d, pipeline.Constraint{})
 	require.True(t, ok, "later only reservations count")
 }
 
 func TestReportsSetLayersAndStepTimeRatio(t *testing.T) {
 	f := pipeline.NewFleet(model(8))
-	f.Set(start, []pipeline.Replica{
+	f.SetReplicas(start, []pipeline.Replica{
 		replica("a", "z", "large", 0, 8), replica("b", "z", "large", 0, 4), replica("c", "z", "large", 4, 8),
 	})
-	f.Observe(start, "a", pipeline.Observed{Pace: 12})
-	require.Equal(t, 12.0, f.Pace(start, "a"))
+	f.Observe(start, "a", pipeline.Report{StepTimeRatio: 12})
+	require.Equal(t, 12.0, f.StepTimeRatio(start, "a"))
 	c, ok := f.Choose(start, pipeline.Demand{Prompt: 10, Output: 10}, pipeline.Constraint{})
 	require.True(t, ok)
 	require.False(t, c.Path.Uses("a"))
-	f.Observe(start, "c", pipeline.Observed{Pace: 1, From: 5, To: 8, HasLayers: true})
+	f.Observe(start, "c", pipeline.Report{StepTimeRatio: 1, From: 5, To: 8, HasLayers: true})
 	c, ok = f.Choose(start, pipeline.Demand{Prompt: 10, Output: 10}, pipeline.Constraint{})
 	require.True(t, ok)
 	require.True(t, c.Path.Uses("a"), "no other replica holds layer 4")
-	f.Set(start, []pipeline.Replica{replica("a", "z", "large", 0, 8), replica("b", "z", "large", 0, 4), replica("c", "z", "large", 4, 8)})
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "large", 0, 8), replica("b", "z", "large", 0, 4), replica("c", "z", "large", 4, 8)})
 	from, _, ok := f.Layers(start, "c")
 	require.True(t, ok)
 	require.Equal(t, 5, from, "a report takes precedence over an entry")
-	require.Equal(t, 1.0, f.Pace(start.Add(time.Minute), "a"), "old reports are ignored")
+	require.Equal(t, 1.0, f.StepTimeRatio(start.Add(time.Minute), "a"), "old reports are ignored")
 }
 
 // A report without layers, relayed late by another instance, must not discard the layers of an
 // earlier report, which show the effect of a layer assignment.
 func TestReportsWithoutLayersKeepReportedLayers(t *testing.T) {
 	f := pipeline.NewFleet(model(8))
-	f.Set(start, []pipeline.Replica{replica("a", "z", "large", 0, 4), replica("b", "z", "large", 4, 8)})
-	f.Observe(start, "a", pipeline.Observed{Pace: 1, From: 0, To: 6, HasLayers: true})
+	f.SetReplicas(start, []pipeline.Replica{replica("a", "z", "large", 0, 4), replica("b", "z", "large", 4, 8)})
+	f.Observe(start, "a", pipeline.Report{StepTimeRatio: 1, From: 0, To: 6, HasLayers: true})
 	late := start.Add(500 * time.Millisecond)
-	f.Observe(late, "a", pipeline.Observed{Pace: 2})
+	f.Observe(late, "a", pipeline.Report{StepTimeRatio: 2})
 	from, to, ok := f.Layers(late, "a")
 	require.True(t, ok)
 	require.Equal(t, []int{0, 6}, []int{from, to})
-	require.Equal(t, 2.0, f.Pace(late, "a"))
+	require.Equal(t, 2.0, f.StepTimeRatio(late, "a"))
 	_, _, ok = f.Layers(start.Add(2*time.Second), "a")
 	require.False(t, ok, "a report without layers does not renew them")
 }
--- a/core/pipeline/rejections.go
+++ b/core/pipeline/rejections.go
@@ -23,8 +23,8 @@
 	fullUtilization = 0.7
 )
 
-// Full reports whether a rejection by this replica is attributed to missing memory.
-func (s State) Full() bool { return s.Use() >= fullUtilization }
+// RejectsForMemory reports whether a rejection by this replica is attributed to missing memory.
+func (s State) RejectsForMemory() bool { return s.Utilization() >= fullUtilization }
 
 // Rejections tracks the replicas that rejected requests although they have capacity, and have
 // accepted none since. It limits retries in this case: several replicas leave while the store is
@@ -43,19 +43,19 @@
 // NewRejections returns an empty Rejections.
 func NewRejections() *Rejections { return &Rejections{replicas: map[string]rejection{}} }
 
-// Add records that a replica rejected a request of this instance. It returns the number of
+// AddLocal records that a replica rejected a request of this instance. It returns the number of
 // consecutive rejections and how long new paths must avoid the replica.
-func (r *Rejections) Add(now time.Time, id string) (count int, d time.Duration) {
+func (r *Rejections) AddLocal(now time.Time, id string) (count int, d time.Duration) {
 	count = r.replicas[id].count + 1
 	d = initialBlock << min(count-1, maxDoublings)
 	r.replicas[id] = rejection{count: count, last: now}
 	return count, d
 }
 
-// Told records that a replica rejected a request of another instance, which was the count-th
+// AddRemote records that a replica rejected a request of another instance, which was the count-th
 // consecutive rejection. It returns how long new paths must avoid the replica. The random number,
 // from 0 to 1, spreads the retries of the instances.
-func (r *Rejections) Told(now time.Time, id string, count int, random float64) time.Duration {
+func (r *Rejections) AddRemote(now time.Time, id string, count int, random float64) time.Duration {
 	count = max(count, r.replicas[id].count)
 	d := initialBlock<<min(max(count, 1)-1, maxDoublings) + remoteExtraBlock
 	d += time.Duration(random * float64(remoteBlockSpread))
@@ -63,14 +63,14 @@
 	return d
 }
 
-// Took records that a replica runs a request that was sent to it at the given time. A request
+// RecordAccepted records that a replica runs a request that was sent to it at the given time. A request
 // sent before the last rejection is ignored: a replica that is leaving continues the requests
 // that it has.
-func (r *Rejections) Took(id string, sent time.Time) {
+func (r *Rejections) RecordAccepted(id string, sent time.Time) {
 	if r.replicas[id].last.Before(sent) {
 		delete(r.replicas, id)
 	}
 }
 
-// Forget deletes the record of a replica that has restarted or holds other layers now.
-func (r *Rejections) Forget(id string) { delete(r.replicas, id) }
+// Delete deletes the record of a replica that has restarted or holds other layers now.
+func (r *Rejections) Delete(id string) { delete(r.replicas, id) }
--- a/core/pipeline/rejections_test.go
+++ b/core/pipeline/rejections_test.go
@@ -33,7 +33,7 @@
 		for len(notices) > 0 && !notices[0].at.After(now) {
 			for i := range all {
 				if i != notices[0].from {
-					if u := now.Add(all[i].Told(now, "b", notices[0].count, random.Float64())); u.After(until[i]) {
+					if u := now.Add(all[i].AddRemote(now, "b", notices[0].count, random.Float64())); u.After(until[i]) {
 						until[i] = u
 					}
 				}
@@ -45,7 +45,7 @@
 				continue
 			}
 			requests++
-			count, d := all[i].Add(now, "b")
+			count, d := all[i].AddLocal(now, "b")
 			until[i] = now.Add(d)
 			notices = append(notices, notice{at: now.Add(messageDelay), from: i, count: count})
 		}
@@ -57,27 +57,27 @@
 
 func TestAcceptedRequestResetsRejections(t *testing.T) {
 	r := pipeline.NewRejections()
-	_, d := r.Add(start, "b")
-	count, longer := r.Add(start.Add(time.Second), "b")
+	_, d := r.AddLocal(start, "b")
+	count, longer := r.AddLocal(start.Add(time.Second), "b")
 	require.Equal(t, 2, count)
 	require.Equal(t, 2*d, longer)
-	r.Took("b", start.Add(500*time.Millisecond))
-	count, _ = r.Add(start.Add(2*time.Second), "b")
+	r.RecordAccepted("b", start.Add(500*time.Millisecond))
+	count, _ = r.AddLocal(start.Add(2*time.Second), "b")
 	require.Equal(t, 3, count, "a request that was sent before the rejection is ignored")
-	r.Took("b", start.Add(3*time.Second))
-	count, _ = r.Add(start.Add(4*time.Second), "b")
+	r.RecordAccepted("b", start.Add(3*time.Second))
+	count, _ = r.AddLocal(start.Add(4*time.Second), "b")
 	require.Equal(t, 1, count)
-	r.Forget("b")
-	count, _ = r.Add(start.Add(5*time.Second), "b")
+	r.Delete("b")
+	count, _ = r.AddLocal(start.Add(5*time.Second), "b")
 	require.Equal(t, 1, count)
 }
 
 func TestRejectionsOfOtherInstancesCount(t *testing.T) {
 	r := pipeline.NewRejections()
-	d := r.Told(start, "b", 2, 0)
-	require.Greater(t, r.Told(start, "b", 2, 0.5), d)
-	require.Equal(t, d, r.Told(start, "b", 1, 0), "an older message does not shorten the time")
-	count, own := r.Add(start.Add(time.Second), "b")
+	d := r.AddRemote(start, "b", 2, 0)
+	require.Greater(t, r.AddRemote(start, "b", 2, 0.5), d)
+	require.Equal(t, d, r.AddRemote(start, "b", 1, 0), "an older message does not shorten the time")
+	count, own := r.AddLocal(start.Add(time.Second), "b")
 	require.Equal(t, 3, count)
-	require.Greater(t, r.Told(start, "b", 3, 0), own, "the instance that was rejected retries first")
+	require.Greater(t, r.AddRemote(start, "b", 3, 0), own, "the instance that was rejected retries first")
 }
--- a/core/placement/benchmark_test.go
+++ b/core/placement/benchmark_test.go
@@ -56,7 +56,7 @@
 				b.ReportAllocs()
 				orders := 0
 				for b.Loop() {
-					q := New(DefaultTerms())
+					q := New(DefaultMargins())
 					orders = len(q.Step(in).Orders)
 				}
 				b.ReportMetric(float64(orders), "orders/op")
--- a/core/placement/limit.go
+++ b/core/placement/limit.go
@@ -1,31 +1,31 @@
 package placement
 
-// Limit estimates the number of concurrent loads that the weight store allows. A refusal lowers
+// LoadLimit estimates the number of concurrent loads that the weight store allows. A refusal lowers
 // it to the number of loads that were running, and each time as many loads as the limit have
 // finished without a refusal, it rises by one. It is not safe for concurrent use.
-type Limit struct {
+type LoadLimit struct {
 	maximum  int
 	value    int
 	finished int
 }
 
-// NewLimit returns a limit that starts at maximum, its largest value.
-func NewLimit(maximum int) *Limit {
+// NewLoadLimit returns a limit that starts at maximum, its largest value.
+func NewLoadLimit(maximum int) *LoadLimit {
 	maximum = max(maximum, 1)
-	return &Limit{maximum: maximum, value: maximum}
+	return &LoadLimit{maximum: maximum, value: maximum}
 }
 
 // Value returns the number of concurrent loads.
-func (l *Limit) Value() int { return l.value }
+func (l *LoadLimit) Value() int { return l.value }
 
-// Refused records that the store refused a load while the given number of others was running.
-func (l *Limit) Refused(running int) {
+// RecordRefused records that the store refused a load while the given number of others was running.
+func (l *LoadLimit) RecordRefused(running int) {
 	l.value = max(1, min(l.value, running))
 	l.finished = 0
 }
 
-// Finished records that a load has finished.
-func (l *Limit) Finished() {
+// RecordFinished records that a load has finished.
+func (l *LoadLimit) RecordFinished() {
 	l.finished++
 	if l.finished >= l.value {
 		l.value = min(l.maximum, l.value+1)
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -57,13 +57,13 @@
 	Loading bool
 	// Fence is the highest fencing number that the engine has received.
 	Fence uint64
-	// Fencing is true if the engine refuses orders with a lower fencing number than Fence.
-	Fencing bool
+	// ChecksFence is true if the engine refuses orders with a lower fencing number than Fence.
+	ChecksFence bool
 	// Live is false if the engine is down; Held and Loading are then the last known values.
 	Live bool
-	// Silent is true if the last attempt to read the state failed, which does not prove that
+	// Unresponsive is true if the last attempt to read the state failed, which does not prove that
 	// the engine is down: its capacity is not relied on, and it is not replaced either.
-	Silent bool
+	Unresponsive bool
 	// Leaving is true if the engine accepts no new work.
 	Leaving bool
 	// Units is the number of sequences that the engine runs concurrently; 0 means 1.
@@ -71,7 +71,7 @@
 }
 
 // isCurrent reports whether the state is current.
-func (e *Engine) isCurrent() bool { return e.Live && !e.Silent }
+func (e *Engine) isCurrent() bool { return e.Live && !e.Unresponsive }
 
 func (e *Engine) usable() bool { return e.isCurrent() && !e.Leaving && !e.Loading }
 
@@ -90,8 +90,8 @@
 
 func (m *Model) demand() int { return max(m.Demand, 1) }
 
-// Terms holds the planner's margins.
-type Terms struct {
+// Margins holds the planner's margins.
+type Margins struct {
 	// RollShare is the share of its demand that a model still carries during a version
 	// change.
 	RollShare float64
@@ -101,8 +101,8 @@
 	Slack float64
 }
 
-// DefaultTerms returns the default margins.
-func DefaultTerms() Terms { return Terms{RollShare: 0.8, Slack: 1.25} }
+// DefaultMargins returns the default margins.
+func DefaultMargins() Margins { return Margins{RollShare: 0.8, Slack: 1.25} }
 
 // Input holds the state on which one planning step is based.
 type Input struct {
@@ -141,9 +141,9 @@
 	Orders []Order
 	// Loading is the number of engines that were loading before Orders.
 	Loading int
-	// Short holds the models whose planned capacity is below their demand, the one with the
+	// Shortages holds the models whose planned capacity is below their demand, the one with the
 	// smallest ratio first.
-	Short []Shortage
+	Shortages []Shortage
 	// Outdated is the number of engines with an old version of a wanted model.
 	Outdated int
 }
@@ -158,13 +158,13 @@
 // Planner holds the targets of the engines during one leader's epoch. It is not safe for
 // concurrent use.
 type Planner struct {
-	terms   Terms
+	terms   Margins
 	epoch   uint64
 	targets map[string]Assignment
 }
 
 // New returns a Planner without targets.
-func New(terms Terms) *Planner {
+func New(terms Margins) *Planner {
 	return &Planner{terms: terms, targets: map[string]Assignment{}}
 }
 
@@ -189,7 +189,7 @@
 		p.targets[c.Engine] = c.Target
 	}
 	plan.Orders = append(v.orders, fenceOrders(in, p.targets, v.reassigned)...)
-	plan.Short = v.shortages()
+	plan.Shortages = v.shortages()
 	plan.Outdated = v.outdated()
 	return plan
 }
@@ -217,7 +217,7 @@
 	var orders []Order
 	for i := range in.Engines {
 		e := &in.Engines[i]
-		behind := e.isCurrent() && e.Fencing && e.Fence < in.Epoch
+		behind := e.isCurrent() && e.ChecksFence && e.Fence < in.Epoch
 		if behind && !reassigned[e.ID] && targets[e.ID] == e.Held {
 			orders = append(orders, Order{Engine: e.ID, Fence: in.Epoch, Target: e.Held, Reason: ReasonFence})
 		}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -51,7 +51,7 @@
 }
 
 func (f *fleet) add(id string, held Assignment, fencing bool) {
-	f.engines = append(f.engines, Engine{ID: id, Held: held, Live: true, Units: 8, Fencing: fencing})
+	f.engines = append(f.engines, Engine{ID: id, Held: held, Live: true, Units: 8, ChecksFence: fencing})
 	f.remainingSteps = append(f.remainingSteps, 0)
 }
 
@@ -67,7 +67,7 @@
 func (f *fleet) deliver(t *rapid.T, o Order) bool {
 	i := f.index(o.Engine)
 	e := &f.engines[i]
-	if !e.Live || (e.Fencing && o.Fence < e.Fence) {
+	if !e.Live || (e.ChecksFence && o.Fence < e.Fence) {
 		return false
 	}
 	e.Fence = max(e.Fence, o.Fence)
@@ -136,9 +136,9 @@
 		held := f.engines[f.index(o.Engine)].Held
 		f.deliver(t, o)
 		for _, m := range f.models {
-			keep := DefaultTerms().RollShare * float64(min(m.Demand, whole[m.Name]))
+			keep := DefaultMargins().RollShare * float64(min(m.Demand, whole[m.Name]))
 			if o.Reason == ReasonShortage && held.Model == m.Name && held.Version == m.Version {
-				keep = DefaultTerms().Slack * float64(m.Demand)
+				keep = DefaultMargins().Slack * float64(m.Demand)
 			}
 			floor := min(before[m.Name], max(1, int(keep)))
 			require.GreaterOrEqual(t, f.served(m.Name), floor, "%s after %+v", m.Name, o)
@@ -154,7 +154,7 @@
 	for range steps {
 		plan = p.Step(f.read(f.epoch))
 		shortage := 0
-		for _, s := range plan.Short {
+		for _, s := range plan.Shortages {
 			shortage += s.Demand - s.Planned
 		}
 		require.True(t, lossy || shortage <= lastShortage, "shortages rise from %d to %d", lastShortage, shortage)
@@ -173,7 +173,7 @@
 func (f *fleet) requireTargetsReached(t *rapid.T, p *Planner) {
 	last := f.run(t, p, maxSteps, true)
 	require.Empty(t, last.Orders, "the orders do not end")
-	require.Empty(t, last.Short)
+	require.Empty(t, last.Shortages)
 	require.Zero(t, last.Outdated)
 	for _, e := range f.engines {
 		if target, ok := p.Target(e.ID); ok && e.Live {
@@ -190,7 +190,7 @@
 func TestConvergesAndKeepsServing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t, func() bool { return false })
-		p := New(DefaultTerms())
+		p := New(DefaultMargins())
 		require.Empty(t, p.Step(f.read(1)).Orders, "a fleet that carries its demand is not changed")
 		if rapid.Bool().Draw(t, "crash") {
 			first := rapid.SampledFrom([]int{0, 4, 9}).Draw(t, "range")
@@ -216,7 +216,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t, func() bool { return false })
 		f.engines = f.engines[:len(f.engines)-rapid.IntRange(0, 3).Draw(t, "fewer")]
-		p := New(DefaultTerms())
+		p := New(DefaultMargins())
 		for range rapid.IntRange(1, 4).Draw(t, "demands") {
 			for i := range f.models {
 				f.models[i].Demand = rapid.IntRange(1, 48).Draw(t, "demand")
@@ -237,7 +237,7 @@
 			f.add(fmt.Sprint(model, i, r), Assignment{model, "1", r[0], r[1]}, false)
 		}
 	}
-	p := New(DefaultTerms())
+	p := New(DefaultMargins())
 	for round := range 20 {
 		f.models[round%2].Demand, f.models[1-round%2].Demand = 14, 26
 		require.Empty(t, p.Step(f.read(1)).Orders)
@@ -256,7 +256,7 @@
 	f.engines[6].Held = Assignment{}
 	f.engines[5].MaxLayers = 3
 	f.engines[0].Held.Model, f.engines[2].Held.Model = "a", "a"
-	orders := New(DefaultTerms()).Step(f.read(1)).Orders
+	orders := New(DefaultMargins()).Step(f.read(1)).Orders
 	require.Len(t, orders, 1)
 	require.Equal(t, "e6", orders[0].Engine)
 }
@@ -272,7 +272,7 @@
 		}
 	}
 	f.engines[6].Live = false
-	require.Empty(t, New(DefaultTerms()).Step(f.read(1)).Orders)
+	require.Empty(t, New(DefaultMargins()).Step(f.read(1)).Orders)
 }
 
 // An engine whose late order turned out useful is not ordered back.
@@ -281,7 +281,7 @@
 	f.add("x", Assignment{"a", "1", 0, 3}, false)
 	f.add("y", Assignment{"a", "1", 4, 8}, false)
 	f.add("z", Assignment{"idle", "1", 0, 4}, false)
-	p := New(DefaultTerms())
+	p := New(DefaultMargins())
 	require.Empty(t, p.Step(f.read(1)).Orders)
 	f.engines[2].Held = Assignment{"a", "1", 4, 8}
 	f.engines[1].Live = false
@@ -293,7 +293,7 @@
 func TestNewEpochStartsWithHeldAssignments(t *testing.T) {
 	f := &fleet{maxLoads: 1}
 	f.add("x", Assignment{"a", "1", 0, 3}, false)
-	p := New(DefaultTerms())
+	p := New(DefaultMargins())
 	require.Empty(t, p.Step(f.read(1)).Orders)
 	f.engines[0].Held = Assignment{"a", "1", 4, 8}
 	require.Empty(t, p.Step(f.read(3)).Orders)
@@ -312,7 +312,7 @@
 }
 
 func checkOldLeader(t *rapid.T, f *fleet) {
-	older, newer := New(DefaultTerms()), New(DefaultTerms())
+	older, newer := New(DefaultMargins()), New(DefaultMargins())
 	f.models[0].Version = "2"
 	var late []Order
 	for range rapid.IntRange(1, 10).Draw(t, "older") {
@@ -330,7 +330,7 @@
 		for range rapid.IntRange(0, min(len(late), 3)).Draw(t, "wakes") {
 			o := rapid.SampledFrom(late).Draw(t, "late")
 			accepted := f.deliver(t, o)
-			require.False(t, accepted && f.engines[f.index(o.Engine)].Fencing, "round %d: a late order was accepted", round)
+			require.False(t, accepted && f.engines[f.index(o.Engine)].ChecksFence, "round %d: a late order was accepted", round)
 		}
 		f.tick()
 	}
@@ -388,16 +388,16 @@
 }
 
 func TestLimitFollowsRefusals(t *testing.T) {
-	l := NewLimit(4)
-	l.Refused(2)
-	l.Finished()
+	l := NewLoadLimit(4)
+	l.RecordRefused(2)
+	l.RecordFinished()
 	require.Equal(t, 2, l.Value())
-	l.Finished()
+	l.RecordFinished()
 	require.Equal(t, 3, l.Value())
-	l.Refused(0)
+	l.RecordRefused(0)
 	require.Equal(t, 1, l.Value())
 	for range 20 {
-		l.Finished()
+		l.RecordFinished()
 	}
 	require.Equal(t, 4, l.Value())
 }
--- a/core/placement/view.go
+++ b/core/placement/view.go
@@ -12,7 +12,7 @@
 // view is the state of one planning step: what the engines hold, and their targets including the
 // changes decided so far.
 type view struct {
-	terms      Terms
+	terms      Margins
 	epoch      uint64
 	engines    []Engine
 	models     map[string]*Model
@@ -41,7 +41,7 @@
 	}
 }
 
-func newView(terms Terms, in Input, targets map[string]Assignment) *view {
+func newView(terms Margins, in Input, targets map[string]Assignment) *view {
 	v := &view{
 		terms: terms, epoch: in.Epoch, engines: in.Engines,
 		models: map[string]*Model{}, target: make([]Assignment, len(in.Engines)),
--- a/core/zoneload/zoneload.go
+++ b/core/zoneload/zoneload.go
@@ -28,7 +28,7 @@
 		s := l.Upstreams[id]
 		s.Reserved += o.Reserved
 		s.Sequences += o.Sequences
-		s.Reading += o.Reading
+		s.Prefill += o.Prefill
 		l.Upstreams[id] = s
 	}
 	for link, rate := range other.Links {
--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -63,8 +63,8 @@
 
 // publisherConfig returns the limits on how often digests are published. MaxPeriod is
 // raised to MinPeriod when the configured period exceeds the default.
-func publisherConfig(period time.Duration) demand.TellerConfig {
-	return demand.TellerConfig{
+func publisherConfig(period time.Duration) demand.PublisherConfig {
+	return demand.PublisherConfig{
 		MinPeriod:      period,
 		MaxPeriod:      max(period, demand.DefaultMaxPeriod),
 		BytesPerSecond: digestBytesPerSecond,
--- a/node/app/peers_test.go
+++ b/node/app/peers_test.go
@@ -14,7 +14,7 @@
 // of MaxPeriod.
 func TestDigestPeriod(t *testing.T) {
 	for _, period := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second} {
-		publisher := demand.NewTeller(publisherConfig(period))
+		publisher := demand.NewPublisher(publisherConfig(period))
 		now := time.Unix(0, 0)
 		var publishedAt []time.Time
 		for i := range 100 {
--- a/node/control/control_test.go
+++ b/node/control/control_test.go
@@ -142,7 +142,7 @@
 func newFakePlatform() *fakePlatform {
 	m := &pipeline.Model{
 		Layers: 4, LayerMB: 100, KVTokenBytes: 1000, LoadSeconds: 1,
-		Kinds: map[string]pipeline.Kind{"k": {Name: "k", MemoryMB: 1000, StepFactor: 1, ReadFactor: 1}},
+		Kinds: map[string]pipeline.Kind{"k": {Name: "k", MemoryMB: 1000, StepFactor: 1, PrefillFactor: 1}},
 	}
 	return &fakePlatform{
 		config:     &routing.Config{Version: 3, Services: []routing.Service{{Name: "s", Model: m}}},
--- a/node/control/duty.go
+++ b/node/control/duty.go
@@ -299,9 +299,9 @@
 
 // stillJoining reports whether no replica holds layers yet and replicas are still joining,
 // so that a layout would soon be outdated.
-func (c *Control) stillJoining(now time.Time, nodes []layout.Node) bool {
+func (c *Control) stillJoining(now time.Time, nodes []layout.Replica) bool {
 	for _, n := range nodes {
-		if n.To > n.From || n.WantTo > n.WantFrom {
+		if n.To > n.From || n.PendingTo > n.PendingFrom {
 			return false
 		}
 	}
@@ -320,18 +320,18 @@
 
 // nodes returns the replicas that can hold layers: what they hold and what was assigned to
 // them.
-func (c *Control) nodes(service string) ([]layout.Node, map[string]roster.Entry) {
+func (c *Control) nodes(service string) ([]layout.Replica, map[string]roster.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	entries := map[string]roster.Entry{}
-	var out []layout.Node
+	var out []layout.Replica
 	for _, e := range c.roster.Usable(service) {
 		if c.suspected(now, e) || c.opts.Gateway.Slow(e) {
 			continue
 		}
 		entries[e.ID] = e
-		n := layout.Node{ID: e.ID, Zone: e.Zone, Kind: e.Kind}
+		n := layout.Replica{ID: e.ID, Zone: e.Zone, Kind: e.Kind}
 		if e.Layers != nil {
 			n.From, n.To = e.Layers.From, e.Layers.To
 		}
@@ -342,7 +342,7 @@
 			if p.born != e.Born || now.After(p.until) || (p.from == n.From && p.to == n.To) {
 				delete(c.pending, e.ID)
 			} else {
-				n.WantFrom, n.WantTo = p.from, p.to
+				n.PendingFrom, n.PendingTo = p.from, p.to
 			}
 		}
 		out = append(out, n)
--- a/node/control/orders.go
+++ b/node/control/orders.go
@@ -14,7 +14,7 @@
 )
 
 // sendAssignments sends the assignments concurrently.
-func (c *Control) sendAssignments(ctx context.Context, m *pipeline.Model, entries map[string]roster.Entry, assignments []layout.Order, token int64) {
+func (c *Control) sendAssignments(ctx context.Context, m *pipeline.Model, entries map[string]roster.Entry, assignments []layout.Assignment, token int64) {
 	var wg sync.WaitGroup
 	for _, o := range assignments {
 		e := entries[o.ID]
@@ -27,10 +27,10 @@
 }
 
 // sendAssignment sends one assignment and sets when it may be repeated.
-func (c *Control) sendAssignment(ctx context.Context, m *pipeline.Model, e roster.Entry, o layout.Order, concurrent int, token int64) {
+func (c *Control) sendAssignment(ctx context.Context, m *pipeline.Model, e roster.Entry, o layout.Assignment, concurrent int, token int64) {
 	res, err := c.opts.Orders.Place(ctx, gateway.Replica{ID: e.ID, Address: e.Address}, o.From, o.To, token)
 	c.log.Info("layers assigned", zap.String("replica", o.ID), zap.String("kind", e.Kind), zap.String("zone", e.Zone),
-		zap.Int("from", o.From), zap.Int("to", o.To), zap.String("why", o.Why), zap.Int64("fence", token),
+		zap.Int("from", o.From), zap.Int("to", o.To), zap.String("why", o.Reason), zap.Int64("fence", token),
 		zap.Int64("heartbeat", e.Sequence), zap.Stringer("result", res.Status), zap.Duration("pause", res.Pause), zap.Error(err))
 	if res.Leaving {
 		c.ReplicaLeaves(roster.Process{ID: e.ID, Born: e.Born})
@@ -72,8 +72,8 @@
 // share the loading slots.
 func loadTime(m *pipeline.Model, layers, concurrent int) time.Duration {
 	rounds := 1.0
-	if m.LoadsAtOnce > 0 {
-		rounds = max(1, float64(concurrent)/float64(m.LoadsAtOnce))
+	if m.MaxConcurrentLoads > 0 {
+		rounds = max(1, float64(concurrent)/float64(m.MaxConcurrentLoads))
 	}
 	s := m.LoadSeconds * float64(layers) / float64(m.Layers) * rounds
 	return time.Duration(s*float64(time.Second)) + loadTimeMargin
--- a/node/gateway/lostrun.go
+++ b/node/gateway/lostrun.go
@@ -19,7 +19,7 @@
 	}
 	first := s.grant.path()[0]
 	processes := s.pool.listedProcesses(s.grant.path())
-	received := s.g.crashes.process(poison.Incarnation{Replica: first.ID, Born: first.Born}, s.runAt)
+	received := s.g.crashes.process(poison.Incarnation{Replica: first.ID, Born: first.StartTime}, s.runAt)
 	if len(processes) > 0 && processes[0].Replica == first.ID {
 		processes[0] = received
 	}
@@ -46,7 +46,7 @@
 	for _, h := range s.grant.path() {
 		if h.ID == id {
 			s.g.crashes.recordLostRun(s.call, s.pool.listedProcesses(pipeline.Path{h}), s.runAt, s.progressed())
-			s.g.crashes.scheduleCheck(poison.Incarnation{Replica: h.ID, Born: h.Born}, h.Address)
+			s.g.crashes.scheduleCheck(poison.Incarnation{Replica: h.ID, Born: h.StartTime}, h.Address)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	var out []poison.Incarnation
 	for _, h := range path {
 		if p.listed[h.ID] {
-			out = append(out, poison.Incarnation{Replica: h.ID, Born: h.Born})
+			out = append(out, poison.Incarnation{Replica: h.ID, Born: h.StartTime})
 		}
 	}
 	return out
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -112,10 +112,10 @@
 	m := c.service.Model
 	d := pipeline.Demand{Prompt: c.PromptTokens, Output: c.OutputHint}
 	if d.Prompt <= 0 {
-		d.Prompt = m.UsualPrompt
+		d.Prompt = m.MeanPromptTokens
 	}
 	if d.Output <= 0 {
-		d.Output = m.UsualOutput
+		d.Output = m.MeanOutputTokens
 	}
 	if c.MaxOutputTokens > 0 {
 		d.Output = min(d.Output, c.MaxOutputTokens)
@@ -225,7 +225,7 @@
 
 // awaitHead sends the request and waits for the response head, while it checks for
 // unresponsive stages.
-func (s *stream) awaitHead(ctx context.Context, cancel context.CancelFunc, first pipeline.Hop, r *exchange.Request) (*exchange.Response, error) {
+func (s *stream) awaitHead(ctx context.Context, cancel context.CancelFunc, first pipeline.Stage, r *exchange.Request) (*exchange.Response, error) {
 	done := make(chan headResult, 1)
 	go func() {
 		resp, err := s.g.opts.Client.Do(ctx, first.Address, r)
@@ -258,7 +258,7 @@
 
 // connectionFailed keeps new paths away from the first replica after an error of its
 // connection.
-func (s *stream) connectionFailed(first pipeline.Hop, err error) {
+func (s *stream) connectionFailed(first pipeline.Stage, err error) {
 	s.excluded[first.ID] = true
 	var ee *exchange.Error
 	if errors.As(err, &ee) && !ee.Sent && !errors.Is(err, context.Canceled) {
@@ -268,7 +268,7 @@
 
 // rejected keeps new paths away from the stage that rejected the request, and reports a
 // rejection despite free capacity to the other instances.
-func (s *stream) rejected(info Answer, first pipeline.Hop) {
+func (s *stream) rejected(info Answer, first pipeline.Stage) {
 	id := s.pool.idAt(info.FailingPart)
 	if id == "" {
 		id = first.ID
@@ -278,8 +278,8 @@
 	s.g.log.Info("stage rejected a request", zap.String("request", s.ID), zap.String("part", id),
 		zap.Bool("first", id == first.ID), zap.Int("from", state.From), zap.Int("to", state.To),
 		zap.Duration("after", time.Since(s.lastProgress)),
-		zap.Float64("room", state.Room), zap.Float64("own", state.Own.Reserved), zap.Float64("foreign", state.Foreign.Reserved))
-	atOnce := time.Since(s.lastProgress) < immediateRejection && !state.Full()
+		zap.Float64("room", state.CacheCapacity), zap.Float64("own", state.Own.Reserved), zap.Float64("foreign", state.Remote.Reserved))
+	atOnce := time.Since(s.lastProgress) < immediateRejection && !state.RejectsForMemory()
 	if count := s.pool.rejected(id, atOnce); count > 0 && s.g.opts.OnRejected != nil {
 		s.g.opts.OnRejected(id, count)
 	}
--- a/node/gateway/modelpool.go
+++ b/node/gateway/modelpool.go
@@ -118,21 +118,21 @@
 			continue
 		}
 		list = append(list, pipeline.Replica{
-			ID: e.ID, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Born: e.Born,
+			ID: e.ID, Address: e.Address, Zone: e.Zone, Kind: e.Kind, StartTime: e.Born,
 			From: e.Layers.From, To: e.Layers.To,
 		})
 		was, known := p.fleet.Replica(e.ID)
 		if known && (was.From != e.Layers.From || was.To != e.Layers.To) {
-			p.rejections.Forget(e.ID)
+			p.rejections.Delete(e.ID)
 		}
 		if was, ok := p.startTimes[e.ID]; ok && was != e.Born {
 			p.fleet.Unblock(e.ID)
-			p.rejections.Forget(e.ID)
+			p.rejections.Delete(e.ID)
 		}
 		p.startTimes[e.ID] = e.Born
 	}
 	now := time.Now()
-	p.fleet.Set(now, list)
+	p.fleet.SetReplicas(now, list)
 	p.restorePauses(now)
 	p.grantWaiting(now)
 }
@@ -147,7 +147,7 @@
 // reserve reserves the load of a request on the chosen path. The lock is held.
 func (p *modelPool) reserve(choice pipeline.Choice, d pipeline.Demand) *grant {
 	p.fleet.Reserve(time.Now(), choice.Path, d)
-	p.fleet.Reading(choice.Path, d, 1)
+	p.fleet.AdjustPrefill(choice.Path, d, 1)
 	g := &grant{pool: p, demand: d, choice: choice, prefilling: true, sentAt: time.Now()}
 	for _, h := range choice.Path {
 		g.newStages = append(g.newStages, h.ID)
@@ -169,10 +169,10 @@
 	if !g.prefilling {
 		return
 	}
-	g.pool.fleet.Reading(g.choice.Path, g.demand, -1)
+	g.pool.fleet.AdjustPrefill(g.choice.Path, g.demand, -1)
 	g.prefilling = false
 	for _, id := range g.newStages {
-		g.pool.rejections.Took(id, g.sentAt)
+		g.pool.rejections.RecordAccepted(id, g.sentAt)
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	g.ended = true
 	if g.prefilling {
-		g.pool.fleet.Reading(g.choice.Path, g.demand, -1)
+		g.pool.fleet.AdjustPrefill(g.choice.Path, g.demand, -1)
 	}
 	g.pool.fleet.Release(g.choice.Path, g.demand)
 }
@@ -212,7 +212,7 @@
 	}
 	// The stage that takes over may have free capacity nevertheless, as reserved load is
 	// an estimate.
-	limit.IgnoreRoom = true
+	limit.IgnoreCapacity = true
 	return p.fleet.Choose(time.Now(), g.demand, limit)
 }
 
@@ -223,10 +223,10 @@
 	defer p.mu.Unlock()
 	p.fleet.Reserve(time.Now(), c.Path, g.demand)
 	if g.prefilling {
-		p.fleet.Reading(g.choice.Path, g.demand, -1)
+		p.fleet.AdjustPrefill(g.choice.Path, g.demand, -1)
 	}
 	// The new stages prefill all tokens; the next event ends that.
-	p.fleet.Reading(c.Path, g.demand, 1)
+	p.fleet.AdjustPrefill(c.Path, g.demand, 1)
 	g.prefilling = true
 	g.newStages, g.sentAt = g.newStages[:0], time.Now()
 	for _, h := range c.Path {
@@ -268,7 +268,7 @@
 		return 0
 	}
 	p.mu.Lock()
-	count, d := p.rejections.Add(time.Now(), id)
+	count, d := p.rejections.AddLocal(time.Now(), id)
 	p.mu.Unlock()
 	p.block(id, d, "rejected a request")
 	return count
@@ -280,7 +280,7 @@
 	_, known := p.fleet.Replica(id)
 	var d time.Duration
 	if known {
-		d = p.rejections.Told(time.Now(), id, count, rand.Float64())
+		d = p.rejections.AddRemote(time.Now(), id, count, rand.Float64())
 	}
 	p.mu.Unlock()
 	if known {
@@ -319,14 +319,14 @@
 	return s.report, s.err
 }
 
-func (r *Report) observed() pipeline.Observed {
-	return pipeline.Observed{
-		Pace: r.Pace, Used: r.CacheUsed, Room: r.CacheRoom, From: r.From, To: r.To, HasLayers: r.HasLayers,
+func (r *Report) observed() pipeline.Report {
+	return pipeline.Report{
+		StepTimeRatio: r.Pace, CacheUsed: r.CacheUsed, CacheCapacity: r.CacheRoom, From: r.From, To: r.To, HasLayers: r.HasLayers,
 	}
 }
 
 // observe records the state that a replica reported.
-func (p *modelPool) observe(id string, o pipeline.Observed) {
+func (p *modelPool) observe(id string, o pipeline.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fleet.Observe(time.Now(), id, o)
--- a/node/gateway/modelpool_test.go
+++ b/node/gateway/modelpool_test.go
@@ -20,8 +20,8 @@
 // the second half.
 func newPool() *modelPool {
 	m := &pipeline.Model{
-		Layers: 4, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, ReadPerMS: 100, Slots: 10, UsualPrompt: 100, UsualOutput: 100,
-		Kinds: map[string]pipeline.Kind{"k": {Name: "k", MemoryMB: 1000, StepFactor: 1, ReadFactor: 1}},
+		Layers: 4, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, PrefillTokensPerMS: 100, Slots: 10, MeanPromptTokens: 100, MeanOutputTokens: 100,
+		Kinds: map[string]pipeline.Kind{"k": {Name: "k", MemoryMB: 1000, StepFactor: 1, PrefillFactor: 1}},
 	}
 	p := newModelPool(&routing.Service{Name: "s", Model: m}, nil, zap.NewNop())
 	entry := func(id string, from, to int) roster.Entry {
--- a/node/gateway/pause.go
+++ b/node/gateway/pause.go
@@ -24,8 +24,8 @@
 // applyResponseInfo handles what a response says about the first replica of the path and about
 // the stage that rejected the request. A pause applies to both: the first replica asked
 // for it, and the stage is the reason.
-func (s *stream) applyResponseInfo(first pipeline.Hop, a Answer) {
-	s.g.reportIfLeaving(Replica{ID: first.ID, Born: first.Born}, a)
+func (s *stream) applyResponseInfo(first pipeline.Stage, a Answer) {
+	s.g.reportIfLeaving(Replica{ID: first.ID, Born: first.StartTime}, a)
 	if a.Pause <= 0 {
 		return
 	}
@@ -62,7 +62,7 @@
 func (p *modelPool) restorePauses(now time.Time) {
 	p.pauses.Prune(now)
 	for _, r := range p.fleet.Replicas() {
-		if end, ok := p.pauses.Until(now, r.ID, r.Born); ok {
+		if end, ok := p.pauses.Until(now, r.ID, r.StartTime); ok {
 			p.fleet.Block(r.ID, end)
 		}
 	}
--- a/node/gateway/state.go
+++ b/node/gateway/state.go
@@ -142,7 +142,7 @@
 	out := map[string]map[string]pipeline.Load{}
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
-		out[p.name] = p.fleet.Own()
+		out[p.name] = p.fleet.OwnLoads()
 		p.mu.Unlock()
 	}
 	return out
@@ -174,7 +174,7 @@
 	out := map[pipeline.Link]float64{}
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
-		for k, rate := range p.fleet.OwnLinks(time.Now()) {
+		for k, rate := range p.fleet.OwnLinkRates(time.Now()) {
 			out[k] += rate
 		}
 		p.mu.Unlock()
@@ -186,7 +186,7 @@
 func (g *Gateway) SetForeign(of func(replica string) pipeline.Load, link func(pipeline.Link) float64) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
-		p.fleet.SetForeign(of, link)
+		p.fleet.SetRemoteLoad(of, link)
 		p.grantWaiting(time.Now())
 		p.mu.Unlock()
 	}
--- a/node/gateway/survey.go
+++ b/node/gateway/survey.go
@@ -20,7 +20,7 @@
 // ends. It does so each second while wanted returns true. While designated returns true,
 // it also does so when no reports of another instance have arrived for some time, as after
 // a start of all instances together.
-func (g *Gateway) Survey(ctx context.Context, wanted, designated func() bool, publish func(map[string]pipeline.Observed)) {
+func (g *Gateway) Survey(ctx context.Context, wanted, designated func() bool, publish func(map[string]pipeline.Report)) {
 	ticker := time.NewTicker(surveyInterval)
 	defer ticker.Stop()
 	timeout := randomTimeout(startReportTimeout, startReportSpread)
@@ -50,7 +50,7 @@
 // withoutLayers removes the layers from reports. Only the leader publishes which replica
 // holds which layers: reports of others may arrive late and out of order, and the leader's
 // own assignments would then seem not to have been carried out.
-func withoutLayers(reports map[string]pipeline.Observed) map[string]pipeline.Observed {
+func withoutLayers(reports map[string]pipeline.Report) map[string]pipeline.Report {
 	for id, o := range reports {
 		o.HasLayers, o.From, o.To = false, 0, 0
 		reports[id] = o
@@ -86,10 +86,10 @@
 func (g *Gateway) markObserved() { g.observed.Store(int64(time.Since(g.started))) }
 
 // survey requests the reports of all replicas concurrently.
-func (g *Gateway) survey(ctx context.Context) map[string]pipeline.Observed {
+func (g *Gateway) survey(ctx context.Context) map[string]pipeline.Report {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	out := map[string]pipeline.Observed{}
+	out := map[string]pipeline.Report{}
 	for _, p := range g.modelPools() {
 		for _, r := range p.reportingReplicas() {
 			wg.Go(func() {
@@ -120,17 +120,17 @@
 	var out []Replica
 	now := time.Now()
 	for _, r := range p.fleet.Replicas() {
-		if _, paused := p.pauses.Until(now, r.ID, r.Born); paused {
+		if _, paused := p.pauses.Until(now, r.ID, r.StartTime); paused {
 			continue
 		}
-		out = append(out, Replica{ID: r.ID, Address: r.Address, Born: r.Born})
+		out = append(out, Replica{ID: r.ID, Address: r.Address, Born: r.StartTime})
 	}
 	return out
 }
 
 // Observe records reports that another instance has read; of returns false for replicas
 // without one.
-func (g *Gateway) Observe(of func(replica string) (pipeline.Observed, bool)) {
+func (g *Gateway) Observe(of func(replica string) (pipeline.Report, bool)) {
 	g.markObserved()
 	now := time.Now()
 	for _, p := range g.modelPools() {
@@ -154,7 +154,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fleet.Pace(time.Now(), e.ID) >= slowStepRatio
+	return p.fleet.StepTimeRatio(time.Now(), e.ID) >= slowStepRatio
 }
 
 // slowStepRatio is the ratio to the usual step time from which a replica is left out of the
--- a/node/gateway/survey_test.go
+++ b/node/gateway/survey_test.go
@@ -70,7 +70,7 @@
 		}
 		for i, g := range all {
 			designated := func() bool { return i < 2 }
-			publish := func(states map[string]pipeline.Observed) {
+			publish := func(states map[string]pipeline.Report) {
 				for id, o := range states {
 					if o.HasLayers {
 						t.Errorf("layers of %s published by an instance that is not the leader", id)
@@ -79,7 +79,7 @@
 				time.Sleep(reportTime)
 				for _, other := range all {
 					if other != g {
-						other.Observe(func(string) (pipeline.Observed, bool) { return pipeline.Observed{}, false })
+						other.Observe(func(string) (pipeline.Report, bool) { return pipeline.Report{}, false })
 					}
 				}
 			}
--- a/node/gateway/watch.go
+++ b/node/gateway/watch.go
@@ -79,7 +79,7 @@
 	}
 	w.unanswered = 0
 	if report.Leaving {
-		s.g.reportLeaving(Replica{ID: first.ID, Born: first.Born})
+		s.g.reportLeaving(Replica{ID: first.ID, Born: first.StartTime})
 	}
 	address, stalled := report.Stalled[s.ID]
 	if !stalled {
@@ -111,7 +111,7 @@
 
 // repath moves the running request to a path that avoids the failed replicas, and reports
 // whether it succeeded.
-func (w *stallWatch) repath(ctx context.Context, first pipeline.Hop) bool {
+func (w *stallWatch) repath(ctx context.Context, first pipeline.Stage) bool {
 	s := w.s
 	if !s.g.crashes.mayRetry(s.call) {
 		s.g.log.Info("request not moved to another path: it may crash the next replica", zap.String("request", s.ID), zap.Stringer("fingerprint", s.fingerprint))
@@ -125,7 +125,7 @@
 		}
 		res, err := s.pool.control.Repath(ctx, Replica{ID: first.ID, Address: first.Address}, s.ID, choice.Path)
 		if res.Leaving {
-			s.g.reportLeaving(Replica{ID: first.ID, Born: first.Born})
+			s.g.reportLeaving(Replica{ID: first.ID, Born: first.StartTime})
 		}
 		s.g.log.Info("path changed", zap.String("request", s.ID), zap.String("first", first.ID),
 			zap.Stringer("result", res.Status), zap.String("part", res.Part), zap.Int("parts", len(choice.Path)),
--- a/node/loader/calls.go
+++ b/node/loader/calls.go
@@ -107,7 +107,7 @@
 		return
 	}
 	if last.state.Loading && !state.Loading && heldBy(last.state) == heldBy(*state) {
-		l.limit.Finished()
+		l.limit.RecordFinished()
 	}
 	l.observed[id] = observedState{state: *state, lastQuery: now, valid: true}
 }
@@ -131,8 +131,8 @@
 		engines = append(engines, placement.Engine{
 			ID: t.Target.ID, Zone: t.Zone, Accelerator: t.Accelerator, MaxLayers: t.MaxLayers,
 			Held: heldBy(last.state), Loading: last.state.Loading,
-			Fence: last.state.Fence, Fencing: last.state.Fencing,
-			Live: !down, Silent: unresponsive, Leaving: t.Leaving, Units: t.Units,
+			Fence: last.state.Fence, ChecksFence: last.state.Fencing,
+			Live: !down, Unresponsive: unresponsive, Leaving: t.Leaving, Units: t.Units,
 		})
 	}
 	l.observed = listed
@@ -235,7 +235,7 @@
 		sent++
 	}
 	if busy > 0 {
-		l.limit.Refused(running)
+		l.limit.RecordRefused(running)
 	}
 	return sent, failed
 }
--- a/node/loader/loader.go
+++ b/node/loader/loader.go
@@ -85,7 +85,7 @@
 	// engines in every round, and of unresponsive ones in every period.
 	Reads int
 	// Terms are the planner's margins; zero means the default ones.
-	Terms  placement.Terms
+	Terms  placement.Margins
 	Logger *zap.Logger
 }
 
@@ -118,7 +118,7 @@
 type Loader struct {
 	opts     Options
 	planner  *placement.Planner
-	limit    *placement.Limit
+	limit    *placement.LoadLimit
 	observed map[string]observedState
 	// epoch is the leader epoch in which the states were queried. It began at
 	// leaderSince.
@@ -148,8 +148,8 @@
 	if o.MaxLoads <= 0 {
 		o.MaxLoads = defaultMaxLoads
 	}
-	if o.Terms == (placement.Terms{}) {
-		o.Terms = placement.DefaultTerms()
+	if o.Terms == (placement.Margins{}) {
+		o.Terms = placement.DefaultMargins()
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -157,7 +157,7 @@
 	return &Loader{
 		opts:     o,
 		planner:  placement.New(o.Terms),
-		limit:    placement.NewLimit(o.MaxLoads),
+		limit:    placement.NewLoadLimit(o.MaxLoads),
 		observed: map[string]observedState{},
 	}
 }
@@ -249,7 +249,7 @@
 		*s = Status{
 			Holding: true, Epoch: epoch,
 			Engines: len(engines), Silent: countUnresponsive(engines), Loading: plan.Loading,
-			MaxLoads: l.limit.Value(), Outdated: plan.Outdated, Short: plan.Short,
+			MaxLoads: l.limit.Value(), Outdated: plan.Outdated, Short: plan.Shortages,
 			Sent: s.Sent + sent, Failed: s.Failed + failed,
 		}
 	})
@@ -279,7 +279,7 @@
 func countUnresponsive(engines []placement.Engine) int {
 	n := 0
 	for i := range engines {
-		if engines[i].Silent || !engines[i].Live {
+		if engines[i].Unresponsive || !engines[i].Live {
 			n++
 		}
 	}
--- a/node/mesh/loads.go
+++ b/node/mesh/loads.go
@@ -154,7 +154,7 @@
 			Upstream:  id,
 			Sequences: uint32(load.Sequences),
 			Reserved:  uint32(load.Reserved / tokenUnit),
-			Reading:   uint32(load.Reading / tokenUnit),
+			Reading:   uint32(load.Prefill / tokenUnit),
 		})
 	}
 	for link, rate := range l.Links {
@@ -175,7 +175,7 @@
 		out.Upstreams[l.GetUpstream()] = pipeline.Load{
 			Sequences: float64(l.GetSequences()),
 			Reserved:  float64(l.GetReserved()) * tokenUnit,
-			Reading:   float64(l.GetReading()) * tokenUnit,
+			Prefill:   float64(l.GetReading()) * tokenUnit,
 		}
 	}
 	for _, l := range links {
--- a/node/mesh/loads_test.go
+++ b/node/mesh/loads_test.go
@@ -28,7 +28,7 @@
 		members[id] = ip
 		byZone[zone] = append(byZone[zone], id)
 		f := newFakeGateway()
-		f.own["r1"] = pipeline.Load{Reserved: 3000, Sequences: 1, Reading: 1000}
+		f.own["r1"] = pipeline.Load{Reserved: 3000, Sequences: 1, Prefill: 1000}
 		fakes[id] = f
 		all[id] = start(t, id, net.JoinHostPort(ip, port), f, mesh.Options{Zone: zone})
 	}
@@ -36,7 +36,7 @@
 		m.SetMembers(members)
 	}
 	known := func(others int) func() bool {
-		want := pipeline.Load{Reserved: 3000 * float64(others), Sequences: float64(others), Reading: 1000 * float64(others)}
+		want := pipeline.Load{Reserved: 3000 * float64(others), Sequences: float64(others), Prefill: 1000 * float64(others)}
 		return func() bool {
 			for id := range all {
 				f := fakes[id]
--- a/node/mesh/mesh.go
+++ b/node/mesh/mesh.go
@@ -62,7 +62,7 @@
 	// another instance.
 	Rejected(replica string, count int)
 	// Observe records the states of replicas that another instance has read.
-	Observe(of func(replica string) (pipeline.Observed, bool))
+	Observe(of func(replica string) (pipeline.Report, bool))
 	// Suspect stops the use of a replica that another instance found unresponsive.
 	Suspect(replica string)
 	// LearnEvidence merges the evidence of another instance on requests that crash
@@ -245,14 +245,14 @@
 }
 
 // SendStates sends the reported states of replicas to the peers.
-func (m *Mesh) SendStates(states map[string]pipeline.Observed) {
+func (m *Mesh) SendStates(states map[string]pipeline.Report) {
 	message := &peerpb.UpstreamStates{}
 	for id, o := range states {
 		message.States = append(message.States, &peerpb.UpstreamState{
 			Upstream: replicaKey(id),
-			Pace:     uint32(o.Pace * stepTimeRatioUnit),
-			Used:     uint32(o.Used / tokenUnit),
-			Room:     uint32(o.Room / tokenUnit),
+			Pace:     uint32(o.StepTimeRatio * stepTimeRatioUnit),
+			Used:     uint32(o.CacheUsed / tokenUnit),
+			Room:     uint32(o.CacheCapacity / tokenUnit),
 
 			HasLayers:  o.HasLayers,
 			LayersFrom: uint32(o.From),
@@ -301,19 +301,19 @@
 
 // UpstreamStates implements peer.Handler.
 func (h *handler) UpstreamStates(_ string, m *peerpb.UpstreamStates) {
-	states := make(map[uint32]pipeline.Observed, len(m.GetStates()))
+	states := make(map[uint32]pipeline.Report, len(m.GetStates()))
 	for _, s := range m.GetStates() {
-		states[s.GetUpstream()] = pipeline.Observed{
-			Pace: float64(s.GetPace()) / stepTimeRatioUnit,
-			Used: float64(s.GetUsed()) * tokenUnit,
-			Room: float64(s.GetRoom()) * tokenUnit,
+		states[s.GetUpstream()] = pipeline.Report{
+			StepTimeRatio: float64(s.GetPace()) / stepTimeRatioUnit,
+			CacheUsed:     float64(s.GetUsed()) * tokenUnit,
+			CacheCapacity: float64(s.GetRoom()) * tokenUnit,
 
 			HasLayers: s.GetHasLayers(),
 			From:      int(s.GetLayersFrom()),
 			To:        int(s.GetLayersTo()),
 		}
 	}
-	h.mesh.opts.Gateway.Observe(func(replica string) (pipeline.Observed, bool) {
+	h.mesh.opts.Gateway.Observe(func(replica string) (pipeline.Report, bool) {
 		o, ok := states[replicaKey(replica)]
 		return o, ok
 	})
--- a/node/mesh/mesh_test.go
+++ b/node/mesh/mesh_test.go
@@ -32,7 +32,7 @@
 	remoteLink   func(pipeline.Link) float64
 	unresponsive map[string]bool
 	rejections   map[string]int
-	observed     map[string]pipeline.Observed
+	observed     map[string]pipeline.Report
 	evidence     *poison.Ledger
 }
 
@@ -60,7 +60,7 @@
 	f.rejections[id] = count
 }
 
-func (f *fakeGateway) Observe(of func(string) (pipeline.Observed, bool)) {
+func (f *fakeGateway) Observe(of func(string) (pipeline.Report, bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range []string{"r1", "r2"} {
@@ -106,7 +106,7 @@
 func newFakeGateway() *fakeGateway {
 	return &fakeGateway{
 		own: map[string]pipeline.Load{}, links: map[pipeline.Link]float64{}, unresponsive: map[string]bool{},
-		rejections: map[string]int{}, observed: map[string]pipeline.Observed{}, evidence: poison.NewLedger(time.Minute),
+		rejections: map[string]int{}, observed: map[string]pipeline.Report{}, evidence: poison.NewLedger(time.Minute),
 	}
 }
 
@@ -178,12 +178,12 @@
 	ma.SetMembers(members)
 	mb.SetMembers(members)
 	a.mu.Lock()
-	a.own["r1"] = pipeline.Load{Reserved: 12_000, Sequences: 3, Reading: 5_000}
+	a.own["r1"] = pipeline.Load{Reserved: 12_000, Sequences: 3, Prefill: 5_000}
 	a.links[pipeline.LinkBetween("x", "y")] = 700
 	a.mu.Unlock()
 
 	require.Eventually(t, b.locked(func() bool {
-		return b.remoteLoad != nil && b.remoteLoad("r1") == pipeline.Load{Reserved: 12_000, Sequences: 3, Reading: 5_000} &&
+		return b.remoteLoad != nil && b.remoteLoad("r1") == pipeline.Load{Reserved: 12_000, Sequences: 3, Prefill: 5_000} &&
 			b.remoteLink(pipeline.LinkBetween("y", "x")) == 700
 	}), waitTimeout, time.Millisecond)
 
@@ -197,12 +197,12 @@
 		ma.ReportLeaving(roster.Process{ID: "r2", Born: 7})
 		ma.ReportRemoved("r3")
 		ma.ReportRejection("r2", 3)
-		ma.SendStates(map[string]pipeline.Observed{"r1": {Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}})
+		ma.SendStates(map[string]pipeline.Report{"r1": {StepTimeRatio: 1.5, CacheUsed: 3000, CacheCapacity: 9000, HasLayers: true, From: 2, To: 7}})
 		mu.Lock()
 		received := leaving == roster.Process{ID: "r2", Born: 7} && removed == "r3" && unresponsive == "r1" && leaderGeneration == 42
 		mu.Unlock()
 		return received && b.locked(func() bool {
-			return b.unresponsive["r1"] && b.rejections["r2"] == 3 && b.rejections["r1"] == 0 && b.observed["r1"] == pipeline.Observed{Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}
+			return b.unresponsive["r1"] && b.rejections["r2"] == 3 && b.rejections["r1"] == 0 && b.observed["r1"] == pipeline.Report{StepTimeRatio: 1.5, CacheUsed: 3000, CacheCapacity: 9000, HasLayers: true, From: 2, To: 7}
 		})()
 	}, waitTimeout, time.Millisecond)
 }
--- a/node/peer/sharing/sharing.go
+++ b/node/peer/sharing/sharing.go
@@ -70,7 +70,7 @@
 	// Membership holds the heartbeat settings; its Self is overwritten with ID.
 	Membership membership.Config
 	// Teller bounds how often digests are published.
-	Teller demand.TellerConfig
+	Teller demand.PublisherConfig
 	// MaxWorkspaces is the maximum number of workspaces listed per pool; 0
 	// means DefaultMaxWorkspaces.
 	MaxWorkspaces int
@@ -104,7 +104,7 @@
 	mu        sync.Mutex
 	members   *membership.Members
 	view      *demand.View
-	publisher *demand.Teller
+	publisher *demand.Publisher
 	sequence  uint64
 	// sessions is the number of peers that the last digest was sent to.
 	sessions int
@@ -118,7 +118,7 @@
 		wake:      make(chan struct{}, 1),
 		members:   membership.New(options.Membership),
 		view:      demand.NewView(stalePeriods * options.Teller.MaxPeriod),
-		publisher: demand.NewTeller(options.Teller),
+		publisher: demand.NewPublisher(options.Teller),
 	}
 }
 
@@ -204,7 +204,7 @@
 	changes := s.members.Step(time.Now(), event)
 	for _, c := range changes {
 		if c.To == membership.Gone {
-			s.view.Forget(c.ID)
+			s.view.Delete(c.ID)
 		}
 	}
 	s.mu.Unlock()
