--- a/cmd/internal/entry/entry.go
+++ b/cmd/internal/entry/entry.go
@@ -158,7 +158,7 @@
 		},
 		OnLeaving:  func(p roster.Process) { i.control.ReplicaLeaves(p) },
 		OnRejected: func(replica string, count int) { i.mesh.ReportRejection(replica, count) },
-		OnEvidence: func(news poison.State, recurring []poison.Crash) {
+		OnEvidence: func(news poison.Evidence, recurring []poison.Crash) {
 			i.mesh.PublishEvidence(news)
 			i.control.KeepEvidence(recurring)
 		},
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -31,8 +31,8 @@
 // maxPending bounds the records of a task that this instance wrote and has not read back.
 const maxPending = 4
 
-// Terms holds the durations that apply to all tasks of one stream.
-type Terms struct {
+// Timing holds the durations that apply to all tasks of one stream.
+type Timing struct {
 	// TTL is how long other instances wait after a record before they acquire the task.
 	TTL time.Duration
 	// Margin is how much earlier than TTL the holder stops acting.
@@ -44,7 +44,7 @@
 // Machine is the state machine of one instance for one lease stream. It is not safe for
 // concurrent use.
 type Machine struct {
-	terms  Terms
+	terms  Timing
 	self   string
 	prefix string
 	lastID uint64
@@ -84,12 +84,12 @@
 
 // New returns a Machine for the instance self. prefix must be unique to this process of the
 // instance; record IDs start with it.
-func New(terms Terms, self, prefix string) *Machine {
+func New(terms Timing, self, prefix string) *Machine {
 	return &Machine{terms: terms, self: self, prefix: prefix, tasks: map[string]*task{}}
 }
 
-// Want sets whether the instance should acquire and renew the lease of a task.
-func (m *Machine) Want(name string, wanted bool) { m.task(name).wanted = wanted }
+// SetWanted sets whether the instance should acquire and renew the lease of a task.
+func (m *Machine) SetWanted(name string, wanted bool) { m.task(name).wanted = wanted }
 
 // Next returns the offset to read next.
 func (m *Machine) Next() uint64 { return m.next }
@@ -146,11 +146,11 @@
 }
 
 func (m *Machine) applyLease(now time.Time, offset uint64, id record.ID, l *record.Lease) {
-	t := m.task(l.Duty)
+	t := m.task(l.Task)
 	switch l.Op {
 	case record.LeaseAcquire:
-		inView := l.Read >= m.viewStart
-		if inView && t.last <= l.Read {
+		inView := l.ReadOffset >= m.viewStart
+		if inView && t.last <= l.ReadOffset {
 			t.accept(offset+1, l.Holder)
 			t.confirm(id, m.terms)
 		}
@@ -178,7 +178,7 @@
 
 // confirm extends the lease after a record of this instance was accepted. Records written
 // before it can no longer extend the lease.
-func (t *task) confirm(id record.ID, terms Terms) {
+func (t *task) confirm(id record.ID, terms Timing) {
 	for i, p := range t.pending {
 		if p.id == id {
 			t.held = !t.released
@@ -203,7 +203,7 @@
 		case t.held && renew:
 			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseRenew, Epoch: t.epoch}))
 		case !t.held && m.free(now, t) && t.mayWrite(now, m.terms.TTL):
-			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseAcquire, Read: m.next}))
+			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseAcquire, ReadOffset: m.next}))
 		}
 	}
 	return records
@@ -256,7 +256,7 @@
 func (m *Machine) newRecord(now time.Time, t *task, l record.Lease) record.Record {
 	m.lastID++
 	id := record.ID(m.prefix + "/" + strconv.FormatUint(m.lastID, 10))
-	l.Duty = t.name
+	l.Task = t.name
 	l.Holder = m.self
 	t.pending = append(t.pending, pending{id: id, started: now})
 	t.pending = t.pending[max(0, len(t.pending)-maxPending):]
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -27,7 +27,7 @@
 	maxDrift = 20
 )
 
-var terms = lease.Terms{TTL: time.Second, Margin: 100 * time.Millisecond, Renew: 300 * time.Millisecond}
+var terms = lease.Timing{TTL: time.Second, Margin: 100 * time.Millisecond, Renew: 300 * time.Millisecond}
 
 // instance has a clock with its own offset and rate. checked is the epoch of the last
 // validity check if the order that follows it was not sent yet.
@@ -68,7 +68,7 @@
 		rate:   w.rng.Int64N(2*maxDrift+1) - maxDrift,
 	}
 	i.machine = lease.New(terms, i.name, i.name)
-	i.machine.Want(name, true)
+	i.machine.SetWanted(name, true)
 	return i
 }
 
@@ -85,8 +85,8 @@
 func (w *simulation) append(t require.TestingT, r record.Record) {
 	data, err := record.Encode(r)
 	require.NoError(t, err)
-	if r.Lease.Op == record.LeaseAcquire && r.Lease.Read == uint64(len(w.log)) {
-		w.accepted[r.Lease.Read+1] = r.Lease.Holder
+	if r.Lease.Op == record.LeaseAcquire && r.Lease.ReadOffset == uint64(len(w.log)) {
+		w.accepted[r.Lease.ReadOffset+1] = r.Lease.Holder
 	}
 	w.log = append(w.log, data)
 }
@@ -154,7 +154,7 @@
 		w.instances[w.rng.IntN(len(w.instances))] = w.newInstance()
 	case n == 35 && w.rng.IntN(4) == 0:
 		w.inFlight = append(w.inFlight, i.machine.Release(w.now(i))...)
-		i.machine.Want(name, true)
+		i.machine.SetWanted(name, true)
 	case n < 38:
 		i.checked, _ = i.machine.Valid(w.now(i), name)
 	default:
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -14,16 +14,16 @@
 
 // States of an instance.
 const (
-	// Unheard means that the instance is listed and has sent no message.
-	Unheard State = iota
+	// NeverContacted means that the instance is listed and has sent no message.
+	NeverContacted State = iota
 	// Joining means that the instance runs and accepts no work yet.
 	Joining
 	// Ready means that the instance accepts work.
 	Ready
 	// Leaving means that the instance finishes its work and accepts no more.
 	Leaving
-	// Gone means that too many heartbeats were missed.
-	Gone
+	// Failed means that too many heartbeats were missed.
+	Failed
 )
 
 // String returns the name of the state in lower case.
@@ -68,8 +68,8 @@
 	Leaving bool
 }
 
-// Heard reports a message of a peer with the state that the peer claims.
-type Heard struct {
+// Received reports a message of a peer with the state that the peer claims.
+type Received struct {
 	ID          string
 	Incarnation uint64
 	Zone        string
@@ -84,13 +84,13 @@
 type Tick struct{}
 
 func (Listed) isEvent()      {}
-func (Heard) isEvent()       {}
+func (Received) isEvent()    {}
 func (SelfChanged) isEvent() {}
 func (Tick) isEvent()        {}
 
-// Changed reports that an instance changed its state or was replaced by another
+// StateChange reports that an instance changed its state or was replaced by another
 // incarnation.
-type Changed struct {
+type StateChange struct {
 	ID          string
 	Incarnation uint64
 	From        State
@@ -106,8 +106,8 @@
 	State       State
 	// Listed is true if the latest list contains the instance.
 	Listed bool
-	// LastHeard is when the last message arrived, zero if none has.
-	LastHeard time.Time
+	// LastContact is when the last message arrived, zero if none has.
+	LastContact time.Time
 
 	// reported is the highest state that this incarnation has reported.
 	reported State
@@ -143,13 +143,13 @@
 
 // Step advances the time to now and then applies event. The changes of each of the two
 // steps are sorted by instance ID.
-func (m *Members) Step(now time.Time, event Event) []Changed {
+func (m *Members) Step(now time.Time, event Event) []StateChange {
 	expired := m.refresh(now, "")
 	replaced := ""
 	switch e := event.(type) {
 	case Listed:
 		m.applyList(now, e.Instances)
-	case Heard:
+	case Received:
 		if m.applyMessage(now, e) {
 			replaced = e.ID
 		}
@@ -181,7 +181,7 @@
 }
 
 // applyMessage reports whether the message is the first of a higher incarnation.
-func (m *Members) applyMessage(now time.Time, e Heard) (replaced bool) {
+func (m *Members) applyMessage(now time.Time, e Received) (replaced bool) {
 	if e.ID == m.config.Self || e.ID == "" || e.State < Joining || e.State > Leaving {
 		return false
 	}
@@ -194,12 +194,12 @@
 		return false
 	}
 	if e.Incarnation > member.Incarnation {
-		replaced = !member.LastHeard.IsZero()
+		replaced = !member.LastContact.IsZero()
 		member.Incarnation = e.Incarnation
-		member.reported = Unheard
+		member.reported = NeverContacted
 	}
 	member.reported = max(member.reported, e.State)
-	member.LastHeard = now
+	member.LastContact = now
 	if e.Zone != "" {
 		member.Zone = e.Zone
 	}
@@ -208,20 +208,20 @@
 
 // refresh computes all states at now and deletes instances that are neither listed nor
 // responding.
-func (m *Members) refresh(now time.Time, replaced string) []Changed {
-	var changes []Changed
+func (m *Members) refresh(now time.Time, replaced string) []StateChange {
+	var changes []StateChange
 	for id, member := range m.members {
 		from := member.State
 		member.State = m.stateOf(member, now)
 		if member.State != from || id == replaced {
-			changes = append(changes, Changed{ID: id, Incarnation: member.Incarnation, From: from, To: member.State})
+			changes = append(changes, StateChange{ID: id, Incarnation: member.Incarnation, From: from, To: member.State})
 		}
-		unresponsive := member.State == Gone || member.State == Unheard
+		unresponsive := member.State == Failed || member.State == NeverContacted
 		if unresponsive && !member.Listed {
 			delete(m.members, id)
 		}
 	}
-	slices.SortFunc(changes, func(a, b Changed) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(changes, func(a, b StateChange) int { return cmp.Compare(a.ID, b.ID) })
 	return changes
 }
 
@@ -229,11 +229,11 @@
 	if member.ID == m.config.Self {
 		return member.reported
 	}
-	if member.LastHeard.IsZero() {
-		return Unheard
+	if member.LastContact.IsZero() {
+		return NeverContacted
 	}
-	if now.Sub(member.LastHeard) >= m.Timeout() {
-		return Gone
+	if now.Sub(member.LastContact) >= m.Timeout() {
+		return Failed
 	}
 	if member.listedLeaving {
 		return Leaving
@@ -259,7 +259,7 @@
 	switch m.stateOf(member, now) {
 	case Ready, Leaving:
 		return true
-	case Unheard:
+	case NeverContacted:
 		return !member.listedLeaving && now.Sub(member.listedSince) < m.Timeout()
 	default:
 		return false
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -36,12 +36,12 @@
 func referenceHoldsWork(history []timedEvent, id string, now time.Time, timeout time.Duration) bool {
 	var incarnation uint64
 	var lastContact, listedSince time.Time
-	reported := Unheard
+	reported := NeverContacted
 	listed, leaving := false, false
 	for _, h := range history {
 		unresponsive := lastContact.IsZero() || h.at.Sub(lastContact) >= timeout
 		if unresponsive && !listed {
-			incarnation, lastContact, reported = 0, time.Time{}, Unheard
+			incarnation, lastContact, reported = 0, time.Time{}, NeverContacted
 		}
 		switch e := h.event.(type) {
 		case Listed:
@@ -53,14 +53,14 @@
 				listedSince = h.at
 			}
 			if !listed && unresponsive {
-				incarnation, lastContact, reported = 0, time.Time{}, Unheard
+				incarnation, lastContact, reported = 0, time.Time{}, NeverContacted
 			}
-		case Heard:
+		case Received:
 			if e.ID != id || e.Incarnation < incarnation {
 				continue
 			}
 			if e.Incarnation > incarnation {
-				reported = Unheard
+				reported = NeverContacted
 			}
 			incarnation, lastContact, reported = e.Incarnation, h.at, max(reported, e.State)
 		}
@@ -85,7 +85,7 @@
 	case 1:
 		return Tick{}
 	default:
-		return Heard{
+		return Received{
 			ID:          rapid.SampledFrom(ids).Draw(t, "id"),
 			Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
 			State:       State(rapid.IntRange(int(Joining), int(Leaving)).Draw(t, "state")),
@@ -111,8 +111,8 @@
 	})
 }
 
-func message(id string, incarnation uint64, state State) Heard {
-	return Heard{ID: id, Incarnation: incarnation, State: state}
+func message(id string, incarnation uint64, state State) Received {
+	return Received{ID: id, Incarnation: incarnation, State: state}
 }
 
 func TestKilledInstanceIsGoneAfterMissedHeartbeats(t *testing.T) {
@@ -126,28 +126,28 @@
 	require.Less(t, timeout.Sub(last), 5*time.Second, "slots of a killed instance are used by others in under 5 s")
 	require.Empty(t, members.Step(timeout.Add(-1), list))
 	require.Equal(t, []string{"a", "self"}, members.Live(timeout.Add(-1)))
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Ready, To: Gone}}, members.Step(timeout, list))
+	require.Equal(t, []StateChange{{ID: "a", Incarnation: 1, From: Ready, To: Failed}}, members.Step(timeout, list))
 	require.Equal(t, []string{"self"}, members.Live(timeout))
 	require.Len(t, members.Candidates(), 1, "still listed, so still a candidate for a session")
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 1, From: Gone, To: Ready}}, members.Step(timeout, message("a", 1, Ready)))
+	require.Equal(t, []StateChange{{ID: "a", Incarnation: 1, From: Failed, To: Ready}}, members.Step(timeout, message("a", 1, Ready)))
 }
 
 func TestLeavingIsAppliedAtOnceAndNotReverted(t *testing.T) {
 	members := New(Config{Self: "self"})
 	members.Step(start, Listed{Instances: []ListedInstance{{ID: "a"}}})
 	members.Step(start, message("a", 5, Ready))
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 5, From: Ready, To: Leaving}}, members.Step(start, message("a", 5, Leaving)))
+	require.Equal(t, []StateChange{{ID: "a", Incarnation: 5, From: Ready, To: Leaving}}, members.Step(start, message("a", 5, Leaving)))
 	require.Len(t, members.Candidates(), 1, "holds slots until its work ends")
 	require.Equal(t, []string{"a", "self"}, members.Live(start))
 	require.Empty(t, members.Step(start, message("a", 5, Ready)), "an earlier state that arrives late is ignored")
 	require.Empty(t, members.Step(start, message("a", 4, Ready)), "earlier incarnation")
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 6, From: Leaving, To: Joining}}, members.Step(start, message("a", 6, Joining)))
+	require.Equal(t, []StateChange{{ID: "a", Incarnation: 6, From: Leaving, To: Joining}}, members.Step(start, message("a", 6, Joining)))
 	require.Equal(t, []string{"self"}, members.Live(start), "a joining instance accepts no work")
 }
 
 func TestReplacedInstanceIsReportedInSameState(t *testing.T) {
 	members := New(Config{Self: "self"})
 	members.Step(start, message("a", 1, Ready))
-	require.Equal(t, []Changed{{ID: "a", Incarnation: 2, From: Ready, To: Ready}}, members.Step(start, message("a", 2, Ready)))
-	require.Equal(t, []Changed{{ID: "self", From: Joining, To: Ready}}, members.Step(start, SelfChanged{State: Ready}))
+	require.Equal(t, []StateChange{{ID: "a", Incarnation: 2, From: Ready, To: Ready}}, members.Step(start, message("a", 2, Ready)))
+	require.Equal(t, []StateChange{{ID: "self", From: Joining, To: Ready}}, members.Step(start, SelfChanged{State: Ready}))
 }
--- a/core/order/attempt.go
+++ b/core/order/attempt.go
@@ -17,8 +17,8 @@
 	ConfirmSend
 	// QueueFull reports that the claim could not be queued for appending.
 	QueueFull
-	// CallerGone reports that the client no longer waits for the result.
-	CallerGone
+	// ClientGone reports that the client no longer waits for the result.
+	ClientGone
 )
 
 // Effect is an action that the user of an Attempt performs. Append effects must be queued
@@ -91,8 +91,8 @@
 	switch {
 	case a.phase == phaseSent || a.phase == phaseDone:
 		return nil
-	case ev == CallerGone:
-		return a.abandon(ReasonCallerGone)
+	case ev == ClientGone:
+		return a.abandon(ReasonClientGone)
 	case a.phase == phaseWaiting:
 		return a.decide(now)
 	case a.phase == phaseClaiming && ev == QueueFull:
@@ -106,12 +106,12 @@
 	}
 }
 
-// Answered handles the response to the call after Send.
-func (a *Attempt) Answered(response Answer) []Effect {
+// HandleResponse handles the response to the call after Send.
+func (a *Attempt) HandleResponse(response Response) []Effect {
 	if a.phase != phaseSent {
 		return nil
 	}
-	result := Result{Answer: response, Execution: response.Execution}
+	result := Result{Response: response, Execution: response.Execution}
 	if response.Execution == execution.NotRun {
 		return append([]Effect{a.release()}, a.reply(result)...)
 	}
@@ -153,11 +153,11 @@
 	case a.table.unavailable:
 		return a.reply(a.refusal(ReasonLogUnavailable))
 	case !now.Before(a.call.Deadline):
-		return a.reply(a.refusal(ReasonTooLate))
+		return a.reply(a.refusal(ReasonDispatchWindowPassed))
 	}
 	a.phase = phaseClaiming
 	a.claimedAt = now
-	until := earlier(now.Add(a.table.policy.Dispatch), a.call.Deadline)
+	until := earlier(now.Add(a.table.policy.DispatchWindow), a.call.Deadline)
 	return []Effect{AppendClaim{Record: a.claimRecord(now), Until: until}, Wait{Until: until}}
 }
 
@@ -176,21 +176,21 @@
 	case !a.withinWindow(now):
 		return a.abandon(ReasonLogUnavailable)
 	default:
-		return []Effect{Wait{Until: earlier(a.claimedAt.Add(a.table.policy.Dispatch), a.call.Deadline)}}
+		return []Effect{Wait{Until: earlier(a.claimedAt.Add(a.table.policy.DispatchWindow), a.call.Deadline)}}
 	}
 }
 
 // confirm performs the last check before the call is sent.
 func (a *Attempt) confirm(now time.Time) []Effect {
 	if !a.withinWindow(now) {
-		return a.abandon(ReasonTooLate)
+		return a.abandon(ReasonDispatchWindowPassed)
 	}
 	a.phase = phaseSent
 	return []Effect{Send{}}
 }
 
 func (a *Attempt) withinWindow(now time.Time) bool {
-	return now.Sub(a.claimedAt) < a.table.policy.Dispatch && now.Before(a.call.Deadline)
+	return now.Sub(a.claimedAt) < a.table.policy.DispatchWindow && now.Before(a.call.Deadline)
 }
 
 // abandon ends an attempt that has not sent its call and never will. A claim is released
@@ -209,7 +209,7 @@
 // refusal returns the result of a call that is refused without knowledge of earlier
 // attempts with its key.
 func (a *Attempt) refusal(reason Reason) Result {
-	if a.call.First {
+	if a.call.FirstUse {
 		return Result{Execution: execution.NotRun, Reason: reason}
 	}
 	return Result{Execution: execution.Unknown, Reason: reason}
@@ -225,7 +225,7 @@
 		Key:         a.call.key(),
 		Fingerprint: a.call.Fingerprint,
 		Claimant:    a.claimant,
-		Began:       a.readOffset,
+		ReadOffset:  a.readOffset,
 		Expiry:      a.call.Deadline.Sub(now) + a.table.policy.Grace,
 	}}
 }
@@ -237,16 +237,16 @@
 	}}
 }
 
-func (a *Attempt) outcome(response Answer) record.Record {
+func (a *Attempt) outcome(response Response) record.Record {
 	o := &record.Outcome{
-		Key:    a.call.key(),
-		Claim:  a.claim,
-		Known:  response.Execution == execution.Ran,
-		Answer: record.Answer{Status: response.Status, ContentType: response.ContentType, Body: response.Body},
+		Key:      a.call.key(),
+		Claim:    a.claim,
+		Known:    response.Execution == execution.Ran,
+		Response: record.Response{Status: response.Status, ContentType: response.ContentType, Body: response.Body},
 	}
-	if len(response.Body) > record.MaxAnswer {
-		o.Oversize = true
-		o.Answer = record.Answer{Status: response.Status}
+	if len(response.Body) > record.MaxResponse {
+		o.BodyOmitted = true
+		o.Response = record.Response{Status: response.Status}
 	}
 	return record.Record{ID: a.claim + "/outcome", Outcome: o}
 }
@@ -256,16 +256,16 @@
 	if !o.Known {
 		return Result{Execution: execution.Unknown, Replayed: true, Reason: ReasonClaimantGone}
 	}
-	if o.Oversize {
-		return Result{Execution: execution.Ran, Replayed: true, Reason: ReasonAnswerTooLarge}
+	if o.BodyOmitted {
+		return Result{Execution: execution.Ran, Replayed: true, Reason: ReasonResponseTooLarge}
 	}
-	response := Answer{
-		Status:      o.Answer.Status,
-		ContentType: o.Answer.ContentType,
-		Body:        o.Answer.Body,
+	response := Response{
+		Status:      o.Response.Status,
+		ContentType: o.Response.ContentType,
+		Body:        o.Response.Body,
 		Execution:   execution.Ran,
 	}
-	return Result{Answer: response, Execution: execution.Ran, Replayed: true}
+	return Result{Response: response, Execution: execution.Ran, Replayed: true}
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/core/order/attempt_test.go
+++ b/core/order/attempt_test.go
@@ -41,7 +41,7 @@
 	write(repeat.Begin(now)...)
 	require.Equal(t, []order.Effect{order.Confirm{}}, repeat.Step(now, order.Wake))
 	require.Equal(t, []order.Effect{order.Send{}}, repeat.Step(now, order.ConfirmSend))
-	ended := repeat.Answered(order.Answer{Status: 503, Execution: execution.NotRun})
+	ended := repeat.HandleResponse(order.Response{Status: 503, Execution: execution.NotRun})
 	require.Equal(t, execution.NotRun, ended[1].(order.Reply).Result.Execution)
 	write(ended...)
 
@@ -71,6 +71,6 @@
 func TestPolicyMustFitRetention(t *testing.T) {
 	require.NoError(t, policy.Validate())
 	long := policy
-	long.Window = policy.Retention - policy.Dispatch
+	long.AcceptanceWindow = policy.Retention - policy.DispatchWindow
 	require.ErrorIs(t, long.Validate(), order.ErrPolicy)
 }
--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -45,7 +45,7 @@
 		{ID: claim, Claim: &record.Claim{Key: key, Fingerprint: fingerprint, Claimant: "instance-1", Expiry: time.Second}},
 		{ID: claim + "/outcome", Outcome: &record.Outcome{
 			Key: key, Claim: claim, Known: true,
-			Answer: record.Answer{Status: 200, ContentType: "application/json", Body: make([]byte, 200)},
+			Response: record.Response{Status: 200, ContentType: "application/json", Body: make([]byte, 200)},
 		}},
 	} {
 		data, err := record.Encode(r)
--- a/core/order/key.go
+++ b/core/order/key.go
@@ -46,9 +46,9 @@
 	switch {
 	case date.IsZero():
 		return ReasonNone
-	case now.Sub(date) > p.Window:
+	case now.Sub(date) > p.AcceptanceWindow:
 		return ReasonKeyExpired
-	case date.Sub(now) > p.Skew:
+	case date.Sub(now) > p.ClockSkew:
 		return ReasonKeyFuture
 	default:
 		return ReasonNone
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -41,9 +41,9 @@
 	// repeated. The zero value means unknown: the client then guarantees not to repeat the
 	// key after the acceptance window. A UUIDv7 key contains its date.
 	Date time.Time
-	// First is set if the client asserts that it has not sent this key before. Without it a
+	// FirstUse is set if the client asserts that it has not sent this key before. Without it a
 	// refusal is NotRun only if the log proves it.
-	First bool
+	FirstUse bool
 	// Deadline is when the client stops waiting. It is required.
 	Deadline time.Time
 }
@@ -52,8 +52,8 @@
 	return record.OrderKey{Workspace: c.Workspace, Service: c.Service, Key: c.Key}
 }
 
-// Answer is the response of a service to one call.
-type Answer struct {
+// Response is the response of a service to one call.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -64,8 +64,8 @@
 
 // Result is the result of a call as returned to the client.
 type Result struct {
-	// Answer is set if Reason is ReasonNone. It may be empty if the execution is Unknown.
-	Answer    Answer
+	// Response is set if Reason is ReasonNone. It may be empty if the execution is Unknown.
+	Response  Response
 	Execution execution.Status
 	// Replayed is set if the response was recorded by an earlier call.
 	Replayed bool
@@ -77,32 +77,32 @@
 
 // Reasons of a Result without a response.
 const (
-	ReasonNone           Reason = ""
-	ReasonMalformed      Reason = "key_malformed"
-	ReasonKeyReused      Reason = "key_reused"
-	ReasonKeyExpired     Reason = "key_expired"
-	ReasonKeyFuture      Reason = "key_date_in_future"
-	ReasonLogUnavailable Reason = "log_unavailable"
-	ReasonOverloaded     Reason = "overloaded"
-	ReasonRunning        Reason = "still_running"
-	ReasonClaimantGone   Reason = "claimant_gone"
-	ReasonTooLate        Reason = "dispatch_window_passed"
-	ReasonReleased       Reason = "released"
-	ReasonAnswerTooLarge Reason = "answer_too_large"
-	ReasonCallerGone     Reason = "caller_gone"
-	ReasonVersion        Reason = "log_record_of_newer_version"
+	ReasonNone                 Reason = ""
+	ReasonMalformed            Reason = "key_malformed"
+	ReasonKeyReused            Reason = "key_reused"
+	ReasonKeyExpired           Reason = "key_expired"
+	ReasonKeyFuture            Reason = "key_date_in_future"
+	ReasonLogUnavailable       Reason = "log_unavailable"
+	ReasonOverloaded           Reason = "overloaded"
+	ReasonRunning              Reason = "still_running"
+	ReasonClaimantGone         Reason = "claimant_gone"
+	ReasonDispatchWindowPassed Reason = "dispatch_window_passed"
+	ReasonReleased             Reason = "released"
+	ReasonResponseTooLarge     Reason = "answer_too_large"
+	ReasonClientGone           Reason = "caller_gone"
+	ReasonVersion              Reason = "log_record_of_newer_version"
 )
 
 // Policy holds the timing of the order protocol.
 type Policy struct {
-	// Window is how long after its date a key may be claimed.
-	Window time.Duration
+	// AcceptanceWindow is how long after its date a key may be claimed.
+	AcceptanceWindow time.Duration
 	// Retention is the minimum time for which the log retains a record.
 	Retention time.Duration
-	// Dispatch is how long after the append of a claim its claimant may send the call.
-	Dispatch time.Duration
-	// Skew bounds the difference between the clocks of clients and instances.
-	Skew time.Duration
+	// DispatchWindow is how long after the append of a claim its claimant may send the call.
+	DispatchWindow time.Duration
+	// ClockSkew bounds the difference between the clocks of clients and instances.
+	ClockSkew time.Duration
 	// Grace is the time after a call's deadline until its claimant is considered failed.
 	Grace time.Duration
 }
@@ -113,7 +113,7 @@
 
 // Validate checks that the log retains every record of a key that may be claimed.
 func (p Policy) Validate() error {
-	if p.Window <= 0 || p.Dispatch <= 0 || p.horizon() >= p.Retention {
+	if p.AcceptanceWindow <= 0 || p.DispatchWindow <= 0 || p.horizon() >= p.Retention {
 		return ErrPolicy
 	}
 	return nil
@@ -121,7 +121,7 @@
 
 // horizon is how long the state of a key is kept after its last record; by then no instance
 // claims the key any more.
-func (p Policy) horizon() time.Duration { return p.Window + p.Dispatch + 2*p.Skew }
+func (p Policy) horizon() time.Duration { return p.AcceptanceWindow + p.DispatchWindow + 2*p.ClockSkew }
 
 // Shard returns the shard of a call's key, from 0 to n-1.
 func Shard(key record.OrderKey, n int) int {
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -30,11 +30,11 @@
 )
 
 var policy = order.Policy{
-	Window:    700 * time.Millisecond,
-	Retention: 1000 * time.Millisecond,
-	Dispatch:  60 * time.Millisecond,
-	Skew:      4 * maxClockSkew,
-	Grace:     50 * time.Millisecond,
+	AcceptanceWindow: 700 * time.Millisecond,
+	Retention:        1000 * time.Millisecond,
+	DispatchWindow:   60 * time.Millisecond,
+	ClockSkew:        4 * maxClockSkew,
+	Grace:            50 * time.Millisecond,
 }
 
 type logRecord struct {
@@ -108,7 +108,7 @@
 
 func (w *simulation) read(i *instance, limit int) {
 	if w.logUnavailable {
-		i.table.SetAway(true)
+		i.table.SetUnavailable(true)
 		return
 	}
 	from := max(int(i.table.Next()), w.first)
@@ -137,7 +137,7 @@
 	i := pick(w.rng, w.instances)
 	c := order.Call{
 		Workspace: "w", Service: "s", Key: k.name, Fingerprint: "f",
-		First:    k.calls == 1,
+		FirstUse: k.calls == 1,
 		Deadline: w.time(i).Add(callTimeout),
 	}
 	if k.dated {
@@ -167,32 +167,32 @@
 	case order.Confirm:
 		c.effects = c.attempt.Step(w.time(c.instance), order.ConfirmSend)
 		if _, ok := c.effects[0].(order.Send); ok {
-			require.Less(t, w.now.Sub(c.claimed), policy.Dispatch, "sent after the dispatch window")
+			require.Less(t, w.now.Sub(c.claimed), policy.DispatchWindow, "sent after the dispatch window")
 		}
 	case order.Send:
-		c.effects = c.attempt.Answered(w.serve(t, c))
+		c.effects = c.attempt.HandleResponse(w.serve(t, c))
 	case order.Reply:
 		w.handleReply(t, c, e.Result)
 		c.effects = nil
 	}
 }
 
-func (w *simulation) serve(t *rapid.T, c *call) order.Answer {
+func (w *simulation) serve(t *rapid.T, c *call) order.Response {
 	outcome := pick(w.rng, []string{"ran", "ran", "lost answer", "lost call", "refused"})
 	if outcome == "refused" {
-		return order.Answer{Status: 503, Execution: execution.NotRun}
+		return order.Response{Status: 503, Execution: execution.NotRun}
 	}
 	if outcome == "lost call" {
-		return order.Answer{Execution: execution.Unknown}
+		return order.Response{Execution: execution.Unknown}
 	}
 	c.key.recorded++
 	c.key.body = fmt.Sprint("answer", c.serial)
 	require.Equal(t, 1, c.key.recorded, "key %s recorded twice", c.key.name)
 	require.Greater(t, c.serial, c.key.notRun, "key %s recorded after not_run", c.key.name)
 	if outcome == "lost answer" {
-		return order.Answer{Execution: execution.Unknown}
+		return order.Response{Execution: execution.Unknown}
 	}
-	return order.Answer{Status: 200, Body: []byte(c.key.body), Execution: execution.Ran}
+	return order.Response{Status: 200, Body: []byte(c.key.body), Execution: execution.Ran}
 }
 
 func (w *simulation) handleReply(t *rapid.T, c *call, r order.Result) {
@@ -207,7 +207,7 @@
 		k.notRun = w.serial
 	case execution.Ran:
 		require.Equal(t, 1, k.recorded)
-		require.Equal(t, k.body, string(r.Answer.Body))
+		require.Equal(t, k.body, string(r.Response.Body))
 	case execution.Unknown:
 	}
 }
@@ -272,7 +272,7 @@
 	case n < 35:
 		w.now = w.now.Add(time.Duration(pick(w.rng, []int{1, 1, 5, 5, 10, 20, 60, 200})) * time.Millisecond)
 	case n == 35 && w.rng.IntN(3) == 0:
-		w.now = w.now.Add(policy.Retention + policy.Window*time.Duration(w.rng.IntN(2)))
+		w.now = w.now.Add(policy.Retention + policy.AcceptanceWindow*time.Duration(w.rng.IntN(2)))
 	case n == 36:
 		w.logUnavailable = !w.logUnavailable && w.rng.IntN(6) == 0
 	case n == 37:
@@ -288,8 +288,8 @@
 func (w *simulation) repeat(t *rapid.T) {
 	i := w.rng.IntN(len(w.keys))
 	k := w.keys[i]
-	promised := k.dated || k.calls == 0 || w.now.Sub(k.createdAt) <= policy.Window
-	replaced := w.now.Sub(k.createdAt) > policy.Window && w.rng.IntN(3) == 0
+	promised := k.dated || k.calls == 0 || w.now.Sub(k.createdAt) <= policy.AcceptanceWindow
+	replaced := w.now.Sub(k.createdAt) > policy.AcceptanceWindow && w.rng.IntN(3) == 0
 	if promised && (k.calls == 0 || !replaced) {
 		w.send(t, k)
 		return
@@ -303,7 +303,7 @@
 	if c == nil {
 		return
 	}
-	if effects := c.attempt.Step(w.time(c.instance), order.CallerGone); len(effects) > 0 {
+	if effects := c.attempt.Step(w.time(c.instance), order.ClientGone); len(effects) > 0 {
 		c.effects = effects
 	}
 }
@@ -325,7 +325,7 @@
 func (w *simulation) settle(t *rapid.T) {
 	w.logUnavailable = false
 	for len(w.calls) > 0 {
-		w.now = w.now.Add(policy.Dispatch)
+		w.now = w.now.Add(policy.DispatchWindow)
 		w.step(t)
 		for _, i := range w.instances {
 			w.read(i, len(w.log))
@@ -343,7 +343,7 @@
 		w.read(i, len(w.log))
 	}
 	for _, k := range w.keys {
-		tooOld := w.now.Sub(k.createdAt) > policy.Window-policy.Skew
+		tooOld := w.now.Sub(k.createdAt) > policy.AcceptanceWindow-policy.ClockSkew
 		if !ended[k.name] || tooOld {
 			continue
 		}
--- a/core/order/table.go
+++ b/core/order/table.go
@@ -45,8 +45,8 @@
 // Len returns the number of keys in the table.
 func (t *Table) Len() int { return len(t.entries) }
 
-// SetAway records whether the log is unavailable.
-func (t *Table) SetAway(unavailable bool) { t.unavailable = unavailable }
+// SetUnavailable records whether the log is unavailable.
+func (t *Table) SetUnavailable(unavailable bool) { t.unavailable = unavailable }
 
 // Apply applies the batch that a read from Next returned at now. It returns the keys that
 // changed, and whether records were missed after earlier ones had been read, so that the
@@ -111,7 +111,7 @@
 
 func (t *Table) applyClaim(now time.Time, id record.ID, c *record.Claim) {
 	e := t.touch(now, c.Key)
-	if e.claim != "" || c.Began < e.releasedAt {
+	if e.claim != "" || c.ReadOffset < e.releasedAt {
 		return
 	}
 	e.claim = id
--- a/core/poison/admit.go
+++ b/core/poison/admit.go
@@ -61,7 +61,7 @@
 // all.
 func (r *crashHistory) trialAt(last time.Time) (time.Time, bool) {
 	trials := max(0, len(incidents(r.crashes))-int(blockThreshold))
-	own := slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Own && c.At.Equal(last) })
+	own := slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Local && c.At.Equal(last) })
 	return last.Add(trialDelay << min(trials, maxTrials)), own && trials < maxTrials
 }
 
@@ -100,8 +100,8 @@
 	return r != nil && r.blocked
 }
 
-// Blocked returns the number of blocked requests.
-func (l *Ledger) Blocked() int {
+// BlockedCount returns the number of blocked requests.
+func (l *Ledger) BlockedCount() int {
 	n := 0
 	for _, r := range l.tracked {
 		if r.blocked {
--- a/core/poison/bench_test.go
+++ b/core/poison/bench_test.go
@@ -14,7 +14,7 @@
 		for j := range candidates {
 			candidates[j] = print(fmt.Sprint(i, j))
 		}
-		tr.Crash(start, fmt.Sprint(i), candidates...)
+		tr.RecordCrash(start, fmt.Sprint(i), candidates...)
 	}
 	return tr, candidates
 }
@@ -25,7 +25,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				tr.Blocked(start, f)
+				tr.IsBlocked(start, f)
 			}
 		})
 	}
@@ -35,6 +35,6 @@
 	tr, candidates := outage()
 	b.ReportAllocs()
 	for b.Loop() {
-		tr.Crash(start, "0", candidates...)
+		tr.RecordCrash(start, "0", candidates...)
 	}
 }
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Incarnation identifies one process of a replica. A process ends at most once.
-type Incarnation struct {
+// Process identifies one process of a replica. A process ends at most once.
+type Process struct {
 	Replica string
-	// Born is the start time of the process in Unix milliseconds.
-	Born int64
+	// StartTime is the start time of the process in Unix milliseconds.
+	StartTime int64
 }
 
 // Run identifies one dispatch of a request to replicas. Moving the request to another path
@@ -21,37 +21,37 @@
 type LostRun struct {
 	Fingerprint Fingerprint
 	Run         Run
-	// Parts are the replica processes that the run passed through.
-	Parts []Incarnation
+	// Processes are the replica processes that the run passed through.
+	Processes []Process
 	// Progressed is true if part of the response had arrived.
 	Progressed bool
-	// Began is the time at which the request was sent.
-	Began time.Time
+	// SentAt is the time at which the request was sent.
+	SentAt time.Time
 }
 
 // Crash records that a replica process ended while it ran a request.
 type Crash struct {
 	Fingerprint Fingerprint
 	Run         Run
-	Replica     Incarnation
+	Replica     Process
 	Progressed  bool
 	At          time.Time
-	// Own is true if this instance dispatched the run.
-	Own bool
+	// Local is true if this instance dispatched the run.
+	Local bool
 }
 
-// Clear records that a request succeeded, which disproves crashes attributed to it.
-type Clear struct {
+// Clearance records that a request succeeded, which disproves crashes attributed to it.
+type Clearance struct {
 	Fingerprint Fingerprint
 	At          time.Time
 }
 
-// State holds crashes and successes that instances exchange. Merging is commutative and
+// Evidence holds crashes and successes that instances exchange. Merging is commutative and
 // idempotent.
-type State struct {
-	Crashes []Crash
-	Clears  []Clear
+type Evidence struct {
+	Crashes    []Crash
+	Clearances []Clearance
 }
 
 // Empty reports whether there is nothing to send.
-func (s State) Empty() bool { return len(s.Crashes) == 0 && len(s.Clears) == 0 }
+func (s Evidence) Empty() bool { return len(s.Crashes) == 0 && len(s.Clearances) == 0 }
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -56,16 +56,16 @@
 	lostRuns  []LostRun
 	lostAt    []time.Time
 	// ended maps processes to the time at which their end was detected.
-	ended map[Incarnation]time.Time
+	ended map[Process]time.Time
 	// tracked holds the crashes by fingerprint.
 	tracked map[Fingerprint]*crashHistory
 	// explainedBy maps crashed processes to the blocked request that caused the crash.
-	explainedBy map[Incarnation]Fingerprint
+	explainedBy map[Process]Fingerprint
 	successes   *successes
 	// clears are sent to other instances; successes are not.
 	clears map[Fingerprint]time.Time
 	// updates holds evidence that was not sent yet.
-	updates State
+	updates Evidence
 	// digest is cached until the evidence changes.
 	digest      uint64
 	digestValid bool
@@ -93,20 +93,20 @@
 func NewLedger(retention time.Duration) *Ledger {
 	return &Ledger{
 		retention:   retention,
-		ended:       map[Incarnation]time.Time{},
+		ended:       map[Process]time.Time{},
 		tracked:     map[Fingerprint]*crashHistory{},
-		explainedBy: map[Incarnation]Fingerprint{},
+		explainedBy: map[Process]Fingerprint{},
 		successes:   newSuccesses(),
 		clears:      map[Fingerprint]time.Time{},
 	}
 }
 
-// Lost records a run that ended without a complete response. It returns the crashes that
+// RecordLostRun records a run that ended without a complete response. It returns the crashes that
 // are already proven by it.
-func (l *Ledger) Lost(now time.Time, run LostRun) []Crash {
+func (l *Ledger) RecordLostRun(now time.Time, run LostRun) []Crash {
 	l.expireLostRuns(now)
-	for _, part := range run.Parts {
-		if at, ok := l.recentEnd(now, part); ok && !at.Before(run.Began) {
+	for _, part := range run.Processes {
+		if at, ok := l.recentEnd(now, part); ok && !at.Before(run.SentAt) {
 			return l.recordCrash(now, run, part)
 		}
 	}
@@ -121,30 +121,30 @@
 // Process returns the process that a run was sent to, provided that the replica accepted
 // the run. If the listed process is known to have ended before the run, the run went to a
 // later process that is not listed yet.
-func (l *Ledger) Process(listed Incarnation, began time.Time) Incarnation {
+func (l *Ledger) Process(listed Process, began time.Time) Process {
 	for {
 		at, ok := l.ended[listed]
 		if !ok || !at.Before(began) {
 			return listed
 		}
-		listed.Born++
+		listed.StartTime++
 	}
 }
 
 // recentEnd returns when the end of a process was detected, and whether that lies within
 // matchWindow.
-func (l *Ledger) recentEnd(now time.Time, r Incarnation) (time.Time, bool) {
+func (l *Ledger) recentEnd(now time.Time, r Process) (time.Time, bool) {
 	at, ok := l.ended[r]
 	return at, ok && now.Sub(at) <= matchWindow
 }
 
-// Ended records that a replica process ended unexpectedly. It returns the crashes that this
+// RecordEnd records that a replica process ended unexpectedly. It returns the crashes that this
 // proves. Runs that are reported lost later are matched as well.
-func (l *Ledger) Ended(now time.Time, r Incarnation) []Crash {
+func (l *Ledger) RecordEnd(now time.Time, r Process) []Crash {
 	return l.recordEnd(now, r, now)
 }
 
-func (l *Ledger) recordEnd(now time.Time, r Incarnation, at time.Time) []Crash {
+func (l *Ledger) recordEnd(now time.Time, r Process, at time.Time) []Crash {
 	l.expireLostRuns(now)
 	if _, known := l.ended[r]; known {
 		return nil
@@ -153,18 +153,18 @@
 		l.evictOldestEnds()
 	}
 	l.ended[r] = at
-	return l.Removed(now, r)
+	return l.RecordRemoval(now, r)
 }
 
-// Removed records that a replica process is no longer listed. This proves crashes only for
+// RecordRemoval records that a replica process is no longer listed. This proves crashes only for
 // runs that were lost before, since a replica that shuts down is removed from the list
 // first.
-func (l *Ledger) Removed(now time.Time, r Incarnation) []Crash {
+func (l *Ledger) RecordRemoval(now time.Time, r Process) []Crash {
 	l.expireLostRuns(now)
 	var out []Crash
 	for i := 0; i < len(l.lostRuns); {
 		run := l.lostRuns[i]
-		if !slices.Contains(run.Parts, r) {
+		if !slices.Contains(run.Processes, r) {
 			i++
 			continue
 		}
@@ -176,11 +176,11 @@
 
 // evictOldestEnds evicts 1/evictionFraction of the ended processes.
 func (l *Ledger) evictOldestEnds() {
-	all := make([]Incarnation, 0, len(l.ended))
+	all := make([]Process, 0, len(l.ended))
 	for r := range l.ended {
 		all = append(all, r)
 	}
-	slices.SortFunc(all, func(a, b Incarnation) int { return l.ended[a].Compare(l.ended[b]) })
+	slices.SortFunc(all, func(a, b Process) int { return l.ended[a].Compare(l.ended[b]) })
 	for _, r := range all[:maxEnded/evictionFraction] {
 		delete(l.ended, r)
 	}
@@ -192,8 +192,8 @@
 }
 
 // recordCrash adds the crash of a run dispatched by this instance.
-func (l *Ledger) recordCrash(now time.Time, run LostRun, r Incarnation) []Crash {
-	c := Crash{Fingerprint: run.Fingerprint, Run: run.Run, Replica: r, Progressed: run.Progressed, At: now, Own: true}
+func (l *Ledger) recordCrash(now time.Time, run LostRun, r Process) []Crash {
+	c := Crash{Fingerprint: run.Fingerprint, Run: run.Run, Replica: r, Progressed: run.Progressed, At: now, Local: true}
 	if !l.add(now, c) {
 		return nil
 	}
@@ -203,19 +203,19 @@
 	return []Crash{c}
 }
 
-// Succeeded records a complete response to a request. It reports whether that cleared a
+// RecordSuccess records a complete response to a request. It reports whether that cleared a
 // fingerprint with crashes.
-func (l *Ledger) Succeeded(now time.Time, f Fingerprint) bool {
+func (l *Ledger) RecordSuccess(now time.Time, f Fingerprint) bool {
 	l.successes.add(now, f)
 	if l.tracked[f] == nil {
 		return false
 	}
-	l.clear(Clear{Fingerprint: f, At: now})
+	l.clear(Clearance{Fingerprint: f, At: now})
 	return true
 }
 
 // clear records a success, queues it for other instances and applies it.
-func (l *Ledger) clear(c Clear) {
+func (l *Ledger) clear(c Clearance) {
 	if !c.At.After(l.clears[c.Fingerprint]) {
 		return
 	}
@@ -225,14 +225,14 @@
 	l.applyClear(c)
 }
 
-func (l *Ledger) queueClear(c Clear) {
-	if len(l.updates.Clears) < maxTracked {
-		l.updates.Clears = append(l.updates.Clears, c)
+func (l *Ledger) queueClear(c Clearance) {
+	if len(l.updates.Clearances) < maxTracked {
+		l.updates.Clearances = append(l.updates.Clearances, c)
 	}
 }
 
 // applyClear removes the crashes that a success disproves.
-func (l *Ledger) applyClear(c Clear) {
+func (l *Ledger) applyClear(c Clearance) {
 	l.digestValid = false
 	r := l.tracked[c.Fingerprint]
 	if r == nil {
@@ -249,11 +249,11 @@
 	}
 	if at, ok := l.clears[c.Fingerprint]; ok && !c.At.After(at.Add(clearedDuration)) {
 		// The sender of the crash has not received the success yet.
-		l.queueClear(Clear{Fingerprint: c.Fingerprint, At: at})
+		l.queueClear(Clearance{Fingerprint: c.Fingerprint, At: at})
 		return false
 	}
 	if at, ok := l.successes.last(c.Fingerprint); ok && !c.At.After(at.Add(clearedDuration)) {
-		l.clear(Clear{Fingerprint: c.Fingerprint, At: at})
+		l.clear(Clearance{Fingerprint: c.Fingerprint, At: at})
 		return false
 	}
 	r := l.tracked[c.Fingerprint]
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -10,22 +10,22 @@
 	"pgregory.net/rapid"
 )
 
-func process(replica string, startTime int64) Incarnation {
-	return Incarnation{Replica: replica, Born: startTime}
+func process(replica string, startTime int64) Process {
+	return Process{Replica: replica, StartTime: startTime}
 }
 
 // runNumber gives each run a different attempt.
 var runNumber uint64
 
-func lostRun(f Fingerprint, began time.Time, parts ...Incarnation) LostRun {
+func lostRun(f Fingerprint, began time.Time, parts ...Process) LostRun {
 	runNumber++
-	return LostRun{Fingerprint: f, Run: Run{Attempt: runNumber}, Parts: parts, Began: began}
+	return LostRun{Fingerprint: f, Run: Run{Attempt: runNumber}, Processes: parts, SentAt: began}
 }
 
 // crashOnce reports a lost run on a replica process that then ends.
-func crashOnce(l *Ledger, now time.Time, f Fingerprint, r Incarnation) {
-	l.Lost(now, lostRun(f, now, r))
-	l.Ended(now, r)
+func crashOnce(l *Ledger, now time.Time, f Fingerprint, r Process) {
+	l.RecordLostRun(now, lostRun(f, now, r))
+	l.RecordEnd(now, r)
 }
 
 func crashTimes(l *Ledger, now time.Time, f Fingerprint, from, n int) {
@@ -72,11 +72,11 @@
 	for i := range 20 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := process(fmt.Sprint(i), 1)
-		l.Removed(now, r)
-		l.Lost(now, lostRun(f, now, r))
+		l.RecordRemoval(now, r)
+		l.RecordLostRun(now, lostRun(f, now, r))
 	}
 	require.Zero(t, l.Incidents(f))
-	l.Ended(start.Add(time.Minute), process("0", 1))
+	l.RecordEnd(start.Add(time.Minute), process("0", 1))
 	require.Zero(t, l.Incidents(f), "the replica ended long after the run")
 }
 
@@ -89,14 +89,14 @@
 		r := process("r", 1)
 		run := lostRun(f, start, process("other", 1), r)
 		if first {
-			l.Ended(start.Add(time.Second), r)
-			l.Lost(start.Add(2*time.Second), run)
+			l.RecordEnd(start.Add(time.Second), r)
+			l.RecordLostRun(start.Add(2*time.Second), run)
 		} else {
-			l.Lost(start.Add(time.Second), run)
-			l.Ended(start.Add(2*time.Second), r)
+			l.RecordLostRun(start.Add(time.Second), run)
+			l.RecordEnd(start.Add(2*time.Second), r)
 		}
 		require.Equal(t, 1, l.Incidents(f))
-		l.Lost(start.Add(3*time.Second), lostRun(f, start.Add(3*time.Second), r))
+		l.RecordLostRun(start.Add(3*time.Second), lostRun(f, start.Add(3*time.Second), r))
 		require.Equal(t, 1, l.Incidents(f), "the run was sent after the process ended")
 	}
 }
@@ -105,15 +105,15 @@
 func TestZoneFailureIsOneIncident(t *testing.T) {
 	l := NewLedger(retention)
 	hot := print("hot")
-	var zone []Incarnation
+	var zone []Process
 	for i := range 12 {
 		zone = append(zone, process(fmt.Sprint(i), 1))
 	}
 	for i := range 20 {
-		l.Lost(start, lostRun(hot, start, zone[0], zone[1+i%3], zone[4+i%4], zone[8+i%4]))
+		l.RecordLostRun(start, lostRun(hot, start, zone[0], zone[1+i%3], zone[4+i%4], zone[8+i%4]))
 	}
 	for _, r := range zone {
-		l.Ended(start, r)
+		l.RecordEnd(start, r)
 	}
 	require.Equal(t, 1, l.Incidents(hot))
 	require.Nil(t, l.Admit(start, hot, 1))
@@ -123,11 +123,11 @@
 	a, b := NewLedger(retention), NewLedger(retention)
 	f := print("a")
 	crashTimes(a, start, f, 0, 3)
-	b.Learn(start, a.News())
+	b.Merge(start, a.DrainUpdates())
 	require.True(t, b.IsBlocked(f))
-	require.True(t, b.Succeeded(start, f))
+	require.True(t, b.RecordSuccess(start, f))
 	require.False(t, b.IsBlocked(f))
-	a.Learn(start, b.News())
+	a.Merge(start, b.DrainUpdates())
 	require.False(t, a.IsBlocked(f))
 	require.Equal(t, a.Digest(), b.Digest())
 
@@ -141,11 +141,11 @@
 func TestEarlierSuccessElsewhereClears(t *testing.T) {
 	a, b := NewLedger(retention), NewLedger(retention)
 	f := print("a")
-	b.Succeeded(start, f)
-	require.True(t, b.News().Empty(), "a success without crashes is not sent")
+	b.RecordSuccess(start, f)
+	require.True(t, b.DrainUpdates().Empty(), "a success without crashes is not sent")
 	crashTimes(a, start.Add(time.Second), f, 0, 3)
-	b.Learn(start.Add(time.Second), a.News())
-	a.Learn(start.Add(time.Second), b.News())
+	b.Merge(start.Add(time.Second), a.DrainUpdates())
+	a.Merge(start.Add(time.Second), b.DrainUpdates())
 	require.False(t, a.IsBlocked(f))
 }
 
@@ -159,9 +159,9 @@
 		r := process(fmt.Sprint(i), 1)
 		run := lostRun(harmless, now, r)
 		run.Progressed = i == 0
-		l.Lost(now, run)
-		l.Lost(now, lostRun(bad, now, r))
-		l.Ended(now, r)
+		l.RecordLostRun(now, run)
+		l.RecordLostRun(now, lostRun(bad, now, r))
+		l.RecordEnd(now, r)
 	}
 	require.True(t, l.IsBlocked(bad))
 	require.False(t, l.IsBlocked(harmless))
@@ -176,7 +176,7 @@
 	f := print("a")
 	crashTimes(l, start, f, 0, 2)
 	run := lostRun(f, start, process("x", 1))
-	l.Lost(start, run)
+	l.RecordLostRun(start, run)
 	require.False(t, l.MayRetry(f, run.Run.Attempt))
 	require.True(t, l.MayRetry(f, run.Run.Attempt+1))
 	refusal := l.Admit(start, f, run.Run.Attempt+1)
@@ -192,7 +192,7 @@
 	here, there := NewLedger(retention), NewLedger(retention)
 	f := print("a")
 	crashTimes(here, start, f, 0, 3)
-	there.Learn(start, here.News())
+	there.Merge(start, here.DrainUpdates())
 	now := start
 	for i := range maxTrials {
 		wait := trialDelay << i
@@ -203,7 +203,7 @@
 		require.NotNil(t, here.Admit(now, f, 8), "one trial at a time")
 		require.NotNil(t, there.Admit(now, f, 9), "the other instance did not observe the crash")
 		crashTimes(here, now, f, 10+i, 1)
-		there.Learn(now, here.News())
+		there.Merge(now, here.DrainUpdates())
 	}
 	require.NotNil(t, here.Admit(now.Add(retention-1), f, 10), "no further trial")
 }
@@ -218,10 +218,10 @@
 		crashOnce(l, start, print(fmt.Sprint("flood", i)), process(fmt.Sprint("f", i), 1))
 	}
 	for i := range 3 * maxLostRuns {
-		l.Lost(start, lostRun(print(fmt.Sprint("lost", i)), start, process("x", 1)))
+		l.RecordLostRun(start, lostRun(print(fmt.Sprint("lost", i)), start, process("x", 1)))
 	}
 	for i := range 3 * maxSuccesses {
-		l.Succeeded(start, print(fmt.Sprint("good", i)))
+		l.RecordSuccess(start, print(fmt.Sprint("good", i)))
 	}
 	for range 100 {
 		crashOnce(l, start, f, process(fmt.Sprint("m", runNumber), 1))
@@ -232,7 +232,7 @@
 	require.LessOrEqual(t, len(l.ended), maxEnded)
 	require.LessOrEqual(t, len(l.successes.at), maxSuccesses)
 	require.LessOrEqual(t, len(l.tracked[f].crashes), maxCrashesEach)
-	s := l.State()
+	s := l.Evidence()
 	require.LessOrEqual(t, len(s.Crashes), MaxState)
 	require.Equal(t, f, s.Crashes[0].Fingerprint, "the most crashes come first")
 }
@@ -266,20 +266,20 @@
 				}
 				harmless := print(fmt.Sprint("innocent", i))
 				r := l.Process(process(id, startTimes[id]), now)
-				l.Lost(now, lostRun(harmless, now, r))
+				l.RecordLostRun(now, lostRun(harmless, now, r))
 				crashOnce(l, now, poison, r)
 				startTimes[id] += 10
 				crashes++
-				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].Succeeded(now, harmless)
+				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].RecordSuccess(now, harmless)
 			case 1: // a replica fails independently while it runs a harmless request
 				innocent := print(fmt.Sprint("alone", i))
 				crashOnce(l, now, innocent, process(id, startTimes[id]))
 				startTimes[id] += 10
 			case 2:
-				updates := l.News()
+				updates := l.DrainUpdates()
 				for _, other := range ledgers {
 					if other != l && rapid.Bool().Draw(t, "heard") {
-						other.Learn(now, updates)
+						other.Merge(now, updates)
 					}
 				}
 			default:
@@ -287,9 +287,9 @@
 				// A success on one instance clears crashes received from the other; that
 				// takes a second exchange.
 				for range 2 {
-					mine, theirs := l.State(), other.State()
-					l.Learn(now, theirs)
-					other.Learn(now, mine)
+					mine, theirs := l.Evidence(), other.Evidence()
+					l.Merge(now, theirs)
+					other.Merge(now, mine)
 				}
 				require.Equal(t, l.Digest(), other.Digest())
 			}
@@ -313,7 +313,7 @@
 	for range 2 {
 		for _, l := range ledgers {
 			for _, other := range ledgers {
-				other.Learn(now, l.State())
+				other.Merge(now, l.Evidence())
 			}
 		}
 	}
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -50,18 +50,18 @@
 	MaxShared = 64
 )
 
-// Verdict states whether a request may run again after a crash.
-type Verdict int
+// Decision states whether a request may run again after a crash.
+type Decision int
 
 const (
 	// Retry allows the request to run on another replica.
-	Retry Verdict = iota
+	Retry Decision = iota
 	// Stop forbids running the request again.
 	Stop
 )
 
 // String returns the name used in logs.
-func (v Verdict) String() string {
+func (v Decision) String() string {
 	if v == Stop {
 		return "stop"
 	}
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -53,7 +53,7 @@
 
 // run places a request on a random replica that it need not avoid.
 func (w *fleet) run(f Fingerprint, exclude ...string) {
-	exclude = append(exclude, w.tracker.Avoid(f)...)
+	exclude = append(exclude, w.tracker.ReplicasToAvoid(f)...)
 	var free []string
 	for i := range replicaCount {
 		id := fmt.Sprint(i)
@@ -66,7 +66,7 @@
 	}
 	id := rapid.SampledFrom(free).Draw(w.t, "replica")
 	w.running[f] = id
-	w.tracker.Place(f, []string{id})
+	w.tracker.SetPlacement(f, []string{id})
 	if f == poison {
 		w.poisonedReplicas = append(w.poisonedReplicas, id)
 		w.crash(id)
@@ -82,7 +82,7 @@
 			delete(w.running, f)
 		}
 	}
-	for i, v := range w.tracker.Crash(w.now, id, candidates...) {
+	for i, v := range w.tracker.RecordCrash(w.now, id, candidates...) {
 		if v == Retry {
 			w.run(candidates[i], id)
 		}
@@ -92,7 +92,7 @@
 func (w *fleet) complete(f Fingerprint) {
 	if _, ok := w.running[f]; ok {
 		delete(w.running, f)
-		w.tracker.Completed(w.now, f)
+		w.tracker.RecordCompletion(w.now, f)
 	}
 }
 
@@ -108,7 +108,7 @@
 		for i := range rapid.IntRange(5, 40).Draw(t, "operations") {
 			switch rapid.IntRange(0, 7).Draw(t, "operation") {
 			case 0:
-				if !w.tracker.Blocked(w.now, poison) {
+				if !w.tracker.IsBlocked(w.now, poison) {
 					w.run(poison)
 				}
 			case 1:
@@ -124,12 +124,12 @@
 				w.run(f)
 			}
 			for _, f := range w.harmless {
-				require.False(t, w.tracker.Blocked(w.now, f), "harmless request blocked")
+				require.False(t, w.tracker.IsBlocked(w.now, f), "harmless request blocked")
 			}
 			w.checkPoisonedReplicas()
-			require.False(t, w.tracker.FailsAlone(w.now, "1"))
+			require.False(t, w.tracker.FailsIndependently(w.now, "1"))
 		}
-		if w.tracker.Blocked(w.now, poison) {
+		if w.tracker.IsBlocked(w.now, poison) {
 			blocked++
 		}
 	})
@@ -148,18 +148,18 @@
 func TestTwoReplicasStopAndBlock(t *testing.T) {
 	tr := NewTracker(retention)
 	a, b := print("a"), print("b")
-	require.Equal(t, []Verdict{Retry, Retry}, tr.Crash(start, "x", a, b))
-	require.Equal(t, []Verdict{Retry}, tr.Crash(start.Add(time.Second), "x", a), "the same crash")
-	require.Equal(t, []Verdict{Retry}, tr.Crash(start.Add(time.Minute), "x", a), "the same replica")
-	require.Equal(t, []Verdict{Stop}, tr.Crash(start.Add(time.Minute), "y", a))
-	require.True(t, tr.Blocked(start.Add(time.Minute), a))
-	require.False(t, tr.Blocked(start.Add(time.Minute), b))
-	require.Empty(t, tr.Recent(start.Add(time.Minute)), "not shared before the crash is complete")
+	require.Equal(t, []Decision{Retry, Retry}, tr.RecordCrash(start, "x", a, b))
+	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start.Add(time.Second), "x", a), "the same crash")
+	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start.Add(time.Minute), "x", a), "the same replica")
+	require.Equal(t, []Decision{Stop}, tr.RecordCrash(start.Add(time.Minute), "y", a))
+	require.True(t, tr.IsBlocked(start.Add(time.Minute), a))
+	require.False(t, tr.IsBlocked(start.Add(time.Minute), b))
+	require.Empty(t, tr.BlocksToShare(start.Add(time.Minute)), "not shared before the crash is complete")
 	end := start.Add(time.Minute + retention)
-	require.Equal(t, []Block{{Fingerprint: a, Expiry: end}}, tr.Recent(end.Add(-1)))
-	require.True(t, tr.Blocked(end.Add(-1), a))
-	require.False(t, tr.Blocked(end, a))
-	require.Equal(t, []Verdict{Retry}, tr.Crash(end, "z", a), "expired crashes must not count")
+	require.Equal(t, []Block{{Fingerprint: a, Expiry: end}}, tr.BlocksToShare(end.Add(-1)))
+	require.True(t, tr.IsBlocked(end.Add(-1), a))
+	require.False(t, tr.IsBlocked(end, a))
+	require.Equal(t, []Decision{Retry}, tr.RecordCrash(end, "z", a), "expired crashes must not count")
 }
 
 // Two requests that were running during both crashes can't be distinguished: both are
@@ -167,16 +167,16 @@
 func TestSharedCrashesAreUndecided(t *testing.T) {
 	tr := NewTracker(retention)
 	a, b := print("a"), print("b")
-	tr.Crash(start, "x", a, b)
-	require.Equal(t, []Verdict{Stop, Stop}, tr.Crash(start.Add(time.Second), "y", a, b))
-	require.False(t, tr.Blocked(start.Add(time.Second), a))
-	require.False(t, tr.Blocked(start.Add(time.Second), b))
-	tr.Crash(start.Add(time.Minute), "z", a, b)
-	require.True(t, tr.Blocked(start.Add(time.Minute), a))
-	require.True(t, tr.Blocked(start.Add(time.Minute), b))
-	tr.Completed(start.Add(time.Minute), b)
-	require.True(t, tr.Blocked(start.Add(time.Minute), a))
-	require.False(t, tr.Blocked(start.Add(time.Minute), b))
+	tr.RecordCrash(start, "x", a, b)
+	require.Equal(t, []Decision{Stop, Stop}, tr.RecordCrash(start.Add(time.Second), "y", a, b))
+	require.False(t, tr.IsBlocked(start.Add(time.Second), a))
+	require.False(t, tr.IsBlocked(start.Add(time.Second), b))
+	tr.RecordCrash(start.Add(time.Minute), "z", a, b)
+	require.True(t, tr.IsBlocked(start.Add(time.Minute), a))
+	require.True(t, tr.IsBlocked(start.Add(time.Minute), b))
+	tr.RecordCompletion(start.Add(time.Minute), b)
+	require.True(t, tr.IsBlocked(start.Add(time.Minute), a))
+	require.False(t, tr.IsBlocked(start.Add(time.Minute), b))
 }
 
 // Copies of one request that crash many replicas at once must not pass for a common cause.
@@ -184,23 +184,23 @@
 	tr := NewTracker(retention)
 	a := print("a")
 	for i := range 2 * burstReplicas {
-		tr.Crash(start, fmt.Sprint(i), a, print(fmt.Sprint(i)))
+		tr.RecordCrash(start, fmt.Sprint(i), a, print(fmt.Sprint(i)))
 	}
-	require.True(t, tr.Blocked(start, a))
-	require.False(t, tr.Blocked(start, print("0")))
+	require.True(t, tr.IsBlocked(start, a))
+	require.False(t, tr.IsBlocked(start, print("0")))
 }
 
 func TestCandidatesRunOnDifferentReplicas(t *testing.T) {
 	tr := NewTracker(retention)
 	a, b := print("a"), print("b")
-	tr.Place(a, []string{"x"})
-	require.Empty(t, tr.Avoid(a))
-	tr.Crash(start, "x", a, b)
-	tr.Place(a, []string{"y", "w"})
-	require.Equal(t, []string{"w", "x", "y"}, tr.Avoid(b))
-	require.Equal(t, []string{"x"}, tr.Avoid(a))
-	tr.Crash(start, "y", a)
-	require.Equal(t, []string{"x"}, tr.Avoid(b), "a is not running any more")
+	tr.SetPlacement(a, []string{"x"})
+	require.Empty(t, tr.ReplicasToAvoid(a))
+	tr.RecordCrash(start, "x", a, b)
+	tr.SetPlacement(a, []string{"y", "w"})
+	require.Equal(t, []string{"w", "x", "y"}, tr.ReplicasToAvoid(b))
+	require.Equal(t, []string{"x"}, tr.ReplicasToAvoid(a))
+	tr.RecordCrash(start, "y", a)
+	require.Equal(t, []string{"x"}, tr.ReplicasToAvoid(b), "a is not running any more")
 }
 
 // When many replicas crash together, the requests that they ran are no explanation. A third
@@ -208,30 +208,30 @@
 func TestBurstBlocksNoRequest(t *testing.T) {
 	tr := NewTracker(retention)
 	for i := range burstReplicas {
-		tr.Crash(start, fmt.Sprintf("rack-%d", i), print(fmt.Sprint(i)))
+		tr.RecordCrash(start, fmt.Sprintf("rack-%d", i), print(fmt.Sprint(i)))
 	}
 	a := print("a")
-	require.Equal(t, []Verdict{Retry}, tr.Crash(start, "x", a))
-	require.Equal(t, []Verdict{Retry}, tr.Crash(start.Add(time.Second), "y", a))
-	require.False(t, tr.Blocked(start.Add(time.Second), a))
-	require.Equal(t, []Verdict{Stop}, tr.Crash(start.Add(2*time.Second), "z", a))
-	require.False(t, tr.Blocked(start.Add(2*time.Second), a))
+	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start, "x", a))
+	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start.Add(time.Second), "y", a))
+	require.False(t, tr.IsBlocked(start.Add(time.Second), a))
+	require.Equal(t, []Decision{Stop}, tr.RecordCrash(start.Add(2*time.Second), "z", a))
+	require.False(t, tr.IsBlocked(start.Add(2*time.Second), a))
 	b, after := print("b"), start.Add(2*time.Second+burstWindow+1)
-	tr.Crash(after, "x", b)
-	require.Equal(t, []Verdict{Stop}, tr.Crash(after, "y", b), "long after the others")
+	tr.RecordCrash(after, "x", b)
+	require.Equal(t, []Decision{Stop}, tr.RecordCrash(after, "y", b), "long after the others")
 }
 
 func TestReplicaThatFailsIndependently(t *testing.T) {
 	tr := NewTracker(retention)
 	now := start
 	for i := range unrelatedCrashThreshold {
-		require.False(t, tr.FailsAlone(now, "x"))
+		require.False(t, tr.FailsIndependently(now, "x"))
 		now = now.Add(time.Minute)
-		tr.Crash(now, "x", print(fmt.Sprint(i)))
+		tr.RecordCrash(now, "x", print(fmt.Sprint(i)))
 	}
-	require.True(t, tr.FailsAlone(now, "x"))
-	require.Equal(t, []Verdict{Retry}, tr.Crash(now, "y", print("0")))
-	require.False(t, tr.FailsAlone(now.Add(retention), "x"))
+	require.True(t, tr.FailsIndependently(now, "x"))
+	require.Equal(t, []Decision{Retry}, tr.RecordCrash(now, "y", print("0")))
+	require.False(t, tr.FailsIndependently(now.Add(retention), "x"))
 }
 
 // A block from a peer holds until its expiry, at most the retention period, and does not
@@ -239,36 +239,36 @@
 func TestBlockOfPeer(t *testing.T) {
 	tr := NewTracker(retention)
 	a, b := print("a"), print("b")
-	tr.Learn(start, a, start)
-	require.False(t, tr.Blocked(start, a))
-	tr.Learn(start, a, start.Add(24*time.Hour))
-	tr.Learn(start, a, start.Add(time.Second))
-	tr.Learn(start, b, start.Add(time.Minute))
-	require.True(t, tr.Blocked(start.Add(retention-1), a))
-	require.False(t, tr.Blocked(start.Add(retention), a))
-	require.Equal(t, []Block{{a, start.Add(retention)}, {b, start.Add(time.Minute)}}, tr.Recent(start))
-	require.Equal(t, []Verdict{Stop}, tr.Crash(start, "x", a))
-	tr.Completed(start, a)
-	tr.Learn(start, a, start.Add(retention))
-	require.False(t, tr.Blocked(start, a))
+	tr.AddPeerBlock(start, a, start)
+	require.False(t, tr.IsBlocked(start, a))
+	tr.AddPeerBlock(start, a, start.Add(24*time.Hour))
+	tr.AddPeerBlock(start, a, start.Add(time.Second))
+	tr.AddPeerBlock(start, b, start.Add(time.Minute))
+	require.True(t, tr.IsBlocked(start.Add(retention-1), a))
+	require.False(t, tr.IsBlocked(start.Add(retention), a))
+	require.Equal(t, []Block{{a, start.Add(retention)}, {b, start.Add(time.Minute)}}, tr.BlocksToShare(start))
+	require.Equal(t, []Decision{Stop}, tr.RecordCrash(start, "x", a))
+	tr.RecordCompletion(start, a)
+	tr.AddPeerBlock(start, a, start.Add(retention))
+	require.False(t, tr.IsBlocked(start, a))
 }
 
 func TestMemoryIsBounded(t *testing.T) {
 	tr := NewTracker(retention)
 	for i := range 3 * maxBlocks {
 		f := print(fmt.Sprint(i))
-		tr.Crash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
-		tr.Learn(start, f, start.Add(retention))
-		tr.Completed(start, f)
-		tr.Learn(start, print(fmt.Sprint("peer", i)), start.Add(retention))
-		tr.Crash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
+		tr.RecordCrash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
+		tr.AddPeerBlock(start, f, start.Add(retention))
+		tr.RecordCompletion(start, f)
+		tr.AddPeerBlock(start, print(fmt.Sprint("peer", i)), start.Add(retention))
+		tr.RecordCrash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
 	}
 	require.LessOrEqual(t, len(tr.crashes), maxCrashes)
 	require.LessOrEqual(t, len(tr.candidates), maxCrashes*maxCandidates)
 	require.LessOrEqual(t, len(tr.peerBlocks), maxBlocks)
 	require.LessOrEqual(t, len(tr.cleared), maxBlocks)
-	require.Len(t, tr.Recent(start), MaxShared)
-	require.Empty(t, tr.Recent(start.Add(3*retention)))
+	require.Len(t, tr.BlocksToShare(start), MaxShared)
+	require.Empty(t, tr.BlocksToShare(start.Add(3*retention)))
 	require.Empty(t, tr.crashes)
 	require.Empty(t, tr.candidates)
 	require.Empty(t, tr.peerBlocks)
@@ -279,20 +279,20 @@
 func TestEvidenceOfAnotherInstanceCounts(t *testing.T) {
 	here, there := NewTracker(retention), NewTracker(retention)
 	a, b, c := print("a"), print("b"), print("c")
-	here.Crash(start, "x", a, b)
-	there.Crash(start.Add(time.Second), "x", c)
-	there.LearnEvidence(start.Add(time.Second), here.News())
-	here.LearnEvidence(start.Add(time.Second), there.News())
-	require.Equal(t, []Verdict{Stop}, there.Crash(start.Add(time.Minute), "y", a))
-	require.True(t, there.Blocked(start.Add(time.Minute), a))
-	here.LearnEvidence(start.Add(time.Minute), there.News())
-	require.True(t, here.Blocked(start.Add(time.Minute), a))
+	here.RecordCrash(start, "x", a, b)
+	there.RecordCrash(start.Add(time.Second), "x", c)
+	there.Merge(start.Add(time.Second), here.DrainUpdates())
+	here.Merge(start.Add(time.Second), there.DrainUpdates())
+	require.Equal(t, []Decision{Stop}, there.RecordCrash(start.Add(time.Minute), "y", a))
+	require.True(t, there.IsBlocked(start.Add(time.Minute), a))
+	here.Merge(start.Add(time.Minute), there.DrainUpdates())
+	require.True(t, here.IsBlocked(start.Add(time.Minute), a))
 	require.Len(t, here.crashes, 2, "a crash that both observed counts once")
-	require.False(t, here.Blocked(start.Add(time.Minute), b))
-	require.False(t, here.Blocked(start.Add(time.Minute), c))
+	require.False(t, here.IsBlocked(start.Add(time.Minute), b))
+	require.False(t, here.IsBlocked(start.Add(time.Minute), c))
 
-	there.Completed(start.Add(time.Minute), a)
-	here.LearnEvidence(start.Add(time.Minute), there.News())
-	require.False(t, here.Blocked(start.Add(time.Minute), a))
-	require.True(t, here.News().Empty() || len(here.News().Clears) == 0, "received evidence is not sent again")
+	there.RecordCompletion(start.Add(time.Minute), a)
+	here.Merge(start.Add(time.Minute), there.DrainUpdates())
+	require.False(t, here.IsBlocked(start.Add(time.Minute), a))
+	require.True(t, here.DrainUpdates().Empty() || len(here.DrainUpdates().Clearances) == 0, "received evidence is not sent again")
 }
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -11,10 +11,10 @@
 // MaxState is the maximum number of crashes, and of clears, that are sent at once.
 const MaxState = 256
 
-// Learn adds evidence of other instances. It returns the crashes of runs lost on this
+// Merge adds evidence of other instances. It returns the crashes of runs lost on this
 // instance that the evidence proves.
-func (l *Ledger) Learn(now time.Time, s State) []Crash {
-	for _, c := range s.Clears {
+func (l *Ledger) Merge(now time.Time, s Evidence) []Crash {
+	for _, c := range s.Clearances {
 		if c.At.After(now) {
 			c.At = now
 		}
@@ -31,7 +31,7 @@
 		if c.At.After(now) {
 			c.At = now
 		}
-		c.Own = false
+		c.Local = false
 		if l.add(now, c) && now.Sub(c.At) <= matchWindow {
 			proved = append(proved, l.recordEnd(now, c.Replica, c.At)...)
 		}
@@ -39,22 +39,22 @@
 	return proved
 }
 
-// News returns the evidence that was not sent yet and marks it as sent.
-func (l *Ledger) News() State {
+// DrainUpdates returns the evidence that was not sent yet and marks it as sent.
+func (l *Ledger) DrainUpdates() Evidence {
 	updates := l.updates
-	l.updates = State{}
+	l.updates = Evidence{}
 	return updates
 }
 
-// State returns the evidence to send to an instance that may lack some of it. Requests with
+// Evidence returns the evidence to send to an instance that may lack some of it. Requests with
 // the most crashes come first, among them those with the latest crash.
-func (l *Ledger) State() State {
+func (l *Ledger) Evidence() Evidence {
 	order := make([]Fingerprint, 0, len(l.tracked))
 	for f := range l.tracked {
 		order = append(order, f)
 	}
 	slices.SortFunc(order, func(a, b Fingerprint) int { return l.compare(b, a) })
-	var s State
+	var s Evidence
 	for _, f := range order {
 		crashes := l.tracked[f].crashes
 		if len(s.Crashes)+len(crashes) > MaxState {
@@ -63,10 +63,10 @@
 		s.Crashes = append(s.Crashes, crashes...)
 	}
 	for f, at := range l.clears {
-		if len(s.Clears) == MaxState {
+		if len(s.Clearances) == MaxState {
 			break
 		}
-		s.Clears = append(s.Clears, Clear{Fingerprint: f, At: at})
+		s.Clearances = append(s.Clearances, Clearance{Fingerprint: f, At: at})
 	}
 	return s
 }
@@ -117,6 +117,6 @@
 	b = append(b, c.Fingerprint[:]...)
 	b = binary.LittleEndian.AppendUint64(b, c.Run.Attempt)
 	b = binary.LittleEndian.AppendUint32(b, c.Run.Number)
-	b = binary.LittleEndian.AppendUint64(b, uint64(c.Replica.Born))
+	b = binary.LittleEndian.AppendUint64(b, uint64(c.Replica.StartTime))
 	return xxhash.Sum64(append(b, c.Replica.Replica...))
 }
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -20,7 +20,7 @@
 	// which blocks of peers are ignored for them.
 	cleared map[Fingerprint]time.Time
 	// updates holds observations of this instance that were not sent yet.
-	updates State
+	updates Evidence
 }
 
 // candidate is a fingerprint that was running on a replica when it crashed.
@@ -49,19 +49,19 @@
 	}
 }
 
-// Crash records that a replica crashed while it ran a step of each of the given
+// RecordCrash records that a replica crashed while it ran a step of each of the given
 // fingerprints, and returns a decision for each. Reports about one replica within
 // crashWindow (2 s) belong to the same crash. Reporting all candidates in one call gives
 // better decisions, because only reported candidates are compared.
-func (t *Tracker) Crash(now time.Time, replica string, candidates ...Fingerprint) []Verdict {
+func (t *Tracker) RecordCrash(now time.Time, replica string, candidates ...Fingerprint) []Decision {
 	t.expireCrashes(now)
 	c := t.crashOf(now, replica)
 	for _, f := range candidates {
 		if t.addCandidate(c, f) {
-			t.queueUpdate(Crash{Fingerprint: f, Replica: Incarnation{Replica: replica}, At: now})
+			t.queueUpdate(Crash{Fingerprint: f, Replica: Process{Replica: replica}, At: now})
 		}
 	}
-	decisions := make([]Verdict, len(candidates))
+	decisions := make([]Decision, len(candidates))
 	for i, f := range candidates {
 		decisions[i] = t.decide(now, f)
 	}
@@ -75,37 +75,37 @@
 	}
 }
 
-// News returns the observations of this instance since the last call.
-func (t *Tracker) News() State {
+// DrainUpdates returns the observations of this instance since the last call.
+func (t *Tracker) DrainUpdates() Evidence {
 	updates := t.updates
-	t.updates = State{}
+	t.updates = Evidence{}
 	return updates
 }
 
-// LearnEvidence adds the observations of another instance.
-func (t *Tracker) LearnEvidence(now time.Time, s State) {
+// Merge adds the observations of another instance.
+func (t *Tracker) Merge(now time.Time, s Evidence) {
 	t.expireCrashes(now)
 	for _, c := range s.Crashes {
 		if now.Sub(c.At) < t.retention {
 			t.addCandidate(t.crashOf(c.At, c.Replica.Replica), c.Fingerprint)
 		}
 	}
-	for _, c := range s.Clears {
+	for _, c := range s.Clearances {
 		t.clear(now, c.Fingerprint)
 	}
 }
 
-// Completed records that a request completed, which proves that its fingerprint is not the
+// RecordCompletion records that a request completed, which proves that its fingerprint is not the
 // cause of earlier crashes.
-func (t *Tracker) Completed(now time.Time, f Fingerprint) {
-	if t.clear(now, f) && len(t.updates.Clears) < MaxState {
-		t.updates.Clears = append(t.updates.Clears, Clear{Fingerprint: f, At: now})
+func (t *Tracker) RecordCompletion(now time.Time, f Fingerprint) {
+	if t.clear(now, f) && len(t.updates.Clearances) < MaxState {
+		t.updates.Clearances = append(t.updates.Clearances, Clearance{Fingerprint: f, At: now})
 	}
 }
 
 // clear discards the evidence against a fingerprint and reports whether there was any.
 func (t *Tracker) clear(now time.Time, f Fingerprint) bool {
-	if t.Blocked(now, f) {
+	if t.IsBlocked(now, f) {
 		t.cleared[f] = now.Add(t.retention)
 		evictExcess(t.cleared)
 	}
@@ -122,17 +122,17 @@
 	return true
 }
 
-// Blocked reports whether requests with this fingerprint must be refused.
-func (t *Tracker) Blocked(now time.Time, f Fingerprint) bool {
+// IsBlocked reports whether requests with this fingerprint must be refused.
+func (t *Tracker) IsBlocked(now time.Time, f Fingerprint) bool {
 	if t.peerBlocks[f].After(now) {
 		return true
 	}
 	return t.isProvenCause(now, f)
 }
 
-// Learn records a block that a peer reported. The expiry is limited to the tracker's own
+// AddPeerBlock records a block that a peer reported. The expiry is limited to the tracker's own
 // retention period.
-func (t *Tracker) Learn(now time.Time, f Fingerprint, expiry time.Time) {
+func (t *Tracker) AddPeerBlock(now time.Time, f Fingerprint, expiry time.Time) {
 	if t.cleared[f].After(now) || !expiry.After(now) {
 		return
 	}
@@ -143,9 +143,9 @@
 	evictExcess(t.peerBlocks)
 }
 
-// Recent returns at most MaxShared blocks to send to peers, in order of expiry, latest
+// BlocksToShare returns at most MaxShared blocks to send to peers, in order of expiry, latest
 // first.
-func (t *Tracker) Recent(now time.Time) []Block {
+func (t *Tracker) BlocksToShare(now time.Time) []Block {
 	t.expireCrashes(now)
 	expireMap(now, t.peerBlocks)
 	expireMap(now, t.cleared)
@@ -163,18 +163,18 @@
 	return blocks[:min(len(blocks), MaxShared)]
 }
 
-// Place records on which replicas a fingerprint now runs. It is ignored for fingerprints
+// SetPlacement records on which replicas a fingerprint now runs. It is ignored for fingerprints
 // that are not candidates.
-func (t *Tracker) Place(f Fingerprint, replicas []string) {
+func (t *Tracker) SetPlacement(f Fingerprint, replicas []string) {
 	if s, ok := t.candidates[f]; ok {
 		s.placedOn = slices.Clone(replicas)
 	}
 }
 
-// Avoid returns the replicas that crashed while running the fingerprint, and those that now
+// ReplicasToAvoid returns the replicas that crashed while running the fingerprint, and those that now
 // run other candidates of the same crashes. If a candidate that runs apart from the others
 // crashes another replica, it can be identified as the cause.
-func (t *Tracker) Avoid(f Fingerprint) []string {
+func (t *Tracker) ReplicasToAvoid(f Fingerprint) []string {
 	s, ok := t.candidates[f]
 	if !ok {
 		return nil
@@ -192,15 +192,15 @@
 	return slices.Compact(replicas)
 }
 
-// FailsAlone reports whether a replica crashes so often, with different requests, that the
+// FailsIndependently reports whether a replica crashes so often, with different requests, that the
 // requests do not explain it.
-func (t *Tracker) FailsAlone(now time.Time, replica string) bool {
+func (t *Tracker) FailsIndependently(now time.Time, replica string) bool {
 	return t.failsIndependently(replica, now)
 }
 
-func (t *Tracker) decide(now time.Time, f Fingerprint) Verdict {
+func (t *Tracker) decide(now time.Time, f Fingerprint) Decision {
 	all := t.countReplicas(f, func(*crash) bool { return true })
-	if all >= certainReplicas || t.attributedReplicas(f, false) >= stopReplicas || t.Blocked(now, f) {
+	if all >= certainReplicas || t.attributedReplicas(f, false) >= stopReplicas || t.IsBlocked(now, f) {
 		return Stop
 	}
 	return Retry
--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -6,10 +6,10 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Among reports whether self is one of the count instances with the highest weights among
+// IsDesignated reports whether self is one of the count instances with the highest weights among
 // itself and the others. The weight is a hash of the name, so that each name is equally
 // likely to be selected.
-func Among(self string, others []string, count int) bool {
+func IsDesignated(self string, others []string, count int) bool {
 	higher := 0
 	for _, o := range others {
 		if outranks(o, self) {
@@ -19,8 +19,8 @@
 	return higher < count
 }
 
-// First returns the name with the highest weight, or "" if there are no names.
-func First(names []string) string {
+// Highest returns the name with the highest weight, or "" if there are no names.
+func Highest(names []string) string {
 	first := ""
 	for i, name := range names {
 		if i == 0 || outranks(name, first) {
--- a/core/readers/readers_test.go
+++ b/core/readers/readers_test.go
@@ -24,10 +24,10 @@
 			reading := 0
 			for i, self := range names {
 				others := append(append([]string(nil), names[:i]...), names[i+1:]...)
-				if readers.Among(self, others, count) {
+				if readers.IsDesignated(self, others, count) {
 					reading++
 				}
-				require.Equal(t, readers.First(names) == self, readers.Among(self, others, 1))
+				require.Equal(t, readers.Highest(names) == self, readers.IsDesignated(self, others, 1))
 			}
 			require.Equal(t, min(count, len(names)), reading)
 		}
--- a/core/record/codec.go
+++ b/core/record/codec.go
@@ -95,7 +95,7 @@
 		c := r.Claim
 		return c.Key.valid() && validName(c.Fingerprint) && validName(c.Claimant) && c.Expiry > 0
 	case r.Outcome != nil:
-		return r.Outcome.Key.valid() && validName(string(r.Outcome.Claim)) && len(r.Outcome.Answer.Body) <= MaxAnswer
+		return r.Outcome.Key.valid() && validName(string(r.Outcome.Claim)) && len(r.Outcome.Response.Body) <= MaxResponse
 	case r.Release != nil:
 		return r.Release.Key.valid() && validName(string(r.Release.Claim))
 	default:
@@ -105,7 +105,7 @@
 
 func (l *Lease) valid() bool {
 	known := l.Op == LeaseAcquire || l.Op == LeaseRenew || l.Op == LeaseRelease
-	return known && validName(l.Duty) && validName(l.Holder)
+	return known && validName(l.Task) && validName(l.Holder)
 }
 
 func (k OrderKey) valid() bool {
--- a/core/record/codec_test.go
+++ b/core/record/codec_test.go
@@ -17,7 +17,7 @@
 		{ID: "3", Claim: &record.Claim{Key: key, Fingerprint: "f", Claimant: "c", Expiry: time.Second}},
 		{ID: "4", Outcome: &record.Outcome{Key: key, Claim: "3", Known: true}},
 		{ID: "5", Release: &record.Release{Key: key, Claim: "3"}},
-		{ID: "6", Lease: &record.Lease{Op: record.LeaseRenew, Duty: "d", Holder: "h", Epoch: 7}},
+		{ID: "6", Lease: &record.Lease{Op: record.LeaseRenew, Task: "d", Holder: "h", Epoch: 7}},
 	} {
 		data, err := record.Encode(r)
 		require.NoError(f, err)
--- a/core/record/record.go
+++ b/core/record/record.go
@@ -12,11 +12,11 @@
 
 // Size limits, in bytes.
 const (
-	MaxSize    = 4 << 20
-	MaxContent = 2 << 20
-	MaxAnswer  = 256 << 10
-	MaxKey     = 256
-	MaxName    = 128
+	MaxSize     = 4 << 20
+	MaxContent  = 2 << 20
+	MaxResponse = 256 << 10
+	MaxKey      = 256
+	MaxName     = 128
 )
 
 // ID uniquely identifies one record.
@@ -71,15 +71,15 @@
 	// Fingerprint is the hash of the request.
 	Fingerprint string `json:"fingerprint"`
 	Claimant    string `json:"claimant"`
-	// Began is the offset up to which the claimant had read when the call arrived. A
+	// ReadOffset is the offset up to which the claimant had read when the call arrived. A
 	// release at or above it invalidates the claim.
-	Began uint64 `json:"began"`
+	ReadOffset uint64 `json:"began"`
 	// Expiry is how long after reading the claim a reader may expect an outcome.
 	Expiry time.Duration `json:"expiry"`
 }
 
-// Answer is the recorded response of an upstream.
-type Answer struct {
+// Response is the recorded response of an upstream.
+type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
@@ -91,10 +91,10 @@
 	Claim ID       `json:"claim"`
 	// Known is false if the claimant does not know whether the upstream executed the call.
 	Known bool `json:"known"`
-	// Oversize is set if the body of the response was too large to be recorded and was
+	// BodyOmitted is set if the body of the response was too large to be recorded and was
 	// omitted.
-	Oversize bool   `json:"oversize,omitempty"`
-	Answer   Answer `json:"answer"`
+	BodyOmitted bool     `json:"oversize,omitempty"`
+	Response    Response `json:"answer"`
 }
 
 // Release withdraws the claim whose record ID is Claim; the call was not made.
@@ -116,13 +116,13 @@
 // Lease acquires, renews or releases the lease of a leader task.
 type Lease struct {
 	Op     LeaseOp `json:"op"`
-	Duty   string  `json:"duty"`
+	Task   string  `json:"duty"`
 	Holder string  `json:"holder"`
 	// Epoch is the offset after the accepted acquire record; set for renew and release
 	// only.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// Read is the offset up to which the holder had read; set for acquire only.
-	Read uint64 `json:"read,omitempty"`
+	// ReadOffset is the offset up to which the holder had read; set for acquire only.
+	ReadOffset uint64 `json:"read,omitempty"`
 }
 
 // Entry is one encoded record of a stream.
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -43,7 +43,7 @@
 	ReasonNoAnchor    Reason = "the log has forgotten earlier records and holds no usable snapshot; waiting for a peer or a snapshot"
 	ReasonUnavailable Reason = "the log is unavailable and no peer has offered a configuration"
 	ReasonVersion     Reason = "the log holds a record of a newer version; this program must be upgraded"
-	ReasonShortened   Reason = "the log ends before the offset read earlier"
+	ReasonTruncated   Reason = "the log ends before the offset read earlier"
 )
 
 // Status reports whether a configuration may be used. Reason may be set even if Ready is
@@ -53,8 +53,8 @@
 	Reason Reason
 }
 
-// Verdict is the result of one proposal.
-type Verdict struct {
+// ProposalResult is the result of one proposal.
+type ProposalResult struct {
 	ID record.ID
 	// Accepted is true if the proposal created Revision.
 	Accepted bool
@@ -117,8 +117,8 @@
 	return m.adopt(s)
 }
 
-// Unavailable records that a read failed.
-func (m *Machine) Unavailable() { m.unavailable = true }
+// SetUnavailable records that a read failed.
+func (m *Machine) SetUnavailable() { m.unavailable = true }
 
 // adopt replaces the state by one with a higher offset and continues from there.
 func (m *Machine) adopt(s record.Snapshot) bool {
@@ -141,7 +141,7 @@
 func (m *Machine) reason() Reason {
 	switch {
 	case m.truncated:
-		return ReasonShortened
+		return ReasonTruncated
 	case m.unavailable:
 		return ReasonUnavailable
 	case !m.attached:
@@ -157,7 +157,7 @@
 
 // Apply applies the result of a read from NextRead and returns the results of the proposals
 // in it.
-func (m *Machine) Apply(b record.Batch) []Verdict {
+func (m *Machine) Apply(b record.Batch) []ProposalResult {
 	m.unavailable = false
 	from := m.NextRead()
 	m.truncated = b.Next < from && b.First <= from
@@ -180,12 +180,12 @@
 	m.detachReason = reason
 }
 
-func (m *Machine) follow(b record.Batch) []Verdict {
+func (m *Machine) follow(b record.Batch) []ProposalResult {
 	if len(b.Entries) == 0 {
 		m.caughtUp = true
 		return nil
 	}
-	var results []Verdict
+	var results []ProposalResult
 	for _, e := range b.Entries {
 		if e.Offset < m.state.Next {
 			continue
@@ -211,28 +211,28 @@
 	return results
 }
 
-func (m *Machine) evaluate(id record.ID, p *record.Proposal) Verdict {
+func (m *Machine) evaluate(id record.ID, p *record.Proposal) ProposalResult {
 	if p.Base != m.state.Revision {
 		return m.reject(id, p.Base)
 	}
 	if m.validate(p.Content) != nil {
-		return Verdict{ID: id, Revision: m.state.Revision, Invalid: true}
+		return ProposalResult{ID: id, Revision: m.state.Revision, Invalid: true}
 	}
 	w := record.Winner{Revision: p.Base + 1, ID: id, Author: p.Author}
 	m.state.Revision = w.Revision
 	m.state.Content = p.Content
 	m.state.Winners = appendWinner(m.state.Winners, w)
-	return Verdict{ID: id, Accepted: true, Revision: w.Revision, Winner: w}
+	return ProposalResult{ID: id, Accepted: true, Revision: w.Revision, Winner: w}
 }
 
 // reject handles a proposal on another base. A duplicate of the accepted proposal gets the
 // result that it was accepted.
-func (m *Machine) reject(id record.ID, base uint64) Verdict {
+func (m *Machine) reject(id record.ID, base uint64) ProposalResult {
 	w, _ := FindWinner(m.state, base)
 	if w.ID == id {
-		return Verdict{ID: id, Accepted: true, Revision: w.Revision, Winner: w}
+		return ProposalResult{ID: id, Accepted: true, Revision: w.Revision, Winner: w}
 	}
-	return Verdict{ID: id, Revision: m.state.Revision, Winner: w}
+	return ProposalResult{ID: id, Revision: m.state.Revision, Winner: w}
 }
 
 // FindWinner returns the proposal that replaced revision base, if s retains it.
--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -200,7 +200,7 @@
 func TestStatusReportsReason(t *testing.T) {
 	m := revision.New(validate)
 	require.Equal(t, revision.Status{Reason: revision.ReasonReading}, m.Status())
-	m.Unavailable()
+	m.SetUnavailable()
 	require.Equal(t, revision.Status{Reason: revision.ReasonUnavailable}, m.Status())
 	m.Apply(batch(t, 0, 0))
 	require.Equal(t, revision.Status{Reason: revision.ReasonEmpty}, m.Status())
@@ -209,7 +209,7 @@
 	m.Apply(batch(t, 5, 5, stale))
 	m.Apply(batch(t, 5, 6))
 	require.Equal(t, revision.Status{Reason: revision.ReasonNoAnchor}, m.Status())
-	m.Unavailable()
+	m.SetUnavailable()
 	m.Offer(record.Snapshot{Revision: 3, Next: 6, Content: []byte("d")})
 	require.True(t, m.Status().Ready)
 	m.Apply(batch(t, 5, 6))
--- a/core/roster/departed.go
+++ b/core/roster/departed.go
@@ -18,27 +18,27 @@
 func (d *departures) add(p Process) {
 	born, known := d.born[p.ID]
 	if known {
-		d.born[p.ID] = max(born, p.Born)
+		d.born[p.ID] = max(born, p.StartTime)
 		return
 	}
 	if len(d.order) == maxDeparted {
 		delete(d.born, d.order[0])
 		d.order = d.order[1:]
 	}
-	d.born[p.ID] = p.Born
+	d.born[p.ID] = p.StartTime
 	d.order = append(d.order, p.ID)
 }
 
 // contains reports whether the process or a later one of the same replica was added.
 func (d *departures) contains(p Process) bool {
 	born, known := d.born[p.ID]
-	return known && born >= p.Born
+	return known && born >= p.StartTime
 }
 
 func (d *departures) list() []Process {
 	out := make([]Process, 0, len(d.order))
 	for _, id := range d.order {
-		out = append(out, Process{ID: id, Born: d.born[id]})
+		out = append(out, Process{ID: id, StartTime: d.born[id]})
 	}
 	return out
 }
--- a/core/roster/feed.go
+++ b/core/roster/feed.go
@@ -13,23 +13,23 @@
 	forwardedAt time.Time
 }
 
-// Start records that the whole list was read, as of the offset next.
-func (f *Feed) Start(next int64) {
+// Reset records that the whole list was read, as of the offset next.
+func (f *Feed) Reset(next int64) {
 	f.next = next
 	f.initialized = true
 }
 
-// Lose records that the whole list must be read again.
-func (f *Feed) Lose() { f.initialized = false }
+// Invalidate records that the whole list must be read again.
+func (f *Feed) Invalidate() { f.initialized = false }
 
 // Next returns the offset to read from, and false if the whole list must be read.
 func (f *Feed) Next() (int64, bool) { return f.next, f.initialized }
 
-// Read records updates that this instance read and returns the new ones, to be forwarded.
+// ApplyRead records updates that this instance read and returns the new ones, to be forwarded.
 // It returns false if there is a gap between the updates and the last known offset. Updates
 // that another instance forwarded during the read are left out, and the returned range
 // starts after them: an instance that lacks them must recognize the gap.
-func (f *Feed) Read(u Updates) (Updates, bool) {
+func (f *Feed) ApplyRead(u Updates) (Updates, bool) {
 	if !f.initialized || u.From > f.next {
 		return Updates{}, false
 	}
@@ -38,10 +38,10 @@
 	return Updates{From: from, To: f.next, List: added}, true
 }
 
-// Passed records updates that another instance read and forwarded, and returns the new
+// ApplyForwarded records updates that another instance read and forwarded, and returns the new
 // ones. Updates after a gap and those of a sender that is behind are ignored: this instance
 // then reads by itself.
-func (f *Feed) Passed(now time.Time, u Updates) []Update {
+func (f *Feed) ApplyForwarded(now time.Time, u Updates) []Update {
 	if !f.initialized || u.From > f.next || u.To < f.next {
 		return nil
 	}
@@ -60,10 +60,10 @@
 	return added
 }
 
-// Due returns how long this instance may still rely on the forwarding instance before it
+// ReadDelay returns how long this instance may still rely on the forwarding instance before it
 // must read by itself: until timeout has passed since updates, or an empty set of them,
 // were last forwarded.
-func (f *Feed) Due(now time.Time, timeout time.Duration) time.Duration {
+func (f *Feed) ReadDelay(now time.Time, timeout time.Duration) time.Duration {
 	if !f.initialized || f.forwardedAt.IsZero() {
 		return 0
 	}
--- a/core/roster/feed_test.go
+++ b/core/roster/feed_test.go
@@ -28,56 +28,56 @@
 
 func TestFeedIgnoresUpdatesBeforeTheWholeList(t *testing.T) {
 	var f roster.Feed
-	require.Empty(t, f.Passed(start, updates(0, 3)))
-	require.Zero(t, f.Due(start, time.Second))
+	require.Empty(t, f.ApplyForwarded(start, updates(0, 3)))
+	require.Zero(t, f.ReadDelay(start, time.Second))
 	_, known := f.Next()
 	require.False(t, known)
 }
 
 func TestFeedReliesOnForwardedUpdates(t *testing.T) {
 	var f roster.Feed
-	f.Start(5)
-	require.Zero(t, f.Due(start, time.Second))
-	require.Equal(t, []int64{5, 6}, offsets(f.Passed(start, updates(3, 7))))
-	require.Equal(t, time.Second, f.Due(start, time.Second))
-	require.Equal(t, 400*time.Millisecond, f.Due(start.Add(600*time.Millisecond), time.Second))
-	require.Zero(t, f.Due(start.Add(2*time.Second), time.Second))
+	f.Reset(5)
+	require.Zero(t, f.ReadDelay(start, time.Second))
+	require.Equal(t, []int64{5, 6}, offsets(f.ApplyForwarded(start, updates(3, 7))))
+	require.Equal(t, time.Second, f.ReadDelay(start, time.Second))
+	require.Equal(t, 400*time.Millisecond, f.ReadDelay(start.Add(600*time.Millisecond), time.Second))
+	require.Zero(t, f.ReadDelay(start.Add(2*time.Second), time.Second))
 	later := start.Add(1900 * time.Millisecond)
-	require.Empty(t, f.Passed(later, updates(7, 7)), "an empty set of updates shows that the sender works")
-	require.Equal(t, time.Second, f.Due(later, time.Second))
+	require.Empty(t, f.ApplyForwarded(later, updates(7, 7)), "an empty set of updates shows that the sender works")
+	require.Equal(t, time.Second, f.ReadDelay(later, time.Second))
 }
 
 // An update may be lost on its way, and a forwarding instance may be behind.
 func TestFeedReadsItselfAfterAGap(t *testing.T) {
 	var f roster.Feed
-	f.Start(5)
-	require.Empty(t, f.Passed(start, updates(6, 8)))
-	require.Empty(t, f.Passed(start, updates(2, 4)))
-	require.Zero(t, f.Due(start, time.Second))
+	f.Reset(5)
+	require.Empty(t, f.ApplyForwarded(start, updates(6, 8)))
+	require.Empty(t, f.ApplyForwarded(start, updates(2, 4)))
+	require.Zero(t, f.ReadDelay(start, time.Second))
 	next, known := f.Next()
 	require.True(t, known)
 	require.Equal(t, int64(5), next)
-	read, ok := f.Read(updates(5, 8))
+	read, ok := f.ApplyRead(updates(5, 8))
 	require.True(t, ok)
 	require.Equal(t, []int64{5, 6, 7}, offsets(read.List))
-	f.Lose()
-	require.Empty(t, f.Passed(start, updates(8, 9)))
+	f.Invalidate()
+	require.Empty(t, f.ApplyForwarded(start, updates(8, 9)))
 }
 
 // Own reads and forwarded updates may arrive in any order.
 func TestFeedReturnsEachUpdateOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f roster.Feed
-		f.Start(0)
+		f.Reset(0)
 		want := int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			from := rapid.Int64Range(0, 50).Draw(t, "from")
 			u := updates(from, from+rapid.Int64Range(0, 10).Draw(t, "n"))
 			var got []roster.Update
 			if rapid.Bool().Draw(t, "passed") {
-				got = f.Passed(start, u)
+				got = f.ApplyForwarded(start, u)
 			} else {
-				read, _ := f.Read(u)
+				read, _ := f.ApplyRead(u)
 				got = read.List
 			}
 			for _, one := range got {
@@ -104,7 +104,7 @@
 			}
 		}
 		for i := range feeds {
-			feeds[i].Start(0)
+			feeds[i].Reset(0)
 		}
 		end := int64(0)
 		// reading holds the updates that an instance is about to receive from the store.
@@ -122,13 +122,13 @@
 				if reading[i] == nil {
 					continue
 				}
-				read, ok := feeds[i].Read(*reading[i])
+				read, ok := feeds[i].ApplyRead(*reading[i])
 				reading[i] = nil
 				require.True(t, ok)
 				apply(i, read.List)
 				for k := range feeds {
 					if k != i && rapid.Bool().Draw(t, "arrives") {
-						apply(k, feeds[k].Passed(start, read))
+						apply(k, feeds[k].ApplyForwarded(start, read))
 					}
 				}
 			}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -35,9 +35,9 @@
 	Kind  string
 	Slots int
 	State State
-	// Born is the start time of the replica in Unix milliseconds. It distinguishes restarts
+	// StartTime is the start time of the replica in Unix milliseconds. It distinguishes restarts
 	// under the same ID.
-	Born int64
+	StartTime int64
 	// Layers is nil while the replica holds no layers.
 	Layers *Layers
 	// Sequence counts heartbeats. It starts again when the replica restarts.
@@ -72,28 +72,28 @@
 	// again.
 	unavailable bool
 	restoredAt  time.Time
-	ended       []Ended
+	ended       []EndedProcess
 	// departed holds the processes that are leaving for good or have left.
 	departed departures
 }
 
 // Process is one process of a replica, from its start to its end.
 type Process struct {
-	ID   string
-	Born int64
+	ID        string
+	StartTime int64
 }
 
-// Ended is a process of a replica that ended without having announced it.
-type Ended struct {
-	ID   string
-	Born int64
+// EndedProcess is a process of a replica that ended without having announced it.
+type EndedProcess struct {
+	ID        string
+	StartTime int64
 	// Restarted is true if a later process of the replica, or another replica at its
 	// address, is listed, false if the entry was removed.
 	Restarted bool
 }
 
-// TakeEnded returns the processes whose end was detected since the last call.
-func (r *Roster) TakeEnded() []Ended {
+// DrainEnded returns the processes whose end was detected since the last call.
+func (r *Roster) DrainEnded() []EndedProcess {
 	ended := r.ended
 	r.ended = nil
 	return ended
@@ -120,17 +120,17 @@
 
 // Changes.
 const (
-	// Same means that at most the heartbeat changed.
-	Same Change = iota
+	// Unchanged means that at most the heartbeat changed.
+	Unchanged Change = iota
 	// Joined means that a new replica, or a new process of a known one, was listed.
 	Joined
 	// Left means that the replica no longer accepts new work.
 	Left
 	// Updated means another change, for example of the layers.
 	Updated
-	// Lapsed means that the entry was removed during an outage of the store. It stays
+	// Expired means that the entry was removed during an outage of the store. It stays
 	// usable until the grace period ends.
-	Lapsed
+	Expired
 )
 
 // String returns the name used in logs.
@@ -138,11 +138,11 @@
 	return [...]string{"same", "joined", "left", "updated", "lapsed"}[c]
 }
 
-// StoreAway records that the store does not respond.
-func (r *Roster) StoreAway() { r.unavailable = true }
+// SetStoreUnavailable records that the store does not respond.
+func (r *Roster) SetStoreUnavailable() { r.unavailable = true }
 
-// StoreBack records that the store responds.
-func (r *Roster) StoreBack(now time.Time) {
+// SetStoreAvailable records that the store responds.
+func (r *Roster) SetStoreAvailable(now time.Time) {
 	if r.unavailable {
 		r.restoredAt = now
 	}
@@ -157,28 +157,28 @@
 // Put records an entry. Entries of earlier processes and earlier heartbeats are ignored.
 func (r *Roster) Put(e Entry) Change {
 	if e.State == Draining {
-		r.departed.add(Process{ID: e.ID, Born: e.Born})
+		r.departed.add(Process{ID: e.ID, StartTime: e.StartTime})
 	}
-	leaving := e.State == Draining || r.departed.contains(Process{ID: e.ID, Born: e.Born})
+	leaving := e.State == Draining || r.departed.contains(Process{ID: e.ID, StartTime: e.StartTime})
 	old := r.entries[e.ID]
 	if old == nil {
 		r.claimAddress(e)
 		r.entries[e.ID] = &trackedEntry{Entry: e, leaving: leaving}
 		return joinedOrLeft(leaving)
 	}
-	if e.Born < old.Born {
-		return Same
+	if e.StartTime < old.StartTime {
+		return Unchanged
 	}
-	restarted := e.Born > old.Born
+	restarted := e.StartTime > old.StartTime
 	if !restarted && e.Sequence < old.Sequence {
-		return Same
+		return Unchanged
 	}
 	previous := *old
 	if e.Address != previous.Address {
 		r.byAddress[e.Address] = e.ID
 	}
 	if restarted && !previous.leaving {
-		r.ended = append(r.ended, Ended{ID: e.ID, Born: previous.Born, Restarted: true})
+		r.ended = append(r.ended, EndedProcess{ID: e.ID, StartTime: previous.StartTime, Restarted: true})
 	}
 	old.Entry = e
 	old.expiredAt = time.Time{}
@@ -193,7 +193,7 @@
 	case !sameRouting(previous.Entry, e) || !previous.expiredAt.IsZero() || old.reportedRemoved != previous.reportedRemoved:
 		return Updated
 	default:
-		return Same
+		return Unchanged
 	}
 }
 
@@ -201,8 +201,8 @@
 // listed there, that one has ended.
 func (r *Roster) claimAddress(e Entry) {
 	id := r.byAddress[e.Address]
-	if old := r.entries[id]; old != nil && old.Address == e.Address && !old.leaving && old.Born < e.Born {
-		r.ended = append(r.ended, Ended{ID: id, Born: old.Born, Restarted: true})
+	if old := r.entries[id]; old != nil && old.Address == e.Address && !old.leaving && old.StartTime < e.StartTime {
+		r.ended = append(r.ended, EndedProcess{ID: id, StartTime: old.StartTime, Restarted: true})
 	}
 	r.byAddress[e.Address] = e.ID
 }
@@ -229,17 +229,17 @@
 func (r *Roster) Remove(now time.Time, id string) Change {
 	old := r.entries[id]
 	if old == nil {
-		return Same
+		return Unchanged
 	}
 	if r.InGrace(now) && !old.leaving {
 		if old.expiredAt.IsZero() {
 			old.expiredAt = now
-			return Lapsed
+			return Expired
 		}
-		return Same
+		return Unchanged
 	}
 	if !old.leaving {
-		r.ended = append(r.ended, Ended{ID: id, Born: old.Born})
+		r.ended = append(r.ended, EndedProcess{ID: id, StartTime: old.StartTime})
 	}
 	r.deleteEntry(old)
 	return Left
@@ -267,7 +267,7 @@
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
 		listed[e.ID] = true
-		if c := r.Put(e); c != Same {
+		if c := r.Put(e); c != Unchanged {
 			changed[e.ID] = c
 		}
 	}
@@ -275,7 +275,7 @@
 		if listed[id] {
 			continue
 		}
-		if c := r.Remove(now, id); c != Same {
+		if c := r.Remove(now, id); c != Unchanged {
 			changed[id] = c
 		}
 	}
@@ -291,7 +291,7 @@
 	var expired []string
 	for id, e := range r.entries {
 		if !e.expiredAt.IsZero() {
-			r.ended = append(r.ended, Ended{ID: id, Born: e.Born})
+			r.ended = append(r.ended, EndedProcess{ID: id, StartTime: e.StartTime})
 			r.deleteEntry(e)
 			expired = append(expired, id)
 		}
@@ -300,12 +300,12 @@
 	return expired
 }
 
-// Leave records a process's own announcement that it is leaving for good. Later entries of
+// MarkLeaving records a process's own announcement that it is leaving for good. Later entries of
 // that process, from the store or another instance, have no effect. It reports whether a
 // replica that accepted new work no longer does.
-func (r *Roster) Leave(p Process) bool {
+func (r *Roster) MarkLeaving(p Process) bool {
 	old := r.entries[p.ID]
-	if old != nil && old.Born > p.Born {
+	if old != nil && old.StartTime > p.StartTime {
 		return false
 	}
 	r.departed.add(p)
@@ -316,9 +316,9 @@
 	return true
 }
 
-// Removed records another instance's report that the entry of a replica was removed. It
+// MarkRemoved records another instance's report that the entry of a replica was removed. It
 // reports whether a replica that accepted new work no longer does.
-func (r *Roster) Removed(id string) bool {
+func (r *Roster) MarkRemoved(id string) bool {
 	old := r.entries[id]
 	if old == nil || old.leaving || old.reportedRemoved {
 		return false
@@ -330,8 +330,8 @@
 // Departed returns the remembered processes that are leaving for good or have left.
 func (r *Roster) Departed() []Process { return r.departed.list() }
 
-// Usable returns the entries of a service that accept new work, sorted by ID.
-func (r *Roster) Usable(service string) []Entry {
+// Available returns the entries of a service that accept new work, sorted by ID.
+func (r *Roster) Available(service string) []Entry {
 	var out []Entry
 	for _, e := range r.entries {
 		if e.Service == service && !e.leaving && !e.reportedRemoved {
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -12,12 +12,12 @@
 var start = time.Unix(1000, 0)
 
 func entry(id string, sequence int64) roster.Entry {
-	return roster.Entry{ID: id, Service: "s", Address: "10.0.0.1:80", Zone: "a", Born: 100, Sequence: sequence}
+	return roster.Entry{ID: id, Service: "s", Address: "10.0.0.1:80", Zone: "a", StartTime: 100, Sequence: sequence}
 }
 
 func usable(r *roster.Roster) []string {
 	var ids []string
-	for _, e := range r.Usable("s") {
+	for _, e := range r.Available("s") {
 		ids = append(ids, e.ID)
 	}
 	return ids
@@ -30,10 +30,10 @@
 	e.State = roster.Draining
 	require.Equal(t, roster.Left, r.Put(e))
 	require.Empty(t, usable(r))
-	require.Equal(t, roster.Same, r.Put(entry("a", 3)), "a leaving replica accepts no work until it restarts")
+	require.Equal(t, roster.Unchanged, r.Put(entry("a", 3)), "a leaving replica accepts no work until it restarts")
 	require.Empty(t, usable(r))
 	again := entry("a", 1)
-	again.Born = 200
+	again.StartTime = 200
 	require.Equal(t, roster.Joined, r.Put(again))
 	require.Equal(t, []string{"a"}, usable(r))
 }
@@ -43,10 +43,10 @@
 	e := entry("a", 5)
 	e.Layers = &roster.Layers{From: 0, To: 4}
 	r.Put(e)
-	require.Equal(t, roster.Same, r.Put(entry("a", 4)))
+	require.Equal(t, roster.Unchanged, r.Put(entry("a", 4)))
 	old := entry("a", 9)
-	old.Born = 50
-	require.Equal(t, roster.Same, r.Put(old))
+	old.StartTime = 50
+	require.Equal(t, roster.Unchanged, r.Put(old))
 	got, _, _ := r.Get("a")
 	require.NotNil(t, got.Layers)
 }
@@ -54,7 +54,7 @@
 func TestHeartbeatsAloneChangeNothing(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
-	require.Equal(t, roster.Same, r.Put(entry("a", 2)))
+	require.Equal(t, roster.Unchanged, r.Put(entry("a", 2)))
 }
 
 func TestLayersAreAnUpdate(t *testing.T) {
@@ -70,17 +70,17 @@
 	r.Put(entry("a", 1))
 	require.Equal(t, roster.Left, r.Remove(start, "a"))
 	require.Empty(t, usable(r))
-	require.Equal(t, roster.Same, r.Remove(start, "a"))
+	require.Equal(t, roster.Unchanged, r.Remove(start, "a"))
 }
 
 func TestEntriesExpiredInAnOutageMayBeRestored(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
 	r.Put(entry("b", 1))
-	r.StoreAway()
-	r.StoreBack(start)
-	require.Equal(t, roster.Lapsed, r.Remove(start.Add(time.Second), "a"))
-	require.Equal(t, roster.Lapsed, r.Remove(start.Add(time.Second), "b"))
+	r.SetStoreUnavailable()
+	r.SetStoreAvailable(start)
+	require.Equal(t, roster.Expired, r.Remove(start.Add(time.Second), "a"))
+	require.Equal(t, roster.Expired, r.Remove(start.Add(time.Second), "b"))
 	require.Equal(t, []string{"a", "b"}, usable(r))
 	require.Equal(t, roster.Updated, r.Put(entry("a", 2)))
 	require.Empty(t, r.Expire(start.Add(2*time.Second)))
@@ -93,7 +93,7 @@
 	e := entry("a", 1)
 	e.State = roster.Draining
 	r.Put(e)
-	r.StoreAway()
+	r.SetStoreUnavailable()
 	require.Equal(t, roster.Left, r.Remove(start, "a"))
 	require.Zero(t, r.Len())
 }
@@ -110,9 +110,9 @@
 func TestLeaveReportedByPeer(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
-	require.False(t, r.Leave(roster.Process{ID: "a", Born: 99}), "another process of the replica")
-	require.True(t, r.Leave(roster.Process{ID: "a", Born: 100}))
-	require.False(t, r.Leave(roster.Process{ID: "a", Born: 100}))
+	require.False(t, r.MarkLeaving(roster.Process{ID: "a", StartTime: 99}), "another process of the replica")
+	require.True(t, r.MarkLeaving(roster.Process{ID: "a", StartTime: 100}))
+	require.False(t, r.MarkLeaving(roster.Process{ID: "a", StartTime: 100}))
 	require.Empty(t, usable(r))
 }
 
@@ -122,18 +122,18 @@
 	for _, unavailable := range []bool{false, true} {
 		r := roster.New()
 		r.Put(entry("a", 5))
-		r.Leave(roster.Process{ID: "a", Born: 100})
+		r.MarkLeaving(roster.Process{ID: "a", StartTime: 100})
 		if unavailable {
-			r.StoreAway()
+			r.SetStoreUnavailable()
 		}
 		r.Remove(start, "a")
-		r.StoreBack(start)
+		r.SetStoreAvailable(start)
 		require.Equal(t, roster.Left, r.Put(entry("a", 6)))
 		require.Empty(t, usable(r))
 		r.Replace(start, []roster.Entry{entry("a", 7)})
 		require.Empty(t, usable(r))
 		again := entry("a", 1)
-		again.Born = 101
+		again.StartTime = 101
 		require.Equal(t, roster.Joined, r.Put(again))
 		require.Equal(t, []string{"a"}, usable(r))
 	}
@@ -142,20 +142,20 @@
 // On an instance that has just started, a peer's report may arrive before the entry.
 func TestLeavingIsKnownBeforeTheEntry(t *testing.T) {
 	r := roster.New()
-	require.False(t, r.Leave(roster.Process{ID: "a", Born: 100}))
+	require.False(t, r.MarkLeaving(roster.Process{ID: "a", StartTime: 100}))
 	require.Equal(t, roster.Left, r.Put(entry("a", 1)))
 	require.Empty(t, usable(r))
-	require.Equal(t, []roster.Process{{ID: "a", Born: 100}}, r.Departed())
+	require.Equal(t, []roster.Process{{ID: "a", StartTime: 100}}, r.Departed())
 }
 
 // A later heartbeat cancels the report: the replica was only unresponsive.
 func TestRemovalReportedByPeer(t *testing.T) {
 	r := roster.New()
 	r.Put(entry("a", 1))
-	require.True(t, r.Removed("a"))
-	require.False(t, r.Removed("a"))
+	require.True(t, r.MarkRemoved("a"))
+	require.False(t, r.MarkRemoved("a"))
 	require.Empty(t, usable(r))
-	require.Equal(t, roster.Same, r.Put(entry("a", 1)))
+	require.Equal(t, roster.Unchanged, r.Put(entry("a", 1)))
 	require.Empty(t, usable(r))
 	require.Equal(t, roster.Updated, r.Put(entry("a", 2)))
 	require.Equal(t, []string{"a"}, usable(r))
@@ -166,7 +166,7 @@
 func TestUnannouncedEnds(t *testing.T) {
 	now := time.Unix(0, 0)
 	entry := func(id, address string, born int64, state roster.State) roster.Entry {
-		return roster.Entry{ID: id, Service: "s", Address: address, Born: born, State: state}
+		return roster.Entry{ID: id, Service: "s", Address: address, StartTime: born, State: state}
 	}
 	r := roster.New()
 	for _, e := range []roster.Entry{
@@ -175,17 +175,17 @@
 	} {
 		r.Put(e)
 	}
-	require.Empty(t, r.TakeEnded())
+	require.Empty(t, r.DrainEnded())
 	r.Put(entry("restarts", "a", 2, roster.Ready))
 	r.Put(entry("other", "b", 2, roster.Ready))
 	r.Remove(now, "lapses")
 	r.Remove(now, "leaves")
 	r.Put(entry("after", "d", 2, roster.Ready))
 	r.Put(entry("leaves-and-restarts", "e", 2, roster.Ready))
-	require.Equal(t, []roster.Ended{
-		{ID: "restarts", Born: 1, Restarted: true},
-		{ID: "replaced", Born: 1, Restarted: true},
-		{ID: "lapses", Born: 1},
-	}, r.TakeEnded())
-	require.Empty(t, r.TakeEnded())
+	require.Equal(t, []roster.EndedProcess{
+		{ID: "restarts", StartTime: 1, Restarted: true},
+		{ID: "replaced", StartTime: 1, Restarted: true},
+		{ID: "lapses", StartTime: 1},
+	}, r.DrainEnded())
+	require.Empty(t, r.DrainEnded())
 }
--- a/core/zoneload/zoneload.go
+++ b/core/zoneload/zoneload.go
@@ -55,20 +55,20 @@
 	return &Sums{zone: zone, peers: map[string]received{}, zones: map[string]received{}, otherZones: received{Loads: New()}}
 }
 
-// Peer records the load of another instance. It replaces the one recorded before.
-func (s *Sums) Peer(now time.Time, id, zone string, l Loads) {
+// SetPeer records the load of another instance. It replaces the one recorded before.
+func (s *Sums) SetPeer(now time.Time, id, zone string, l Loads) {
 	s.peers[id] = received{receivedAt: now, zone: zone, Loads: l}
 }
 
-// Zone records the sum of another zone that its relay sent.
-func (s *Sums) Zone(now time.Time, zone string, l Loads) {
+// SetZone records the sum of another zone that its relay sent.
+func (s *Sums) SetZone(now time.Time, zone string, l Loads) {
 	if zone != s.zone {
 		s.zones[zone] = received{receivedAt: now, zone: zone, Loads: l}
 	}
 }
 
-// Others records the sum of all other zones that the relay of this zone sent.
-func (s *Sums) Others(now time.Time, l Loads) { s.otherZones = received{receivedAt: now, Loads: l} }
+// SetOthers records the sum of all other zones that the relay of this zone sent.
+func (s *Sums) SetOthers(now time.Time, l Loads) { s.otherZones = received{receivedAt: now, Loads: l} }
 
 // Expire deletes loads that were received before oldest.
 func (s *Sums) Expire(oldest time.Time) {
@@ -108,9 +108,9 @@
 	return sum
 }
 
-// Foreign returns the load of all other instances. A relay receives the load of the other
+// Remote returns the load of all other instances. A relay receives the load of the other
 // zones from their relays, any other instance receives it from the relay of its own zone.
-func (s *Sums) Foreign(relay bool) Loads {
+func (s *Sums) Remote(relay bool) Loads {
 	sum := New()
 	for _, p := range s.peers {
 		sum.add(p.Loads)
--- a/core/zoneload/zoneload_test.go
+++ b/core/zoneload/zoneload_test.go
@@ -54,17 +54,17 @@
 		}
 		each(func(a, b *instance) {
 			if !relays || a.zone == b.zone {
-				b.sums.Peer(start, a.id, a.zone, a.own)
+				b.sums.SetPeer(start, a.id, a.zone, a.own)
 			}
 		})
 		each(func(a, b *instance) {
 			if a.relay && b.relay {
-				b.sums.Zone(start, a.zone, a.sums.OwnZone(a.own))
+				b.sums.SetZone(start, a.zone, a.sums.OwnZone(a.own))
 			}
 		})
 		each(func(a, b *instance) {
 			if a.relay && a.zone == b.zone {
-				b.sums.Others(start, a.sums.OtherZones())
+				b.sums.SetOthers(start, a.sums.OtherZones())
 			}
 		})
 		for _, b := range all {
@@ -78,9 +78,9 @@
 					}
 				}
 			}
-			require.Equal(t, want, b.sums.Foreign(b.relay))
+			require.Equal(t, want, b.sums.Remote(b.relay))
 			b.sums.Expire(start.Add(time.Second))
-			require.Equal(t, zoneload.New(), b.sums.Foreign(b.relay), "old loads are deleted")
+			require.Equal(t, zoneload.New(), b.sums.Remote(b.relay), "old loads are deleted")
 		}
 	})
 }
--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -53,7 +53,7 @@
 	a.neighbors = neighbor.NewChooser(neighbor.DefaultLimits())
 	a.sharer = sharing.New(sharing.Options{
 		ID: s.Instance.ID, Peers: n, Pools: a.router, Logger: a.logger,
-		OnMember: func(membership.Changed) { a.updateEntryInstances() },
+		OnMember: func(membership.StateChange) { a.updateEntryInstances() },
 		Teller:   publisherConfig(s.Peers.DigestPeriod),
 	})
 	a.runInGroup(ctx, a.sharer.Run)
--- a/node/control/control.go
+++ b/node/control/control.go
@@ -224,7 +224,7 @@
 	c.store = storeStatus{}
 	close(c.available)
 	c.available = nil
-	c.roster.StoreBack(now)
+	c.roster.SetStoreAvailable(now)
 	if c.cancelPoll != nil {
 		c.cancelPoll()
 	}
@@ -243,7 +243,7 @@
 		c.available = make(chan struct{})
 		c.log.Warn("store is unavailable", zap.String("call", call), zap.Error(err))
 	}
-	c.roster.StoreAway()
+	c.roster.SetStoreUnavailable()
 	available := c.available
 	c.mu.Unlock()
 	if call == membershipCall {
@@ -309,7 +309,7 @@
 		zap.Int("routes", len(cfg.Routes)), zap.Int("services", len(cfg.Services)), zap.Int("workspaces", len(cfg.Workspaces)))
 	c.version = cfg.Version
 	c.opts.Gateway.Configure(routing.NewTable(cfg))
-	c.opts.Gateway.SetReplicas(c.roster.Usable)
+	c.opts.Gateway.SetReplicas(c.roster.Available)
 	c.configLoaded.Store(true)
 	if c.Ready() {
 		c.opts.Gateway.Open()
@@ -332,9 +332,9 @@
 // new.
 func (c *Control) markLeaving(p roster.Process, source string) bool {
 	c.mu.Lock()
-	isNew := c.roster.Leave(p)
+	isNew := c.roster.MarkLeaving(p)
 	if isNew {
-		c.log.Info("replica shuts down", zap.String("replica", p.ID), zap.Int64("born", p.Born), zap.String("source", source))
+		c.log.Info("replica shuts down", zap.String("replica", p.ID), zap.Int64("born", p.StartTime), zap.String("source", source))
 		if e, _, ok := c.roster.Get(p.ID); ok {
 			c.lastChange[e.Zone] = time.Now()
 		}
@@ -349,7 +349,7 @@
 // the store; the other instance has had access to the store all along.
 func (c *Control) Removed(id string) {
 	c.mu.Lock()
-	marked := c.roster.InGrace(time.Now()) && c.roster.Removed(id)
+	marked := c.roster.InGrace(time.Now()) && c.roster.MarkRemoved(id)
 	if marked {
 		c.log.Info("entry of a replica was removed", zap.String("replica", id), zap.String("source", "another instance"))
 	}
--- a/node/control/control_test.go
+++ b/node/control/control_test.go
@@ -146,7 +146,7 @@
 	}
 	return &fakePlatform{
 		config:     &routing.Config{Version: 3, Services: []routing.Service{{Name: "s", Model: m}}},
-		entries:    []roster.Entry{{ID: "r", Service: "s", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Born: 1, Sequence: 1}},
+		entries:    []roster.Entry{{ID: "r", Service: "s", Address: "10.0.0.1:80", Zone: "z", Kind: "k", StartTime: 1, Sequence: 1}},
 		leader:     true,
 		generation: 7,
 	}
--- a/node/control/duty.go
+++ b/node/control/duty.go
@@ -281,7 +281,7 @@
 		c.lastChange[e.Zone] = time.Now()
 		c.log.Info("replica left out of the layout", zap.String("replica", id), zap.Int64("heartbeat", e.Sequence))
 	}
-	c.unresponsive[id] = failureReport{born: e.Born, heartbeat: e.Sequence, until: time.Now().Add(suspectedFailureTime)}
+	c.unresponsive[id] = failureReport{born: e.StartTime, heartbeat: e.Sequence, until: time.Now().Add(suspectedFailureTime)}
 }
 
 // suspected reports whether a replica is left out as unresponsive. The lock is held.
@@ -290,7 +290,7 @@
 	if !ok {
 		return false
 	}
-	if s.born != e.Born || e.Sequence >= s.heartbeat+recoveryHeartbeats || now.After(s.until) {
+	if s.born != e.StartTime || e.Sequence >= s.heartbeat+recoveryHeartbeats || now.After(s.until) {
 		delete(c.unresponsive, e.ID)
 		return false
 	}
@@ -326,7 +326,7 @@
 	now := time.Now()
 	entries := map[string]roster.Entry{}
 	var out []layout.Replica
-	for _, e := range c.roster.Usable(service) {
+	for _, e := range c.roster.Available(service) {
 		if c.suspected(now, e) || c.opts.Gateway.Slow(e) {
 			continue
 		}
@@ -339,7 +339,7 @@
 			n.From, n.To = from, to
 		}
 		if p, ok := c.pending[e.ID]; ok {
-			if p.born != e.Born || now.After(p.until) || (p.from == n.From && p.to == n.To) {
+			if p.born != e.StartTime || now.After(p.until) || (p.from == n.From && p.to == n.To) {
 				delete(c.pending, e.ID)
 			} else {
 				n.PendingFrom, n.PendingTo = p.from, p.to
--- a/node/control/duty_test.go
+++ b/node/control/duty_test.go
@@ -82,14 +82,14 @@
 func TestSuspectedReplicaRecoversWithHeartbeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Logger: zap.NewNop()})
-	e := roster.Entry{ID: "r", Born: 1, Sequence: 4}
+	e := roster.Entry{ID: "r", StartTime: 1, Sequence: 4}
 	c.unresponsive["r"] = failureReport{born: 1, heartbeat: 4, until: now.Add(time.Minute)}
 	require.True(t, c.suspected(now, e))
 	e.Sequence = 5
 	require.True(t, c.suspected(now, e))
 	e.Sequence = 6
 	require.False(t, c.suspected(now, e))
-	require.False(t, c.suspected(now, roster.Entry{ID: "r", Born: 1, Sequence: 4}))
+	require.False(t, c.suspected(now, roster.Entry{ID: "r", StartTime: 1, Sequence: 4}))
 }
 
 // When the generation changes, the next join sends it. Until then the store does not hand
--- a/node/control/evidence.go
+++ b/node/control/evidence.go
@@ -99,7 +99,7 @@
 		c.storeResponded("evidence")
 		if len(list) > 0 {
 			c.log.Info("evidence read", zap.Int("crashes", len(list)))
-			c.opts.Gateway.LearnEvidence(poison.State{Crashes: list})
+			c.opts.Gateway.LearnEvidence(poison.Evidence{Crashes: list})
 		}
 	}
 	return nil
--- a/node/control/follow.go
+++ b/node/control/follow.go
@@ -126,7 +126,7 @@
 		case errors.Is(err, ErrHistoryGone):
 			c.log.Info("history of the replicas was truncated, reading all entries")
 			c.mu.Lock()
-			c.feed.Lose()
+			c.feed.Invalidate()
 			c.mu.Unlock()
 			continue
 		case err != nil:
@@ -161,7 +161,7 @@
 	if c.leadership.Duty {
 		return 0
 	}
-	return c.feed.Due(now, relayedReadTimeout+c.readDelay)
+	return c.feed.ReadDelay(now, relayedReadTimeout+c.readDelay)
 }
 
 // readInterval returns the time until the next read. It is shorter for the leader, which
@@ -195,7 +195,7 @@
 	}
 	c.reportMalformed(malformed)
 	c.mu.Lock()
-	c.feed.Start(cursor)
+	c.feed.Reset(cursor)
 	changes := c.roster.Replace(time.Now(), list)
 	for id, change := range changes {
 		c.logChange(id, change)
@@ -217,7 +217,7 @@
 	}
 	c.reportMalformed(malformed)
 	c.mu.Lock()
-	fresh, follows := c.feed.Read(updates)
+	fresh, follows := c.feed.ApplyRead(updates)
 	fresh.List = c.update(fresh.List)
 	c.readDelay = c.randomReadDelay()
 	c.mu.Unlock()
@@ -248,11 +248,11 @@
 	for _, u := range list {
 		change := c.roster.Apply(now, u)
 		draining := u.Entry != nil && u.Entry.State == roster.Draining
-		if change == roster.Same && u.Entry != nil && !draining {
+		if change == roster.Unchanged && u.Entry != nil && !draining {
 			continue
 		}
 		changed = append(changed, u)
-		if change != roster.Same {
+		if change != roster.Unchanged {
 			c.logChange(u.ID, change)
 		}
 	}
@@ -262,7 +262,7 @@
 // TakeUpdates applies updates that the leader has read.
 func (c *Control) TakeUpdates(u roster.Updates) {
 	c.mu.Lock()
-	changed := c.update(c.feed.Passed(time.Now(), u))
+	changed := c.update(c.feed.ApplyForwarded(time.Now(), u))
 	c.readDelay = c.randomReadDelay()
 	c.mu.Unlock()
 	c.updateGateway(len(changed) > 0)
@@ -297,7 +297,7 @@
 func (c *Control) publishDeparture(id string, e roster.Entry) {
 	switch {
 	case e.ID != "" && c.opts.OnLeaving != nil:
-		c.opts.OnLeaving(roster.Process{ID: id, Born: e.Born})
+		c.opts.OnLeaving(roster.Process{ID: id, StartTime: e.StartTime})
 	case e.ID == "" && c.opts.OnRemoved != nil:
 		c.opts.OnRemoved(id)
 	}
@@ -322,8 +322,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.opts.Gateway.SetReplicas(c.roster.Usable)
-	for _, e := range c.roster.TakeEnded() {
-		c.opts.Gateway.ReplicaEnded(poison.Incarnation{Replica: e.ID, Born: e.Born}, e.Restarted)
+	c.opts.Gateway.SetReplicas(c.roster.Available)
+	for _, e := range c.roster.DrainEnded() {
+		c.opts.Gateway.ReplicaEnded(poison.Process{Replica: e.ID, StartTime: e.StartTime}, e.Restarted)
 	}
 }
--- a/node/control/follow_test.go
+++ b/node/control/follow_test.go
@@ -85,7 +85,7 @@
 // entryAt returns an update of the replica r.
 func entryAt(offset, heartbeat int64, state roster.State) roster.Update {
 	return roster.Update{ID: "r", Offset: offset, Entry: &roster.Entry{
-		ID: "r", Service: "s", Address: "10.0.0.1:80", Zone: "z", Kind: "k", Born: 1, Sequence: heartbeat, State: state,
+		ID: "r", Service: "s", Address: "10.0.0.1:80", Zone: "z", Kind: "k", StartTime: 1, Sequence: heartbeat, State: state,
 	}}
 }
 
--- a/node/control/orders.go
+++ b/node/control/orders.go
@@ -19,7 +19,7 @@
 	for _, o := range assignments {
 		e := entries[o.ID]
 		c.mu.Lock()
-		c.pending[o.ID] = assignment{from: o.From, to: o.To, born: e.Born, until: time.Now().Add(assignmentTimeout)}
+		c.pending[o.ID] = assignment{from: o.From, to: o.To, born: e.StartTime, until: time.Now().Add(assignmentTimeout)}
 		c.mu.Unlock()
 		wg.Go(func() { c.sendAssignment(ctx, m, e, o, len(assignments), token) })
 	}
@@ -33,7 +33,7 @@
 		zap.Int("from", o.From), zap.Int("to", o.To), zap.String("why", o.Reason), zap.Int64("fence", token),
 		zap.Int64("heartbeat", e.Sequence), zap.Stringer("result", res.Status), zap.Duration("pause", res.Pause), zap.Error(err))
 	if res.Leaving {
-		c.ReplicaLeaves(roster.Process{ID: e.ID, Born: e.Born})
+		c.ReplicaLeaves(roster.Process{ID: e.ID, StartTime: e.StartTime})
 	}
 	if err != nil {
 		c.delayAssignment(o.ID, res.Pause)
--- a/node/duty/duty.go
+++ b/node/duty/duty.go
@@ -33,8 +33,8 @@
 )
 
 // DefaultTerms returns the default lease durations.
-func DefaultTerms() lease.Terms {
-	return lease.Terms{TTL: defaultTTL, Margin: defaultMargin, Renew: defaultRenewInterval}
+func DefaultTerms() lease.Timing {
+	return lease.Timing{TTL: defaultTTL, Margin: defaultMargin, Renew: defaultRenewInterval}
 }
 
 // Options configures a Keeper. Log, Appender, Stream, Self and Terms are required.
@@ -44,7 +44,7 @@
 	Stream   string
 	// Self is the name of this instance.
 	Self   string
-	Terms  lease.Terms
+	Terms  lease.Timing
 	Logger *zap.Logger
 }
 
@@ -70,7 +70,7 @@
 func (k *Keeper) Want(duty string, wanted bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.machine.Want(duty, wanted)
+	k.machine.SetWanted(duty, wanted)
 }
 
 // Valid reports whether this instance may act as the leader of the task now, and under
--- a/node/follower/follower.go
+++ b/node/follower/follower.go
@@ -200,7 +200,7 @@
 		f.opts.Logger.Warn("reading the configuration stream failed", zap.Error(err))
 	}
 	f.mu.Lock()
-	f.machine.Unavailable()
+	f.machine.SetUnavailable()
 	f.activateRevision()
 	f.mu.Unlock()
 	sleep(ctx, minRetry+rand.N(maxRetry-minRetry))
--- a/node/follower/publish.go
+++ b/node/follower/publish.go
@@ -38,7 +38,7 @@
 // proposalWaiter is a call of Publish that waits for the decision on its proposal.
 type proposalWaiter struct {
 	base     uint64
-	decision chan revision.Verdict
+	decision chan revision.ProposalResult
 }
 
 // Publish proposes content as the successor of revision base, and waits until the log
@@ -87,7 +87,7 @@
 	if f.machine.Status().Reason == revision.ReasonUnavailable {
 		return nil, trace.Wrap(logstream.ErrUnavailable)
 	}
-	w := &proposalWaiter{base: base, decision: make(chan revision.Verdict, 1)}
+	w := &proposalWaiter{base: base, decision: make(chan revision.ProposalResult, 1)}
 	f.waiters[id] = w
 	return w, nil
 }
@@ -99,7 +99,7 @@
 }
 
 // resolve passes a decision to the waiter of the proposal. The lock is held.
-func (f *Follower) resolve(v revision.Verdict) {
+func (f *Follower) resolve(v revision.ProposalResult) {
 	if w, ok := f.waiters[v.ID]; ok {
 		w.decision <- v
 		delete(f.waiters, v.ID)
@@ -115,12 +115,12 @@
 		if !ok {
 			continue
 		}
-		f.resolve(revision.Verdict{ID: id, Accepted: winner.ID == id, Revision: s.Revision, Winner: winner})
+		f.resolve(revision.ProposalResult{ID: id, Accepted: winner.ID == id, Revision: s.Revision, Winner: winner})
 	}
 }
 
 // publishResult converts a decision to the result of Publish.
-func publishResult(v revision.Verdict) (uint64, error) {
+func publishResult(v revision.ProposalResult) (uint64, error) {
 	switch {
 	case v.Accepted:
 		return v.Winner.Revision, nil
--- a/node/gateway/crashes.go
+++ b/node/gateway/crashes.go
@@ -46,7 +46,7 @@
 	mu     sync.Mutex
 	ledger *poison.Ledger
 	// checkedAt is when each replica process was last checked.
-	checkedAt map[poison.Incarnation]time.Time
+	checkedAt map[poison.Process]time.Time
 
 	queue chan check
 	// activeChecks counts the checks in progress; while it is 0, responses are not
@@ -58,7 +58,7 @@
 
 // check is a replica process whose connections are to be checked.
 type check struct {
-	poison.Incarnation
+	poison.Process
 	address string
 }
 
@@ -68,7 +68,7 @@
 		client:    client,
 		metrics:   metrics,
 		ledger:    poison.NewLedger(poison.Retention),
-		checkedAt: map[poison.Incarnation]time.Time{},
+		checkedAt: map[poison.Process]time.Time{},
 		queue:     make(chan check, maxQueuedChecks),
 	}
 }
@@ -107,43 +107,43 @@
 
 // recordLostRun records a run without a complete response. processes are those that it ran
 // on, without the ones that shut down meanwhile.
-func (k *crashGuard) recordLostRun(c *call, processes []poison.Incarnation, began time.Time, progressed bool) {
+func (k *crashGuard) recordLostRun(c *call, processes []poison.Process, began time.Time, progressed bool) {
 	if len(processes) == 0 {
 		return
 	}
 	run := poison.LostRun{
 		Fingerprint: c.fingerprint,
 		Run:         poison.Run{Attempt: attemptOf(c), Number: c.lostRuns},
-		Parts:       processes,
+		Processes:   processes,
 		Progressed:  progressed,
-		Began:       began,
+		SentAt:      began,
 	}
 	c.lostRuns++
 	k.log.Info("run lost", zap.String("request", c.ID), zap.Stringer("fingerprint", c.fingerprint), zap.Uint64("attempt", run.Run.Attempt),
 		zap.Uint32("run", run.Run.Number), zap.Strings("parts", processNames(processes)), zap.Bool("progressed", progressed), zap.Duration("after", time.Since(began)))
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.logCrashes(k.ledger.Lost(time.Now(), run), "had already ended")
+	k.logCrashes(k.ledger.RecordLostRun(time.Now(), run), "had already ended")
 }
 
 // processNames returns the replica IDs with the start times of the processes.
-func processNames(processes []poison.Incarnation) []string {
+func processNames(processes []poison.Process) []string {
 	out := make([]string, 0, len(processes))
 	for _, p := range processes {
-		out = append(out, p.Replica+"@"+strconv.FormatInt(p.Born, 10))
+		out = append(out, p.Replica+"@"+strconv.FormatInt(p.StartTime, 10))
 	}
 	return out
 }
 
 // recordEnd records that a replica process ended.
-func (k *crashGuard) recordEnd(r poison.Incarnation, evidence string) {
+func (k *crashGuard) recordEnd(r poison.Process, evidence string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if evidence == endRemoved {
-		k.logCrashes(k.ledger.Removed(time.Now(), r), evidence)
+		k.logCrashes(k.ledger.RecordRemoval(time.Now(), r), evidence)
 		return
 	}
-	k.logCrashes(k.ledger.Ended(time.Now(), r), evidence)
+	k.logCrashes(k.ledger.RecordEnd(time.Now(), r), evidence)
 }
 
 // logCrashes logs each crash, and each request that is blocked because of it. The lock is
@@ -152,7 +152,7 @@
 	for _, c := range crashes {
 		k.metrics.Crashed()
 		k.log.Info("replica ended while running a request", zap.Stringer("fingerprint", c.Fingerprint), zap.String("replica", c.Replica.Replica),
-			zap.Int64("born", c.Replica.Born), zap.String("sign", evidence), zap.Bool("progressed", c.Progressed),
+			zap.Int64("born", c.Replica.StartTime), zap.String("sign", evidence), zap.Bool("progressed", c.Progressed),
 			zap.Uint64("attempt", c.Run.Attempt), zap.Uint32("run", c.Run.Number),
 			zap.Int("incidents", k.ledger.Incidents(c.Fingerprint)))
 		if k.ledger.IsBlocked(c.Fingerprint) {
@@ -172,7 +172,7 @@
 	}
 	list := make([]item, 0, len(crashes))
 	for _, c := range crashes {
-		list = append(list, item{c.Replica.Replica, c.Replica.Born, time.Since(c.At).Milliseconds(), c.Own})
+		list = append(list, item{c.Replica.Replica, c.Replica.StartTime, time.Since(c.At).Milliseconds(), c.Local})
 	}
 	return zap.Any("crashes", list)
 }
@@ -181,21 +181,21 @@
 func (k *crashGuard) recordSuccess(f poison.Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ledger.Succeeded(time.Now(), f) {
+	if k.ledger.RecordSuccess(time.Now(), f) {
 		k.log.Info("crash evidence of a request cleared after a success", zap.Stringer("fingerprint", f))
 	}
 }
 
 // process returns the process that received a run: the listed one, or a later one if that
 // had ended before.
-func (k *crashGuard) process(listed poison.Incarnation, began time.Time) poison.Incarnation {
+func (k *crashGuard) process(listed poison.Process, began time.Time) poison.Process {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledger.Process(listed, began)
 }
 
 // scheduleCheck schedules a check whether a replica still accepts connections.
-func (k *crashGuard) scheduleCheck(r poison.Incarnation, address string) {
+func (k *crashGuard) scheduleCheck(r poison.Process, address string) {
 	now := time.Now()
 	k.mu.Lock()
 	if now.Sub(k.checkedAt[r]) < checkInterval {
@@ -254,16 +254,16 @@
 		return
 	}
 	if k.client.Refused(ctx, c.address) {
-		k.recordEnd(c.Incarnation, endRefused)
+		k.recordEnd(c.Process, endRefused)
 	}
 }
 
 // pending returns the evidence that was not published yet, and all crashes of those of its
 // requests that have crashed more than one replica.
-func (k *crashGuard) pending() (poison.State, []poison.Crash) {
+func (k *crashGuard) pending() (poison.Evidence, []poison.Crash) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delta := k.ledger.News()
+	delta := k.ledger.DrainUpdates()
 	var recurring []poison.Crash
 	seen := map[poison.Fingerprint]bool{}
 	for _, c := range delta.Crashes {
@@ -280,21 +280,21 @@
 const recurringIncidents = 2
 
 // merge adds the evidence of another instance.
-func (k *crashGuard) merge(s poison.State) {
+func (k *crashGuard) merge(s poison.Evidence) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := k.ledger.Blocked()
-	k.logCrashes(k.ledger.Learn(time.Now(), s), "reported by another instance")
-	if after := k.ledger.Blocked(); after != before {
+	before := k.ledger.BlockedCount()
+	k.logCrashes(k.ledger.Merge(time.Now(), s), "reported by another instance")
+	if after := k.ledger.BlockedCount(); after != before {
 		k.log.Info("blocked requests", zap.Int("before", before), zap.Int("now", after), zap.String("source", "another instance"),
-			zap.Int("crashes", len(s.Crashes)), zap.Int("clears", len(s.Clears)))
+			zap.Int("crashes", len(s.Crashes)), zap.Int("clears", len(s.Clearances)))
 	}
 }
 
-func (k *crashGuard) state() poison.State {
+func (k *crashGuard) state() poison.Evidence {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ledger.State()
+	return k.ledger.Evidence()
 }
 
 func (k *crashGuard) digest() uint64 {
@@ -309,7 +309,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.Expire(now)
-	k.metrics.SetBlocked(k.ledger.Blocked())
+	k.metrics.SetBlocked(k.ledger.BlockedCount())
 	for r, at := range k.checkedAt {
 		if now.Sub(at) > checkInterval {
 			delete(k.checkedAt, r)
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -73,7 +73,7 @@
 	// to be sent to the other instances. recurring holds all crashes of those requests
 	// that have crashed more than one replica; they have to be stored beyond the life of
 	// this process.
-	OnEvidence func(news poison.State, recurring []poison.Crash)
+	OnEvidence func(news poison.Evidence, recurring []poison.Crash)
 }
 
 // RetryBound limits the retries of one service for all instances together: in each window,
--- a/node/gateway/lostrun.go
+++ b/node/gateway/lostrun.go
@@ -19,7 +19,7 @@
 	}
 	first := s.grant.path()[0]
 	processes := s.pool.listedProcesses(s.grant.path())
-	received := s.g.crashes.process(poison.Incarnation{Replica: first.ID, Born: first.StartTime}, s.runAt)
+	received := s.g.crashes.process(poison.Process{Replica: first.ID, StartTime: first.StartTime}, s.runAt)
 	if len(processes) > 0 && processes[0].Replica == first.ID {
 		processes[0] = received
 	}
@@ -46,7 +46,7 @@
 	for _, h := range s.grant.path() {
 		if h.ID == id {
 			s.g.crashes.recordLostRun(s.call, s.pool.listedProcesses(pipeline.Path{h}), s.runAt, s.progressed())
-			s.g.crashes.scheduleCheck(poison.Incarnation{Replica: h.ID, Born: h.StartTime}, h.Address)
+			s.g.crashes.scheduleCheck(poison.Process{Replica: h.ID, StartTime: h.StartTime}, h.Address)
 		}
 	}
 }
@@ -70,13 +70,13 @@
 
 // listedProcesses returns the processes of a path's replicas, without those that have shut down
 // meanwhile.
-func (p *modelPool) listedProcesses(path pipeline.Path) []poison.Incarnation {
+func (p *modelPool) listedProcesses(path pipeline.Path) []poison.Process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []poison.Incarnation
+	var out []poison.Process
 	for _, h := range path {
 		if p.listed[h.ID] {
-			out = append(out, poison.Incarnation{Replica: h.ID, Born: h.StartTime})
+			out = append(out, poison.Process{Replica: h.ID, StartTime: h.StartTime})
 		}
 	}
 	return out
--- a/node/gateway/modelpool.go
+++ b/node/gateway/modelpool.go
@@ -118,18 +118,18 @@
 			continue
 		}
 		list = append(list, pipeline.Replica{
-			ID: e.ID, Address: e.Address, Zone: e.Zone, Kind: e.Kind, StartTime: e.Born,
+			ID: e.ID, Address: e.Address, Zone: e.Zone, Kind: e.Kind, StartTime: e.StartTime,
 			From: e.Layers.From, To: e.Layers.To,
 		})
 		was, known := p.fleet.Replica(e.ID)
 		if known && (was.From != e.Layers.From || was.To != e.Layers.To) {
 			p.rejections.Delete(e.ID)
 		}
-		if was, ok := p.startTimes[e.ID]; ok && was != e.Born {
+		if was, ok := p.startTimes[e.ID]; ok && was != e.StartTime {
 			p.fleet.Unblock(e.ID)
 			p.rejections.Delete(e.ID)
 		}
-		p.startTimes[e.ID] = e.Born
+		p.startTimes[e.ID] = e.StartTime
 	}
 	now := time.Now()
 	p.fleet.SetReplicas(now, list)
--- a/node/gateway/modelpool_test.go
+++ b/node/gateway/modelpool_test.go
@@ -25,7 +25,7 @@
 	}
 	p := newModelPool(&routing.Service{Name: "s", Model: m}, nil, zap.NewNop())
 	entry := func(id string, from, to int) roster.Entry {
-		return roster.Entry{ID: id, Service: "s", Address: id, Zone: "z", Kind: "k", Born: 1, Layers: &roster.Layers{From: from, To: to}}
+		return roster.Entry{ID: id, Service: "s", Address: id, Zone: "z", Kind: "k", StartTime: 1, Layers: &roster.Layers{From: from, To: to}}
 	}
 	p.setReplicas([]roster.Entry{entry("a", 0, 2), entry("b", 2, 4), entry("c", 2, 4)})
 	return p
@@ -124,8 +124,8 @@
 func TestRestartedReplicasStillCountAsStages(t *testing.T) {
 	p := newPool()
 	g := p.acquireAvoiding("c")
-	p.setReplicas([]roster.Entry{{ID: "a", Service: "s", Born: 2}})
-	require.Equal(t, []poison.Incarnation{{Replica: "a", Born: 1}}, p.listedProcesses(g.path()))
+	p.setReplicas([]roster.Entry{{ID: "a", Service: "s", StartTime: 2}})
+	require.Equal(t, []poison.Process{{Replica: "a", StartTime: 1}}, p.listedProcesses(g.path()))
 }
 
 // A retried request waits for a replica that it does not avoid; a request behind it that
--- a/node/gateway/pause.go
+++ b/node/gateway/pause.go
@@ -38,7 +38,7 @@
 // reportLeaving reports that a replica process accepts no new work.
 func (g *Gateway) reportLeaving(r Replica) {
 	if g.opts.OnLeaving != nil {
-		g.opts.OnLeaving(roster.Process{ID: r.ID, Born: r.Born})
+		g.opts.OnLeaving(roster.Process{ID: r.ID, StartTime: r.Born})
 	}
 }
 
--- a/node/gateway/plain.go
+++ b/node/gateway/plain.go
@@ -120,8 +120,8 @@
 	case outcome == forward.Answered && response.status < http.StatusMultipleChoices:
 		g.crashes.recordSuccess(c.fingerprint)
 	case outcome == forward.Lost && mayBeCrash(err) && !errors.Is(c.http.Context().Err(), context.Canceled) && pool.listed(replica):
-		r := g.crashes.process(poison.Incarnation{Replica: replica.ID, Born: replica.Born}, sent)
-		g.crashes.recordLostRun(c, []poison.Incarnation{r}, sent, false)
+		r := g.crashes.process(poison.Process{Replica: replica.ID, StartTime: replica.Born}, sent)
+		g.crashes.recordLostRun(c, []poison.Process{r}, sent, false)
 		g.crashes.scheduleCheck(r, replica.Address)
 	}
 	pool.recordOutcome(time.Now(), replica.ID, outcome, time.Since(now))
--- a/node/gateway/plainpool.go
+++ b/node/gateway/plainpool.go
@@ -61,7 +61,7 @@
 		if r == nil || r.Address != e.Address {
 			r = &plainReplica{}
 		}
-		r.Replica = Replica{ID: e.ID, Address: e.Address, Born: e.Born}
+		r.Replica = Replica{ID: e.ID, Address: e.Address, Born: e.StartTime}
 		r.zone, r.slots = e.Zone, e.Slots
 		next[e.ID] = r
 	}
--- a/node/gateway/state.go
+++ b/node/gateway/state.go
@@ -117,10 +117,10 @@
 }
 
 // LearnEvidence merges another instance's evidence about requests that crash replicas.
-func (g *Gateway) LearnEvidence(s poison.State) { g.crashes.merge(s) }
+func (g *Gateway) LearnEvidence(s poison.Evidence) { g.crashes.merge(s) }
 
 // Evidence returns all evidence about requests that crash replicas.
-func (g *Gateway) Evidence() poison.State { return g.crashes.state() }
+func (g *Gateway) Evidence() poison.Evidence { return g.crashes.state() }
 
 // EvidenceDigest returns a hash of the evidence, equal for two instances with the same
 // evidence.
@@ -129,7 +129,7 @@
 // ReplicaEnded records that a process of a replica ended without an orderly shutdown.
 // restarted is true if a later process of the replica is listed, false if the replica is
 // no longer listed.
-func (g *Gateway) ReplicaEnded(r poison.Incarnation, restarted bool) {
+func (g *Gateway) ReplicaEnded(r poison.Process, restarted bool) {
 	sign := endRemoved
 	if restarted {
 		sign = endRestarted
--- a/node/gateway/survey_test.go
+++ b/node/gateway/survey_test.go
@@ -60,7 +60,7 @@
 				var out []roster.Entry
 				for i := range replicas {
 					out = append(out, roster.Entry{
-						ID: string(rune('a' + i)), Service: "s", Address: string(rune('a' + i)), Kind: "k", Born: 1,
+						ID: string(rune('a' + i)), Service: "s", Address: string(rune('a' + i)), Kind: "k", StartTime: 1,
 						Layers: &roster.Layers{From: 0, To: 4},
 					})
 				}
--- a/node/mesh/evidence.go
+++ b/node/mesh/evidence.go
@@ -35,7 +35,7 @@
 }
 
 // PublishEvidence publishes new evidence on requests that crash replicas to the peers.
-func (m *Mesh) PublishEvidence(e poison.State) { m.broadcast(peer.EncodeEvidence(e, time.Now())) }
+func (m *Mesh) PublishEvidence(e poison.Evidence) { m.broadcast(peer.EncodeEvidence(e, time.Now())) }
 
 // compareEvidence sends all evidence to a peer whose digest differs, immediately if the
 // session is new. The peer does the same, so that both then have the union.
--- a/node/mesh/evidence_test.go
+++ b/node/mesh/evidence_test.go
@@ -16,13 +16,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	r := poison.Incarnation{Replica: replica, Born: 1}
-	f.evidence.Lost(now, poison.LostRun{
+	r := poison.Process{Replica: replica, StartTime: 1}
+	f.evidence.RecordLostRun(now, poison.LostRun{
 		Fingerprint: poison.FingerprintOf("m", name),
 		Run:         poison.Run{Attempt: uint64(len(replica)), Number: uint32(replica[0])},
-		Parts:       []poison.Incarnation{r}, Began: now,
+		Processes:   []poison.Process{r}, SentAt: now,
 	})
-	f.evidence.Ended(now, r)
+	f.evidence.RecordEnd(now, r)
 }
 
 // TestEvidenceCrossesAPartition connects two instances only through a third one and guards
--- a/node/mesh/loads.go
+++ b/node/mesh/loads.go
@@ -75,9 +75,9 @@
 		r.far = append(r.far, id)
 		zones[c.zone] = append(zones[c.zone], id)
 	}
-	r.isRelay = len(r.far) > 0 && readers.Among(m.opts.Member, r.near, 1)
+	r.isRelay = len(r.far) > 0 && readers.IsDesignated(m.opts.Member, r.near, 1)
 	for _, list := range zones {
-		r.otherRelays = append(r.otherRelays, readers.First(list))
+		r.otherRelays = append(r.otherRelays, readers.Highest(list))
 	}
 	return r
 }
@@ -128,7 +128,7 @@
 func (m *Mesh) updateRemoteLoads(now time.Time, r roles) {
 	m.mu.Lock()
 	m.sums.Expire(now.Add(-staleAfter))
-	remote := m.sums.Foreign(r.isRelay)
+	remote := m.sums.Remote(r.isRelay)
 	m.mu.Unlock()
 	m.opts.Gateway.SetForeign(
 		func(replica string) pipeline.Load { return remote.Upstreams[replicaKey(replica)] },
@@ -198,7 +198,7 @@
 	}
 	c.storeUnavailable = loads.GetStoreAway()
 	h.mesh.connected[from] = c
-	h.mesh.sums.Peer(time.Now(), from, c.zone, decodeLoads(loads.GetLoads(), loads.GetLinks()))
+	h.mesh.sums.SetPeer(time.Now(), from, c.zone, decodeLoads(loads.GetLoads(), loads.GetLinks()))
 }
 
 // ZoneLoads implements peer.Handler.
@@ -207,8 +207,8 @@
 	h.mesh.mu.Lock()
 	defer h.mesh.mu.Unlock()
 	if m.GetZone() == "" {
-		h.mesh.sums.Others(time.Now(), loads)
+		h.mesh.sums.SetOthers(time.Now(), loads)
 		return
 	}
-	h.mesh.sums.Zone(time.Now(), m.GetZone(), loads)
+	h.mesh.sums.SetZone(time.Now(), m.GetZone(), loads)
 }
--- a/node/mesh/loads_test.go
+++ b/node/mesh/loads_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	require.Eventually(t, known(instances-1), waitTimeout, 20*time.Millisecond)
-	relay := readers.First(byZone["z0"])
+	relay := readers.Highest(byZone["z0"])
 	require.NoError(t, all[relay].Close(t.Context()))
 	delete(all, relay)
 	require.Eventually(t, known(instances-2), waitTimeout, 20*time.Millisecond, "another instance replaces the relay of the zone")
--- a/node/mesh/mesh.go
+++ b/node/mesh/mesh.go
@@ -67,10 +67,10 @@
 	Suspect(replica string)
 	// LearnEvidence merges the evidence of another instance on requests that crash
 	// replicas.
-	LearnEvidence(poison.State)
+	LearnEvidence(poison.Evidence)
 	// Evidence returns the evidence of this instance. EvidenceDigest returns a digest of
 	// it, which differs from that of an instance with other evidence.
-	Evidence() poison.State
+	Evidence() poison.Evidence
 	EvidenceDigest() uint64
 }
 
@@ -228,7 +228,7 @@
 			candidates = append(candidates, id)
 		}
 	}
-	return readers.Among(m.opts.Member, candidates, configReaders)
+	return readers.IsDesignated(m.opts.Member, candidates, configReaders)
 }
 
 // Standby reports whether this instance is one of the few that read the
@@ -241,7 +241,7 @@
 	for id := range m.connected {
 		others = append(others, id)
 	}
-	return readers.Among(m.opts.Member, others, standbyReportReaders)
+	return readers.IsDesignated(m.opts.Member, others, standbyReportReaders)
 }
 
 // SendStates sends the reported states of replicas to the peers.
@@ -364,6 +364,6 @@
 		return
 	}
 	for _, p := range d.GetProcesses() {
-		h.mesh.opts.OnLeaving(roster.Process{ID: p.GetUpstream(), Born: p.GetBorn()})
+		h.mesh.opts.OnLeaving(roster.Process{ID: p.GetUpstream(), StartTime: p.GetBorn()})
 	}
 }
--- a/node/mesh/mesh_test.go
+++ b/node/mesh/mesh_test.go
@@ -76,16 +76,16 @@
 	f.unresponsive[id] = true
 }
 
-func (f *fakeGateway) LearnEvidence(s poison.State) {
+func (f *fakeGateway) LearnEvidence(s poison.Evidence) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.evidence.Learn(time.Now(), s)
+	f.evidence.Merge(time.Now(), s)
 }
 
-func (f *fakeGateway) Evidence() poison.State {
+func (f *fakeGateway) Evidence() poison.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.evidence.State()
+	return f.evidence.Evidence()
 }
 
 func (f *fakeGateway) EvidenceDigest() uint64 {
@@ -194,12 +194,12 @@
 
 	require.Eventually(t, func() bool {
 		ma.ReportUnresponsive("r1")
-		ma.ReportLeaving(roster.Process{ID: "r2", Born: 7})
+		ma.ReportLeaving(roster.Process{ID: "r2", StartTime: 7})
 		ma.ReportRemoved("r3")
 		ma.ReportRejection("r2", 3)
 		ma.SendStates(map[string]pipeline.Report{"r1": {StepTimeRatio: 1.5, CacheUsed: 3000, CacheCapacity: 9000, HasLayers: true, From: 2, To: 7}})
 		mu.Lock()
-		received := leaving == roster.Process{ID: "r2", Born: 7} && removed == "r3" && unresponsive == "r1" && leaderGeneration == 42
+		received := leaving == roster.Process{ID: "r2", StartTime: 7} && removed == "r3" && unresponsive == "r1" && leaderGeneration == 42
 		mu.Unlock()
 		return received && b.locked(func() bool {
 			return b.unresponsive["r1"] && b.rejections["r2"] == 3 && b.rejections["r1"] == 0 && b.observed["r1"] == pipeline.Report{StepTimeRatio: 1.5, CacheUsed: 3000, CacheCapacity: 9000, HasLayers: true, From: 2, To: 7}
@@ -222,7 +222,7 @@
 // replica announced that it is leaving before the other instance started.
 func TestNewPeerReceivesDepartures(t *testing.T) {
 	got := make(chan roster.Process, 10)
-	left := roster.Process{ID: "r", Born: 5}
+	left := roster.Process{ID: "r", StartTime: 5}
 	pair(t, mesh.Options{Departed: func() []roster.Process { return []roster.Process{left} }},
 		mesh.Options{OnLeaving: func(p roster.Process) { got <- p }})
 	select {
@@ -249,10 +249,10 @@
 	u := roster.Updates{From: 3, To: 9, List: []roster.Update{
 		{ID: "gone", Offset: 4},
 		{ID: "plain", Offset: 5, Entry: &roster.Entry{
-			ID: "plain", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 6, State: roster.Draining, Born: 1764800000000, Sequence: 7,
+			ID: "plain", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 6, State: roster.Draining, StartTime: 1764800000000, Sequence: 7,
 		}},
 		{ID: "model", Offset: 8, Entry: &roster.Entry{
-			ID: "model", Service: "m", Address: "10.0.0.2:80", Zone: "z", Kind: "l4", Slots: 192, Born: 1, Sequence: 2,
+			ID: "model", Service: "m", Address: "10.0.0.2:80", Zone: "z", Kind: "l4", Slots: 192, StartTime: 1, Sequence: 2,
 			Layers: &roster.Layers{From: 3, To: 9, Version: 1},
 		}},
 	}}
--- a/node/mesh/updates.go
+++ b/node/mesh/updates.go
@@ -29,7 +29,7 @@
 func encodeDepartures(list []roster.Process) *peerpb.Departures {
 	out := &peerpb.Departures{}
 	for _, p := range list {
-		out.Processes = append(out.Processes, &peerpb.UpstreamProcess{Upstream: p.ID, Born: p.Born})
+		out.Processes = append(out.Processes, &peerpb.UpstreamProcess{Upstream: p.ID, Born: p.StartTime})
 	}
 	return out
 }
@@ -57,7 +57,7 @@
 		Kind:     e.Kind,
 		Slots:    uint32(e.Slots),
 		Draining: e.State == roster.Draining,
-		Born:     e.Born,
+		Born:     e.StartTime,
 		Sequence: e.Sequence,
 	}
 	if l := e.Layers; l != nil {
@@ -83,14 +83,14 @@
 		return nil
 	}
 	e := &roster.Entry{
-		ID:       id,
-		Service:  m.GetService(),
-		Address:  m.GetAddress(),
-		Zone:     m.GetZone(),
-		Kind:     m.GetKind(),
-		Slots:    int(m.GetSlots()),
-		Born:     m.GetBorn(),
-		Sequence: m.GetSequence(),
+		ID:        id,
+		Service:   m.GetService(),
+		Address:   m.GetAddress(),
+		Zone:      m.GetZone(),
+		Kind:      m.GetKind(),
+		Slots:     int(m.GetSlots()),
+		StartTime: m.GetBorn(),
+		Sequence:  m.GetSequence(),
 	}
 	if m.GetDraining() {
 		e.State = roster.Draining
--- a/node/orders/bench_test.go
+++ b/node/orders/bench_test.go
@@ -45,7 +45,7 @@
 	var next atomic.Int64
 	latencies := make([]time.Duration, b.N)
 	var failed atomic.Int64
-	respond := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
+	respond := func(context.Context) order.Response { return order.Response{Status: 200, Execution: execution.Ran} }
 	var wg sync.WaitGroup
 	b.ResetTimer()
 	for range callers {
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c, _ := start(ctx, b, &logtest.Log{Delay: logDelay}, "a", logstream.AppenderOptions{MinInterval: logLimit})
-	respond := func(context.Context) order.Answer { return order.Answer{Status: 200, Execution: execution.Ran} }
+	respond := func(context.Context) order.Response { return order.Response{Status: 200, Execution: execution.Ran} }
 	latencies := make([]time.Duration, 0, b.N)
 	for n := range b.N {
 		time.Sleep(gap)
--- a/node/orders/do.go
+++ b/node/orders/do.go
@@ -18,7 +18,7 @@
 	// clientCtx is the context of the client's request; claimCtx ends with the attempt.
 	clientCtx context.Context
 	claimCtx  context.Context
-	send      func(ctx context.Context) order.Answer
+	send      func(ctx context.Context) order.Response
 	// claimRefused is set if the claim could not be queued.
 	claimRefused bool
 }
@@ -27,7 +27,7 @@
 // called at most once. Its context does not end when the client disconnects, because the
 // response must be recorded. send must set the response's Execution to NotRun only if
 // nothing was written to the service or the service refused the call.
-func (c *Coordinator) Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Answer) order.Result {
+func (c *Coordinator) Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Response) order.Result {
 	claimCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	a := &attempt{coordinator: c, call: call, clientCtx: ctx, claimCtx: claimCtx, send: send}
@@ -52,7 +52,7 @@
 	failing := c.opts.Appender.Failing()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.SetAway(c.readFailing || failing)
+	c.table.SetUnavailable(c.readFailing || failing)
 	a.waiter = c.subscribe(key)
 	a.machine = order.NewAttempt(c.table, a.call, newID(), c.opts.Claimant)
 	return a.machine.Begin(time.Now())
@@ -108,7 +108,7 @@
 	case <-timer.C:
 	case <-a.clientCtx.Done():
 		if errors.Is(a.clientCtx.Err(), context.Canceled) {
-			return order.CallerGone
+			return order.ClientGone
 		}
 		// The context's deadline has passed, but the client is still connected.
 		<-timer.C
@@ -123,5 +123,5 @@
 	answer := a.send(ctx)
 	a.coordinator.mu.Lock()
 	defer a.coordinator.mu.Unlock()
-	return a.machine.Answered(answer)
+	return a.machine.HandleResponse(answer)
 }
--- a/node/orders/orders.go
+++ b/node/orders/orders.go
@@ -34,11 +34,11 @@
 // retention. Keys are accepted for half of it.
 func DefaultPolicy(retention time.Duration) order.Policy {
 	return order.Policy{
-		Window:    retention / 2,
-		Retention: retention,
-		Dispatch:  defaultDispatchWindow,
-		Skew:      min(defaultSkew, retention/8),
-		Grace:     defaultGrace,
+		AcceptanceWindow: retention / 2,
+		Retention:        retention,
+		DispatchWindow:   defaultDispatchWindow,
+		ClockSkew:        min(defaultSkew, retention/8),
+		Grace:            defaultGrace,
 	}
 }
 
@@ -211,7 +211,7 @@
 		return
 	}
 	c.pendingAppends.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), c.opts.Policy.Window)
+		ctx, cancel := context.WithTimeout(context.Background(), c.opts.Policy.AcceptanceWindow)
 		defer cancel()
 		err := c.opts.Appender.Append(ctx, data)
 		for errors.Is(err, logstream.ErrQueueFull) && ctx.Err() == nil {
--- a/node/orders/orders_test.go
+++ b/node/orders/orders_test.go
@@ -23,11 +23,11 @@
 )
 
 var policy = order.Policy{
-	Window:    10 * time.Minute,
-	Retention: time.Hour,
-	Dispatch:  2 * time.Second,
-	Skew:      time.Minute,
-	Grace:     time.Second,
+	AcceptanceWindow: 10 * time.Minute,
+	Retention:        time.Hour,
+	DispatchWindow:   2 * time.Second,
+	ClockSkew:        time.Minute,
+	Grace:            time.Second,
 }
 
 func start(ctx context.Context, t testing.TB, log logstream.Log, name string, opts logstream.AppenderOptions) (*orders.Coordinator, *logstream.Appender) {
@@ -62,15 +62,15 @@
 	runs int
 }
 
-func (s *service) run(context.Context) order.Answer {
+func (s *service) run(context.Context) order.Response {
 	time.Sleep(100 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs++
-	return order.Answer{Status: 200, Body: fmt.Appendf(nil, "run %d", s.runs), Execution: execution.Ran}
+	return order.Response{Status: 200, Body: fmt.Appendf(nil, "run %d", s.runs), Execution: execution.Ran}
 }
 
-func mustNotSend(context.Context) order.Answer { panic("sent") }
+func mustNotSend(context.Context) order.Response { panic("sent") }
 
 // Concurrent calls with one key through two instances run once and all get the same
 // response, although responses of the log are lost.
@@ -87,7 +87,7 @@
 		replayed := 0
 		for _, r := range results {
 			require.Equal(t, execution.Ran, r.Execution, r.Reason)
-			require.Equal(t, "run 1", string(r.Answer.Body))
+			require.Equal(t, "run 1", string(r.Response.Body))
 			if r.Replayed {
 				replayed++
 			}
@@ -111,7 +111,7 @@
 		synctest.Wait()
 		started := time.Now()
 		repeat, first := call("k"), call("k")
-		first.First = true
+		first.FirstUse = true
 		require.Equal(t, order.Result{Execution: execution.Unknown, Reason: order.ReasonLogUnavailable}, b.Do(ctx, repeat, mustNotSend))
 		require.Equal(t, order.Result{Execution: execution.NotRun, Reason: order.ReasonLogUnavailable}, b.Do(ctx, first, mustNotSend))
 		r := b.Do(ctx, call("before"), mustNotSend)
@@ -129,7 +129,7 @@
 	runPair(t, func(ctx context.Context, _ *logtest.Log, a, b *orders.Coordinator) {
 		s := &service{}
 		left, leave := context.WithCancel(ctx)
-		a.Do(left, call("k"), func(ctx context.Context) order.Answer {
+		a.Do(left, call("k"), func(ctx context.Context) order.Response {
 			leave()
 			require.NoError(t, ctx.Err())
 			return s.run(ctx)
@@ -137,10 +137,10 @@
 		require.NoError(t, a.Flush(ctx))
 		r := b.Do(ctx, call("k"), mustNotSend)
 		require.True(t, r.Replayed)
-		require.Equal(t, "run 1", string(r.Answer.Body))
+		require.Equal(t, "run 1", string(r.Response.Body))
 
-		refuse := func(context.Context) order.Answer { return order.Answer{Status: 503} }
-		require.Equal(t, order.Result{Answer: order.Answer{Status: 503}}, a.Do(ctx, call("l"), refuse))
+		refuse := func(context.Context) order.Response { return order.Response{Status: 503} }
+		require.Equal(t, order.Result{Response: order.Response{Status: 503}}, a.Do(ctx, call("l"), refuse))
 		require.NoError(t, a.Flush(ctx))
 		synctest.Wait()
 		require.Equal(t, execution.Ran, b.Do(ctx, call("l"), s.run).Execution)
@@ -157,10 +157,10 @@
 		long.Deadline = time.Now().Add(5 * callTime)
 		var wg sync.WaitGroup
 		wg.Go(func() {
-			a.Do(ctx, long, func(context.Context) order.Answer {
+			a.Do(ctx, long, func(context.Context) order.Response {
 				close(started)
 				<-release
-				return order.Answer{Status: 200, Execution: execution.Ran}
+				return order.Response{Status: 200, Execution: execution.Ran}
 			})
 		})
 		<-started
@@ -169,7 +169,7 @@
 		waiting, cancel := context.WithDeadline(ctx, repeat.Deadline.Add(-time.Millisecond))
 		defer cancel()
 		res := b.Do(waiting, repeat, mustNotSend)
-		require.NotEqual(t, order.ReasonCallerGone, res.Reason)
+		require.NotEqual(t, order.ReasonClientGone, res.Reason)
 		require.NotEqual(t, execution.NotRun, res.Execution)
 		close(release)
 		wg.Wait()
--- a/node/peer/digest.go
+++ b/node/peer/digest.go
@@ -94,14 +94,14 @@
 
 // Member returns the peer's state as an event of core/membership. It returns
 // false for a state that this version does not know.
-func (i Info) Member() (membership.Heard, bool) {
+func (i Info) Member() (membership.Received, bool) {
 	states := map[peerpb.InstanceState]membership.State{
 		peerpb.InstanceState_INSTANCE_STATE_JOINING: membership.Joining,
 		peerpb.InstanceState_INSTANCE_STATE_READY:   membership.Ready,
 		peerpb.InstanceState_INSTANCE_STATE_LEAVING: membership.Leaving,
 	}
 	state, ok := states[i.State]
-	return membership.Heard{ID: i.ID, Incarnation: i.Incarnation, Zone: i.Zone, State: state}, ok
+	return membership.Received{ID: i.ID, Incarnation: i.Incarnation, Zone: i.Zone, State: state}, ok
 }
 
 func truncate[T any](list []T, limit int) []T { return list[:min(limit, len(list))] }
--- a/node/peer/digest_test.go
+++ b/node/peer/digest_test.go
@@ -59,7 +59,7 @@
 	info := Info{ID: "m2", Incarnation: 4, Zone: "quito", State: peerpb.InstanceState_INSTANCE_STATE_LEAVING}
 	event, ok := info.Member()
 	require.True(t, ok)
-	require.Equal(t, membership.Heard{ID: "m2", Incarnation: 4, Zone: "quito", State: membership.Leaving}, event)
+	require.Equal(t, membership.Received{ID: "m2", Incarnation: 4, Zone: "quito", State: membership.Leaving}, event)
 	_, ok = Info{}.Member()
 	require.False(t, ok)
 }
--- a/node/peer/evidence.go
+++ b/node/peer/evidence.go
@@ -9,7 +9,7 @@
 
 // EncodeEvidence returns the message for evidence on requests that crash
 // upstreams.
-func EncodeEvidence(s poison.State, now time.Time) *peerpb.CrashEvidence {
+func EncodeEvidence(s poison.Evidence, now time.Time) *peerpb.CrashEvidence {
 	out := &peerpb.CrashEvidence{}
 	for _, c := range s.Crashes {
 		out.Crashes = append(out.Crashes, &peerpb.Crash{
@@ -17,12 +17,12 @@
 			Attempt:     c.Run.Attempt,
 			Run:         c.Run.Number,
 			Upstream:    c.Replica.Replica,
-			Born:        c.Replica.Born,
+			Born:        c.Replica.StartTime,
 			Progressed:  c.Progressed,
 			AgeMs:       ageMillis(now, c.At),
 		})
 	}
-	for _, c := range s.Clears {
+	for _, c := range s.Clearances {
 		out.Cleared = append(out.Cleared, &peerpb.ClearedRequest{Fingerprint: c.Fingerprint[:], AgeMs: ageMillis(now, c.At)})
 	}
 	return out
@@ -33,8 +33,8 @@
 
 // DecodeEvidence returns the evidence in a message. Entries with an incomplete
 // fingerprint are skipped.
-func DecodeEvidence(m *peerpb.CrashEvidence, now time.Time) poison.State {
-	var s poison.State
+func DecodeEvidence(m *peerpb.CrashEvidence, now time.Time) poison.Evidence {
+	var s poison.Evidence
 	for _, c := range m.GetCrashes() {
 		f, ok := poison.FingerprintFrom(c.GetFingerprint())
 		if !ok {
@@ -43,14 +43,14 @@
 		s.Crashes = append(s.Crashes, poison.Crash{
 			Fingerprint: f,
 			Run:         poison.Run{Attempt: c.GetAttempt(), Number: c.GetRun()},
-			Replica:     poison.Incarnation{Replica: c.GetUpstream(), Born: c.GetBorn()},
+			Replica:     poison.Process{Replica: c.GetUpstream(), StartTime: c.GetBorn()},
 			Progressed:  c.GetProgressed(),
 			At:          now.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond),
 		})
 	}
 	for _, c := range m.GetCleared() {
 		if f, ok := poison.FingerprintFrom(c.GetFingerprint()); ok {
-			s.Clears = append(s.Clears, poison.Clear{Fingerprint: f, At: now.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond)})
+			s.Clearances = append(s.Clearances, poison.Clearance{Fingerprint: f, At: now.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond)})
 		}
 	}
 	return s
--- a/node/peer/evidence_test.go
+++ b/node/peer/evidence_test.go
@@ -23,20 +23,20 @@
 	l := poison.NewLedger(time.Hour)
 	for i := range 4 * poison.MaxState {
 		f := poison.FingerprintOf("m", strconv.Itoa(i))
-		r := poison.Incarnation{Replica: "i-0123456789-" + strconv.Itoa(i), Born: now.UnixMilli()}
-		l.Lost(now, poison.LostRun{Fingerprint: f, Run: poison.Run{Attempt: uint64(i) << 32, Number: 1}, Parts: []poison.Incarnation{r}, Began: now})
-		l.Ended(now, r)
+		r := poison.Process{Replica: "i-0123456789-" + strconv.Itoa(i), StartTime: now.UnixMilli()}
+		l.RecordLostRun(now, poison.LostRun{Fingerprint: f, Run: poison.Run{Attempt: uint64(i) << 32, Number: 1}, Processes: []poison.Process{r}, SentAt: now})
+		l.RecordEnd(now, r)
 		if i%2 == 0 {
-			l.Succeeded(now, f)
+			l.RecordSuccess(now, f)
 		}
 	}
-	s := l.State()
+	s := l.Evidence()
 	require.Len(t, s.Crashes, poison.MaxState)
-	require.Len(t, s.Clears, poison.MaxState)
+	require.Len(t, s.Clearances, poison.MaxState)
 	message := EncodeEvidence(s, now)
 	require.Less(t, proto.Size(message), maxEvidenceBytes)
 	for i := range s.Crashes {
-		s.Crashes[i].Own = false
+		s.Crashes[i].Local = false
 	}
 	require.Equal(t, s, DecodeEvidence(message, now))
 }
--- a/node/peer/sharing/sharing.go
+++ b/node/peer/sharing/sharing.go
@@ -63,7 +63,7 @@
 	Pools  Pools
 	Logger *zap.Logger
 	// OnMember, if set, is called for each state change of another instance.
-	OnMember func(membership.Changed)
+	OnMember func(membership.StateChange)
 
 	// Tick is the time between two updates; 0 means DefaultTick.
 	Tick time.Duration
@@ -203,7 +203,7 @@
 	s.mu.Lock()
 	changes := s.members.Step(time.Now(), event)
 	for _, c := range changes {
-		if c.To == membership.Gone {
+		if c.To == membership.Failed {
 			s.view.Delete(c.ID)
 		}
 	}
@@ -213,7 +213,7 @@
 	}
 }
 
-func (s *Sharer) reportChange(c membership.Changed) {
+func (s *Sharer) reportChange(c membership.StateChange) {
 	if c.ID == s.options.ID {
 		return
 	}
--- a/node/peer/sharing/sharing_test.go
+++ b/node/peer/sharing/sharing_test.go
@@ -155,7 +155,7 @@
 		require.Equal(t, capacity, b.total())
 		t.Logf("slots in use again after %v", time.Since(killedAt))
 		require.Less(t, time.Since(killedAt), 5*time.Second)
-		require.Equal(t, membership.Gone, all[1].sharer.Members()[0].State)
+		require.Equal(t, membership.Failed, all[1].sharer.Members()[0].State)
 		for _, e := range all[1:] {
 			b.kill(t, e)
 		}
--- a/node/router/orders.go
+++ b/node/router/orders.go
@@ -17,7 +17,7 @@
 type Orders interface {
 	// Do returns the recorded response of the key, or claims the key and calls send at
 	// most once.
-	Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Answer) order.Result
+	Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Response) order.Result
 }
 
 // retryAfterLog is the Retry-After hint while the log is unavailable.
@@ -36,9 +36,9 @@
 		Key:         req.Key,
 		Fingerprint: keyFingerprint(req),
 		Date:        req.KeyDate,
-		First:       req.FirstUse,
+		FirstUse:    req.FirstUse,
 		Deadline:    deadline,
-	}, func(ctx context.Context) order.Answer {
+	}, func(ctx context.Context) order.Response {
 		sent = r.callOnce(ctx, pool, req)
 		return newOrderAnswer(&sent)
 	})
@@ -56,8 +56,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func newOrderAnswer(res *ServiceResult) order.Answer {
-	a := order.Answer{Execution: res.Execution}
+func newOrderAnswer(res *ServiceResult) order.Response {
+	a := order.Response{Execution: res.Execution}
 	if res.Answer != nil {
 		a.Status = res.Answer.Status
 		a.ContentType = res.Answer.Header.Get("Content-Type")
@@ -79,15 +79,15 @@
 		out.Execution = res.Execution
 		return out
 	}
-	if res.Answer.Status == 0 {
+	if res.Response.Status == 0 {
 		out := *sent
 		out.Execution = res.Execution
 		return out
 	}
 	out := ServiceResult{Replayed: res.Replayed, Answer: &service.Answer{
-		Status: res.Answer.Status,
-		Header: http.Header{"Content-Type": {res.Answer.ContentType}},
-		Body:   res.Answer.Body,
+		Status: res.Response.Status,
+		Header: http.Header{"Content-Type": {res.Response.ContentType}},
+		Body:   res.Response.Body,
 	}}
 	out.Complete = true
 	out.Execution = res.Execution
@@ -108,11 +108,11 @@
 		return CodePoolFull
 	case order.ReasonRunning, order.ReasonClaimantGone:
 		return CodeKeyUndecided
-	case order.ReasonTooLate, order.ReasonReleased:
+	case order.ReasonDispatchWindowPassed, order.ReasonReleased:
 		return CodeDeadline
-	case order.ReasonCallerGone:
+	case order.ReasonClientGone:
 		return CodeCancelled
-	case order.ReasonAnswerTooLarge:
+	case order.ReasonResponseTooLarge:
 		return CodeAnswerTooLarge
 	default:
 		return CodeUpstreamFailed
@@ -123,7 +123,7 @@
 // or 0.
 func orderRetryAfter(r order.Reason) time.Duration {
 	switch r {
-	case order.ReasonLogUnavailable, order.ReasonOverloaded, order.ReasonTooLate, order.ReasonReleased:
+	case order.ReasonLogUnavailable, order.ReasonOverloaded, order.ReasonDispatchWindowPassed, order.ReasonReleased:
 		return retryAfterLog
 	case order.ReasonRunning:
 		return retryAfterFailure
--- a/node/router/poison.go
+++ b/node/router/poison.go
@@ -39,14 +39,14 @@
 func (p *poisonTracker) blocked(f poison.Fingerprint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.Blocked(time.Now(), f)
+	return p.tracker.IsBlocked(time.Now(), f)
 }
 
 // recordCrash records that a replica crashed while it ran steps of the given requests.
 func (p *poisonTracker) recordCrash(replica string, candidates []poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Crash(time.Now(), replica, candidates...)
+	p.tracker.RecordCrash(time.Now(), replica, candidates...)
 }
 
 // stopAfterCrash records that a step of a request was lost in the crash of a replica.
@@ -54,46 +54,46 @@
 func (p *poisonTracker) stopAfterCrash(replica string, f poison.Fingerprint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.Crash(time.Now(), replica, f)[0] == poison.Stop
+	return p.tracker.RecordCrash(time.Now(), replica, f)[0] == poison.Stop
 }
 
 func (p *poisonTracker) recordCompletion(f poison.Fingerprint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Completed(time.Now(), f)
+	p.tracker.RecordCompletion(time.Now(), f)
 }
 
 func (p *poisonTracker) recordPlacement(f poison.Fingerprint, replicas []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Place(f, replicas)
+	p.tracker.SetPlacement(f, replicas)
 }
 
 func (p *poisonTracker) replicasToAvoid(f poison.Fingerprint) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.Avoid(f)
+	return p.tracker.ReplicasToAvoid(f)
 }
 
 // PoisonBlocks returns the blocked fingerprints to send to peers.
 func (r *Router) PoisonBlocks() []poison.Block {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
-	return r.poison.tracker.Recent(time.Now())
+	return r.poison.tracker.BlocksToShare(time.Now())
 }
 
 // PoisonNews returns the crash evidence that this instance found since the last call.
-func (r *Router) PoisonNews() poison.State {
+func (r *Router) PoisonNews() poison.Evidence {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
-	return r.poison.tracker.News()
+	return r.poison.tracker.DrainUpdates()
 }
 
 // LearnPoisonEvidence merges the crash evidence of a peer.
-func (r *Router) LearnPoisonEvidence(s poison.State) {
+func (r *Router) LearnPoisonEvidence(s poison.Evidence) {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
-	r.poison.tracker.LearnEvidence(time.Now(), s)
+	r.poison.tracker.Merge(time.Now(), s)
 }
 
 // LearnPoison blocks a fingerprint that a peer reported, for the time ttl.
@@ -101,5 +101,5 @@
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	now := time.Now()
-	r.poison.tracker.Learn(now, f, now.Add(ttl))
+	r.poison.tracker.AddPeerBlock(now, f, now.Add(ttl))
 }
