--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -59,12 +59,12 @@
 const (
 	// ReasonNone is the reason of effects other than Refuse.
 	ReasonNone Reason = iota
-	// ReasonHopeless means that, on arrival, the request could not have met its
+	// ReasonUnmeetableDeadline means that, on arrival, the request could not have met its
 	// deadline at the current service rate.
-	ReasonHopeless
-	// ReasonDeadline means that the request could no longer meet its deadline while it
+	ReasonUnmeetableDeadline
+	// ReasonDeadlineWhileQueued means that the request could no longer meet its deadline while it
 	// waited.
-	ReasonDeadline
+	ReasonDeadlineWhileQueued
 	// ReasonWorkspaceFull means that the workspace exceeded its limit of waiting
 	// requests and that this was the newest request in its least urgent rank.
 	ReasonWorkspaceFull
@@ -78,9 +78,9 @@
 	switch r {
 	case ReasonNone:
 		return "none"
-	case ReasonHopeless:
+	case ReasonUnmeetableDeadline:
 		return "hopeless_deadline"
-	case ReasonDeadline:
+	case ReasonDeadlineWhileQueued:
 		return "deadline_while_queued"
 	case ReasonWorkspaceFull:
 		return "workspace_queue_full"
@@ -107,9 +107,9 @@
 type Admitter interface {
 	// Arrive offers a new request. It panics if the ID is already held.
 	Arrive(now time.Time, r Request) []Effect
-	// Capacity sets the number of slots: how many requests may run at once. It may be
+	// SetSlots sets the number of slots: how many requests may run at once. It may be
 	// lower than the number of running requests.
-	Capacity(now time.Time, slots int) []Effect
+	SetSlots(now time.Time, slots int) []Effect
 	// Done reports that a dispatched request ran to completion, and its actual cost in
 	// tokens. Its duration counts towards the service rate.
 	Done(now time.Time, id string, cost float64) []Effect
--- a/core/admission/bench_test.go
+++ b/core/admission/bench_test.go
@@ -67,7 +67,7 @@
 			for range 4 * workspaces {
 				arrive()
 			}
-			for _, e := range q.Capacity(now, simulatedSlots) {
+			for _, e := range q.SetSlots(now, simulatedSlots) {
 				running = append(running, e.ID)
 			}
 			b.ReportAllocs()
--- a/core/admission/deadline.go
+++ b/core/admission/deadline.go
@@ -74,7 +74,7 @@
 			heap.Fix(&q.deadlines, 0)
 			continue
 		}
-		q.refuse(now, r, ReasonDeadline)
+		q.refuse(now, r, ReasonDeadlineWhileQueued)
 	}
 }
 
@@ -114,7 +114,7 @@
 		examined++
 		wait, known := q.expectedWait(now, f, costAhead)
 		if known && q.missesDeadlineByMargin(now, r, wait) {
-			q.refuse(now, r, ReasonDeadline)
+			q.refuse(now, r, ReasonDeadlineWhileQueued)
 		} else {
 			costAhead += r.cost
 		}
--- a/core/admission/deadline_test.go
+++ b/core/admission/deadline_test.go
@@ -88,7 +88,7 @@
 		// Each slot serves one such request a second.
 		require.InDelta(t, 10*slots, len(d.running)+len(d.waiting), float64(slots))
 		for _, e := range d.refused {
-			require.Equal(t, ReasonHopeless, e.Reason)
+			require.Equal(t, ReasonUnmeetableDeadline, e.Reason)
 		}
 		advised := d.refused[len(d.refused)-1].RetryAfter
 		require.InDelta(t, service/time.Duration(slots), advised, float64(time.Millisecond), "one completion")
@@ -133,7 +133,7 @@
 	d.apply(d.q.Tick(d.now))
 	require.Greater(t, len(d.refused), 40)
 	for _, e := range d.refused {
-		require.Equal(t, ReasonDeadline, e.Reason)
+		require.Equal(t, ReasonDeadlineWhileQueued, e.Reason)
 	}
 }
 
--- a/core/admission/driver_test.go
+++ b/core/admission/driver_test.go
@@ -56,7 +56,7 @@
 	return r
 }
 
-func (d *driver) capacity(slots int) { d.apply(d.q.Capacity(d.now, slots)) }
+func (d *driver) capacity(slots int) { d.apply(d.q.SetSlots(d.now, slots)) }
 
 // done completes the running request at index i.
 func (d *driver) done(i int) {
--- a/core/admission/fifo.go
+++ b/core/admission/fifo.go
@@ -48,8 +48,8 @@
 	return f.fillSlots(now)
 }
 
-// Capacity sets how many requests may run at once.
-func (f *FIFO) Capacity(now time.Time, slots int) []Effect {
+// SetSlots sets how many requests may run at once.
+func (f *FIFO) SetSlots(now time.Time, slots int) []Effect {
 	f.effects = f.effects[:0]
 	f.slots = max(slots, 0)
 	return f.fillSlots(now)
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -47,7 +47,7 @@
 	f := q.flow(r.Workspace, int(r.Rank))
 	cost := clampCost(r.Cost)
 	if retryAfter, missed := q.missesDeadline(now, f, cost, r.Deadline); missed {
-		q.effects = append(q.effects, Effect{Kind: Refuse, ID: r.ID, Reason: ReasonHopeless, RetryAfter: retryAfter})
+		q.effects = append(q.effects, Effect{Kind: Refuse, ID: r.ID, Reason: ReasonUnmeetableDeadline, RetryAfter: retryAfter})
 		q.fillSlots(now)
 		return q.effects
 	}
@@ -64,8 +64,8 @@
 	return q.effects
 }
 
-// Capacity sets how many requests may run at once.
-func (q *Queue) Capacity(now time.Time, slots int) []Effect {
+// SetSlots sets how many requests may run at once.
+func (q *Queue) SetSlots(now time.Time, slots int) []Effect {
 	q.begin(now)
 	q.slots = max(slots, 0)
 	q.fillSlots(now)
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -100,7 +100,7 @@
 			case "capacity":
 				n.slots = rapid.IntRange(0, 9).Draw(t, "slots")
 				n.fillSlots()
-				got = q.Capacity(now, n.slots)
+				got = q.SetSlots(now, n.slots)
 			case "leave":
 				if r := drawHeld(t, n, false); r != nil {
 					n.remove(r)
--- a/core/admission/simulate_test.go
+++ b/core/admission/simulate_test.go
@@ -42,7 +42,7 @@
 		q: q, rng: rand.New(rand.NewPCG(20261204, 1)), now: epoch, sources: sources,
 		outcomes: make([]outcome, len(sources)), waiting: map[string]*job{}, afterEvent: afterEvent,
 	}
-	s.apply(q.Capacity(s.now, slots))
+	s.apply(q.SetSlots(s.now, slots))
 	end, tick := epoch.Add(length), epoch
 	for s.now.Before(end) {
 		s.event()
--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -51,7 +51,7 @@
 	attempt    int
 	failures   int
 	refusals   int
-	stages     []Hop
+	stages     []Stage
 	openStep   *Send
 	probing    bool
 	resends    int
@@ -86,8 +86,8 @@
 // discarded.
 func (m *Machine) Step(e Event) []Effect {
 	if m.finished {
-		if a, ok := e.(Answered); ok {
-			m.addEffect(Drop{Kind: DropLate, Asked: a.Asked})
+		if a, ok := e.(Responded); ok {
+			m.addEffect(Discard{Reason: DiscardLate, Step: a.Step})
 		}
 		return m.takeEffects()
 	}
@@ -96,13 +96,13 @@
 		m.onRouted(e)
 	case Unroutable:
 		m.finish(false, e.Reason)
-	case Answered:
+	case Responded:
 		m.onResponse(e)
 	case Refused:
 		m.onRefused(e)
 	case Failed:
-		m.onFailed(e.Asked)
-	case Silent:
+		m.onFailed(e.Step)
+	case Unresponsive:
 		m.onUnresponsive(e)
 	case Probed:
 		m.onProbed(e)
@@ -127,11 +127,11 @@
 }
 
 func (m *Machine) onRouted(e Routed) {
-	if m.openStep != nil || len(e.Hops) == 0 {
+	if m.openStep != nil || len(e.Stages) == 0 {
 		return
 	}
 	m.attempt++
-	m.stages = slices.Clone(e.Hops)
+	m.stages = slices.Clone(e.Stages)
 	m.attemptStart = len(m.tokens)
 	m.send(0, nil)
 }
@@ -140,7 +140,7 @@
 func (m *Machine) send(stage int, hidden []byte) {
 	s := Send{
 		Step:    Identity{RequestID: m.cfg.RequestID, Attempt: m.attempt, Stage: stage, Position: len(m.tokens)},
-		Hop:     m.stages[stage],
+		Stage:   m.stages[stage],
 		Prefill: len(m.tokens) == m.attemptStart,
 		Hidden:  hidden,
 	}
@@ -161,19 +161,19 @@
 	return []int{m.tokens[len(m.tokens)-1]}
 }
 
-func (m *Machine) onResponse(e Answered) {
-	if !m.isOpen(e.Asked) {
-		m.addEffect(Drop{Kind: DropLate, Asked: e.Asked})
+func (m *Machine) onResponse(e Responded) {
+	if !m.isOpen(e.Step) {
+		m.addEffect(Discard{Reason: DiscardLate, Step: e.Step})
 		return
 	}
-	if !sameStep(e.Asked, e.Reported) {
-		m.addEffect(Drop{Kind: DropForeign, Asked: e.Asked})
+	if !sameStep(e.Step, e.Reported) {
+		m.addEffect(Discard{Reason: DiscardMismatched, Step: e.Step})
 		m.failAttempt()
 		return
 	}
 	last := m.openStep.Step.Stage == len(m.stages)-1
 	if last != (e.Token != nil) || last == (len(e.Hidden) > 0) {
-		m.addEffect(Drop{Kind: DropMalformed, Asked: e.Asked})
+		m.addEffect(Discard{Reason: DiscardMalformed, Step: e.Step})
 		m.failAttempt()
 		return
 	}
@@ -203,7 +203,7 @@
 }
 
 func (m *Machine) onRefused(e Refused) {
-	if !m.isOpen(e.Asked) {
+	if !m.isOpen(e.Step) {
 		return
 	}
 	// A step that was sent before on another connection may have been executed there.
@@ -223,8 +223,8 @@
 	m.failAttempt()
 }
 
-func (m *Machine) onUnresponsive(e Silent) {
-	if !m.isOpen(e.Asked) || m.probing {
+func (m *Machine) onUnresponsive(e Unresponsive) {
+	if !m.isOpen(e.Step) || m.probing {
 		return
 	}
 	if m.resends >= maxResends {
@@ -232,11 +232,11 @@
 		return
 	}
 	m.probing = true
-	m.addEffect(Probe{Step: m.openStep.Step, Hop: m.openStep.Hop})
+	m.addEffect(Probe{Step: m.openStep.Step, Stage: m.openStep.Stage})
 }
 
 func (m *Machine) onProbed(e Probed) {
-	if !m.isOpen(e.Asked) || !m.probing {
+	if !m.isOpen(e.Step) || !m.probing {
 		return
 	}
 	m.probing = false
@@ -258,7 +258,7 @@
 // endAttempt ends the attempt at the open step, excludes its replica, and requests the
 // next path unless the attempts are exhausted.
 func (m *Machine) endAttempt(exhausted, retry bool) {
-	failedReplica := m.openStep.Hop.ReplicaID
+	failedReplica := m.openStep.Stage.ReplicaID
 	if !slices.Contains(m.excluded, failedReplica) {
 		m.excluded = append(m.excluded, failedReplica)
 	}
@@ -275,7 +275,7 @@
 	if len(m.stages) == 0 {
 		return
 	}
-	m.addEffect(Release{Attempt: m.attempt, Hops: m.stages})
+	m.addEffect(Release{Attempt: m.attempt, Stages: m.stages})
 	m.stages = nil
 }
 
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -13,10 +13,10 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-func testStages(count int) []Hop {
-	var out []Hop
+func testStages(count int) []Stage {
+	var out []Stage
 	for i := range count {
-		out = append(out, Hop{ReplicaID: fmt.Sprint("r", i), FirstLayer: i, LastLayer: i})
+		out = append(out, Stage{ReplicaID: fmt.Sprint("r", i), FirstLayer: i, LastLayer: i})
 	}
 	return out
 }
@@ -33,8 +33,8 @@
 
 // validResponse returns the expected response to a step on a path with the given number
 // of stages. Token IDs are the position plus 100.
-func validResponse(s Send, stages int) Answered {
-	a := Answered{Asked: s.Step, Reported: s.Step}
+func validResponse(s Send, stages int) Responded {
+	a := Responded{Step: s.Step, Reported: s.Step}
 	if s.Step.Stage == stages-1 {
 		a.Token = &Token{ID: 100 + s.Step.Position}
 		return a
@@ -47,12 +47,12 @@
 	m := New(Config{RequestID: "q", MaxFailures: 1, MaxRefusals: 3, MaxTokens: 1})
 	m.Start()
 	for range 3 {
-		s, _ := findEffect[Send](m.Step(Routed{Hops: testStages(1)}))
-		_, again := findEffect[Route](m.Step(Refused{Asked: s.Step}))
+		s, _ := findEffect[Send](m.Step(Routed{Stages: testStages(1)}))
+		_, again := findEffect[Route](m.Step(Refused{Step: s.Step}))
 		require.True(t, again)
 	}
-	s, _ := findEffect[Send](m.Step(Routed{Hops: testStages(1)}))
-	f, ended := findEffect[Finish](m.Step(Failed{Asked: s.Step}))
+	s, _ := findEffect[Send](m.Step(Routed{Stages: testStages(1)}))
+	f, ended := findEffect[Finish](m.Step(Failed{Step: s.Step}))
 	require.True(t, ended)
 	require.Equal(t, execution.Unknown, f.Outcome.Execution)
 }
@@ -102,7 +102,7 @@
 			switch rapid.SampledFrom([]string{"response", "response", "response", "response", "late", "mismatched", "refuse", "fail", "unresponsive", "probed", "malformed", "cancel"}).Draw(t, "event") {
 			case "response":
 				if routeRequested {
-					ev, routeRequested = Routed{Hops: testStages(stages)}, false
+					ev, routeRequested = Routed{Stages: testStages(stages)}, false
 				} else if open != nil {
 					ev = validResponse(*open, stages)
 					mayHaveRun = true
@@ -120,26 +120,26 @@
 				}
 			case "malformed":
 				if open != nil {
-					ev = Answered{Asked: open.Step, Reported: open.Step}
+					ev = Responded{Step: open.Step, Reported: open.Step}
 					mayHaveRun = true
 				}
 			case "refuse":
 				if open != nil {
 					mayHaveRun = mayHaveRun || open.Resend
-					ev = Refused{Asked: open.Step}
+					ev = Refused{Step: open.Step}
 				}
 			case "fail":
 				if open != nil {
-					ev = Failed{Asked: open.Step}
+					ev = Failed{Step: open.Step}
 					mayHaveRun = true
 				}
 			case "unresponsive":
 				if open != nil {
-					ev = Silent{Asked: open.Step}
+					ev = Unresponsive{Step: open.Step}
 				}
 			case "probed":
 				if probe != nil && open != nil && probe.Step == open.Step {
-					ev = Probed{Asked: probe.Step, Alive: rapid.Bool().Draw(t, "alive")}
+					ev = Probed{Step: probe.Step, Alive: rapid.Bool().Draw(t, "alive")}
 					mayHaveRun = true
 				}
 			case "cancel":
@@ -151,7 +151,7 @@
 				continue
 			}
 			switch ev.(type) {
-			case Answered, Refused, Failed:
+			case Responded, Refused, Failed:
 				open = nil
 			}
 			apply(m.Step(ev))
@@ -196,32 +196,32 @@
 func TestResumeKeepsPositions(t *testing.T) {
 	m := New(Config{RequestID: "q", MaxFailures: 3, MaxTokens: 3})
 	m.Start()
-	effects := m.Step(Routed{Hops: testStages(1)})
+	effects := m.Step(Routed{Stages: testStages(1)})
 	first, _ := findEffect[Send](effects)
 	effects = m.Step(validResponse(first, 1))
 	second, _ := findEffect[Send](effects)
 	require.Equal(t, 1, second.Step.Position)
-	effects = m.Step(Failed{Asked: second.Step})
+	effects = m.Step(Failed{Step: second.Step})
 	route, ok := findEffect[Route](effects)
 	require.True(t, ok)
 	require.Equal(t, []string{"r0"}, route.Exclude)
 	require.True(t, route.Retry)
-	resumed, _ := findEffect[Send](m.Step(Routed{Hops: []Hop{{ReplicaID: "r9"}}}))
+	resumed, _ := findEffect[Send](m.Step(Routed{Stages: []Stage{{ReplicaID: "r9"}}}))
 	require.True(t, resumed.Prefill)
 	require.Equal(t, []int{100}, resumed.Tokens)
 	late := m.Step(validResponse(second, 1))
-	drop, ok := findEffect[Drop](late)
+	drop, ok := findEffect[Discard](late)
 	require.True(t, ok)
-	require.Equal(t, DropLate, drop.Kind)
+	require.Equal(t, DiscardLate, drop.Reason)
 }
 
 func TestRefusedEverywhereIsNotRun(t *testing.T) {
 	m := New(Config{RequestID: "q", MaxFailures: 1, MaxRefusals: 1, MaxTokens: 1})
 	m.Start()
 	for range 2 {
-		s, ok := findEffect[Send](m.Step(Routed{Hops: testStages(2)}))
+		s, ok := findEffect[Send](m.Step(Routed{Stages: testStages(2)}))
 		require.True(t, ok)
-		effects := m.Step(Refused{Asked: s.Step, Reason: "leaving"})
+		effects := m.Step(Refused{Step: s.Step, Reason: "leaving"})
 		if f, ok := findEffect[Finish](effects); ok {
 			require.Equal(t, execution.NotRun, f.Outcome.Execution)
 			return
--- a/core/attempt/message.go
+++ b/core/attempt/message.go
@@ -10,9 +10,9 @@
 	Position  int
 }
 
-// Hop is one stage of a path: a replica and its layers. FirstLayer and LastLayer are
+// Stage is one stage of a path: a replica and its layers. FirstLayer and LastLayer are
 // both inclusive.
-type Hop struct {
+type Stage struct {
 	ReplicaID  string
 	FirstLayer int
 	LastLayer  int
@@ -30,15 +30,15 @@
 type Event interface{ isEvent() }
 
 // Routed starts the next attempt on a path.
-type Routed struct{ Hops []Hop }
+type Routed struct{ Stages []Stage }
 
 // Unroutable ends the request because no path is available.
 type Unroutable struct{ Reason string }
 
-// Answered carries the response of an upstream to a step. Reported is the identity
+// Responded carries the response of an upstream to a step. Reported is the identity
 // stated in the response; its Stage is not compared.
-type Answered struct {
-	Asked    Identity
+type Responded struct {
+	Step     Identity
 	Reported Identity
 	Hidden   []byte
 	Token    *Token
@@ -47,23 +47,23 @@
 // Refused reports that a step was certainly not executed: nothing was written to the
 // upstream, or it refused the step in its protocol.
 type Refused struct {
-	Asked  Identity
+	Step   Identity
 	Reason string
 }
 
 // Failed reports that a step ended without a usable response. It may have been
 // executed.
 type Failed struct {
-	Asked  Identity
+	Step   Identity
 	Reason string
 }
 
-// Silent reports that a step made no progress within its timeout.
-type Silent struct{ Asked Identity }
+// Unresponsive reports that a step made no progress within its timeout.
+type Unresponsive struct{ Step Identity }
 
 // Probed reports the result of a probe.
 type Probed struct {
-	Asked Identity
+	Step  Identity
 	Alive bool
 }
 
@@ -73,15 +73,15 @@
 // Expired ends the request because its deadline passed.
 type Expired struct{}
 
-func (Routed) isEvent()     {}
-func (Unroutable) isEvent() {}
-func (Answered) isEvent()   {}
-func (Refused) isEvent()    {}
-func (Failed) isEvent()     {}
-func (Silent) isEvent()     {}
-func (Probed) isEvent()     {}
-func (Cancelled) isEvent()  {}
-func (Expired) isEvent()    {}
+func (Routed) isEvent()       {}
+func (Unroutable) isEvent()   {}
+func (Responded) isEvent()    {}
+func (Refused) isEvent()      {}
+func (Failed) isEvent()       {}
+func (Unresponsive) isEvent() {}
+func (Probed) isEvent()       {}
+func (Cancelled) isEvent()    {}
+func (Expired) isEvent()      {}
 
 // Effect is an output of Machine.Step. Effects must be carried out in order.
 type Effect interface{ isEffect() }
@@ -97,8 +97,8 @@
 
 // Send requests that the replica of a stage run one step.
 type Send struct {
-	Step Identity
-	Hop  Hop
+	Step  Identity
+	Stage Stage
 	// Prefill is true for the first position of an attempt.
 	Prefill bool
 	// Resend is true if the step was sent before on another connection.
@@ -112,8 +112,8 @@
 
 // Probe checks whether the replica of a stage responds on a new connection.
 type Probe struct {
-	Step Identity
-	Hop  Hop
+	Step  Identity
+	Stage Stage
 }
 
 // Emit delivers the token at Position to the client. Positions increase by one.
@@ -125,13 +125,13 @@
 // Release ends attempt Attempt on its replicas, which may still hold state of it.
 type Release struct {
 	Attempt int
-	Hops    []Hop
+	Stages  []Stage
 }
 
-// Drop reports that a response was discarded.
-type Drop struct {
-	Kind  DropKind
-	Asked Identity
+// Discard reports that a response was discarded.
+type Discard struct {
+	Reason DiscardReason
+	Step   Identity
 }
 
 // Finish is the last effect of a request.
@@ -142,30 +142,30 @@
 func (Probe) isEffect()   {}
 func (Emit) isEffect()    {}
 func (Release) isEffect() {}
-func (Drop) isEffect()    {}
+func (Discard) isEffect() {}
 func (Finish) isEffect()  {}
 
-// DropKind is why a response was discarded.
-type DropKind uint8
+// DiscardReason is why a response was discarded.
+type DiscardReason uint8
 
 const (
-	// DropLate is a response to a step that is no longer open.
-	DropLate DropKind = iota
-	// DropForeign is a response that reports another identity than that of its step.
-	DropForeign
-	// DropMalformed is a response that lacks the output of its stage or has the output
+	// DiscardLate is a response to a step that is no longer open.
+	DiscardLate DiscardReason = iota
+	// DiscardMismatched is a response that reports another identity than that of its step.
+	DiscardMismatched
+	// DiscardMalformed is a response that lacks the output of its stage or has the output
 	// of another one.
-	DropMalformed
+	DiscardMalformed
 )
 
 // String returns the value used in logs and metrics.
-func (k DropKind) String() string {
+func (k DiscardReason) String() string {
 	switch k {
-	case DropLate:
+	case DiscardLate:
 		return "late"
-	case DropForeign:
+	case DiscardMismatched:
 		return "foreign"
-	case DropMalformed:
+	case DiscardMalformed:
 		return "malformed"
 	default:
 		return "unknown"
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -8,8 +8,8 @@
 
 // Outcomes of sending a request.
 const (
-	// Answered means a complete response that is not a server error.
-	Answered Outcome = iota
+	// Responded means a complete response that is not a server error.
+	Responded Outcome = iota
 	// Failed means a complete response with a server error from a replica that ran the
 	// request.
 	Failed
@@ -27,13 +27,13 @@
 	return [...]string{"answered", "failed", "rejected", "unsent", "lost"}[o]
 }
 
-// Next is the decision that follows an outcome.
-type Next int
+// Decision is the decision that follows an outcome.
+type Decision int
 
 // Decisions.
 const (
 	// Deliver forwards the response to the client.
-	Deliver Next = iota
+	Deliver Decision = iota
 	// Retry sends the request to another replica.
 	Retry
 	// Refuse tells the client that the request did not run.
@@ -43,7 +43,7 @@
 )
 
 // String returns the name used in logs.
-func (n Next) String() string {
+func (n Decision) String() string {
 	return [...]string{"deliver", "retry", "refuse", "give_up"}[n]
 }
 
@@ -53,8 +53,8 @@
 
 // History records the outcomes of one request so far.
 type History struct {
-	// Repeatable marks a request that may run more than once.
-	Repeatable bool
+	// Idempotent marks a request that may run more than once.
+	Idempotent bool
 	// MaxRuns is the maximum number of replicas that may run the request.
 	MaxRuns int
 	// Sends is the number of replicas tried, Runs the number of those that may have run
@@ -64,12 +64,12 @@
 
 // Step records an outcome and returns the decision. spendRetry spends a retry and
 // returns true if the budget allows one; it is called only when a retry is wanted.
-func (h *History) Step(o Outcome, spendRetry func() bool) Next {
+func (h *History) Step(o Outcome, spendRetry func() bool) Decision {
 	h.Sends++
-	if o == Answered || o == Failed || o == Lost {
+	if o == Responded || o == Failed || o == Lost {
 		h.Runs++
 	}
-	if o == Answered {
+	if o == Responded {
 		return Deliver
 	}
 	if h.mayRetry() && spendRetry() {
@@ -92,7 +92,7 @@
 	if h.Runs == 0 {
 		return true
 	}
-	return h.Repeatable && h.Runs < h.MaxRuns
+	return h.Idempotent && h.Runs < h.MaxRuns
 }
 
 // MayHaveRun reports whether any replica may have run the request.
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -12,7 +12,7 @@
 func alwaysAllowed() bool { return true }
 func neverAllowed() bool  { return false }
 
-var outcomes = []forward.Outcome{forward.Answered, forward.Failed, forward.Rejected, forward.Unsent, forward.Lost}
+var outcomes = []forward.Outcome{forward.Responded, forward.Failed, forward.Rejected, forward.Unsent, forward.Lost}
 
 // TestHistories checks over random outcomes that a request that may not be repeated
 // runs at most once, that others run on at most MaxRuns replicas, and that the decision
@@ -20,18 +20,18 @@
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := forward.History{
-			Repeatable: rapid.Bool().Draw(t, "repeatable"),
+			Idempotent: rapid.Bool().Draw(t, "repeatable"),
 			MaxRuns:    rapid.IntRange(1, 3).Draw(t, "max runs"),
 		}
 		ran := 0
 		for {
 			o := rapid.SampledFrom(outcomes).Draw(t, "outcome")
-			if o == forward.Answered || o == forward.Failed || o == forward.Lost {
+			if o == forward.Responded || o == forward.Failed || o == forward.Lost {
 				ran++
 			}
 			next := h.Step(o, alwaysAllowed)
 			limit := 1
-			if h.Repeatable {
+			if h.Idempotent {
 				limit = h.MaxRuns
 			}
 			require.LessOrEqual(t, ran, max(1, limit))
@@ -40,7 +40,7 @@
 				require.Zero(t, ran)
 			}
 			if next == forward.Deliver {
-				require.Contains(t, []forward.Outcome{forward.Answered, forward.Failed}, o)
+				require.Contains(t, []forward.Outcome{forward.Responded, forward.Failed}, o)
 			}
 			if next != forward.Retry {
 				return
@@ -55,9 +55,9 @@
 		repeatable bool
 		outcome    forward.Outcome
 		budget     func() bool
-		want       forward.Next
+		want       forward.Decision
 	}{
-		{"a complete response is delivered", false, forward.Answered, neverAllowed, forward.Deliver},
+		{"a complete response is delivered", false, forward.Responded, neverAllowed, forward.Deliver},
 		{"an idempotent request that failed is retried", true, forward.Failed, alwaysAllowed, forward.Retry},
 		{"a failure is delivered when the budget is spent", true, forward.Failed, neverAllowed, forward.Deliver},
 		{"a non-idempotent request that failed is delivered", false, forward.Failed, alwaysAllowed, forward.Deliver},
@@ -69,7 +69,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := forward.History{Repeatable: c.repeatable, MaxRuns: 2}
+			h := forward.History{Idempotent: c.repeatable, MaxRuns: 2}
 			require.Equal(t, c.want, h.Step(c.outcome, c.budget))
 		})
 	}
--- a/core/pause/pause.go
+++ b/core/pause/pause.go
@@ -7,9 +7,9 @@
 import "time"
 
 const (
-	// Longest bounds one pause. A replica that needs a longer one asks again when it
+	// MaxDuration bounds one pause. A replica that needs a longer one asks again when it
 	// receives a request after it.
-	Longest = time.Minute
+	MaxDuration = time.Minute
 	// jitterFraction and maxJitter bound the random extension of a pause, so that the
 	// instances do not all resume at the same moment.
 	jitterFraction = 0.1
@@ -34,7 +34,7 @@
 // end of the pause, which is never earlier than the end of a previous pause of the same
 // process.
 func (l *List) Add(now time.Time, replica string, startTime int64, duration time.Duration, random float64) time.Time {
-	duration = min(duration, Longest)
+	duration = min(duration, MaxDuration)
 	spread := min(time.Duration(float64(duration)*jitterFraction), maxJitter)
 	end := now.Add(duration + time.Duration(random*float64(spread)))
 	if previous := l.pauses[replica]; previous.startTime == startTime && previous.end.After(end) {
--- a/core/pause/pause_test.go
+++ b/core/pause/pause_test.go
@@ -35,8 +35,8 @@
 			default:
 				d := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "pause")) * time.Millisecond
 				end := l.Add(now, id, latest[id], d, rapid.Float64Range(0, 1).Draw(t, "random"))
-				require.False(t, end.Before(now.Add(min(d, pause.Longest))), "shorter than requested")
-				require.False(t, end.After(now.Add(pause.Longest+time.Minute)))
+				require.False(t, end.Before(now.Add(min(d, pause.MaxDuration))), "shorter than requested")
+				require.False(t, end.After(now.Add(pause.MaxDuration+time.Minute)))
 				all = append(all, pauseRequest{id, latest[id], end})
 			}
 			for _, id := range []string{"a", "b"} {
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -13,9 +13,9 @@
 	// MinPerSecond is the rate at which retries are added regardless of first attempts,
 	// so that an idle group can retry too.
 	MinPerSecond float64
-	// Bank is the burst: the maximum number of retries that the budget can hold. The
+	// Burst is the burst: the maximum number of retries that the budget can hold. The
 	// budget starts full.
-	Bank float64
+	Burst float64
 	// Window, if positive, raises the maximum by the retries earned by the first
 	// attempts of the last window. Failures come in bursts, for example when a replica
 	// with many requests crashes.
@@ -38,7 +38,7 @@
 
 // NewBudget returns a full budget.
 func NewBudget(c BudgetConfig) *Budget {
-	return &Budget{cfg: c, available: c.Bank}
+	return &Budget{cfg: c, available: c.Burst}
 }
 
 // Configure applies c. Retries above the new maximum are lost at the next call.
@@ -47,15 +47,15 @@
 	b.cfg = c
 }
 
-// First records a first attempt.
-func (b *Budget) First(now time.Time) {
+// RecordFirst records a first attempt.
+func (b *Budget) RecordFirst(now time.Time) {
 	b.firsts.add(now, b.cfg.Window)
 	b.refill(now, b.cfg.Ratio)
 }
 
-// Take spends one retry. It returns false if the budget is exhausted; the failure must
+// TrySpend spends one retry. It returns false if the budget is exhausted; the failure must
 // then be reported to the client instead of being retried.
-func (b *Budget) Take(now time.Time) bool {
+func (b *Budget) TrySpend(now time.Time) bool {
 	b.refill(now, 0)
 	if b.available < 1 {
 		return false
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Saved returns the number of retries that are available now.
-func (b *Budget) Saved(now time.Time) float64 {
+// Available returns the number of retries that are available now.
+func (b *Budget) Available(now time.Time) float64 {
 	b.refill(now, 0)
 	return b.available
 }
@@ -79,7 +79,7 @@
 		}
 		b.last = now
 	}
-	most := b.cfg.Bank
+	most := b.cfg.Burst
 	if b.cfg.Window > 0 {
 		most += b.cfg.Ratio * b.firsts.sum(b.last, b.cfg.Window)
 	}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -21,7 +21,7 @@
 	return BudgetConfig{
 		Ratio:        rapid.Float64Range(0, 1).Draw(t, "ratio"),
 		MinPerSecond: rapid.Float64Range(0, 2).Draw(t, "minimum rate"),
-		Bank:         rapid.Float64Range(0, 20).Draw(t, "bank"),
+		Burst:        rapid.Float64Range(0, 20).Draw(t, "bank"),
 	}
 }
 
@@ -33,24 +33,24 @@
 		c := drawBudget(t)
 		b := NewBudget(c)
 		now := epoch
-		b.First(now)
+		b.RecordFirst(now)
 		balance, highest := 0.0, 0.0 // income minus retries
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			pause := time.Duration(rapid.IntRange(-100, 1500).Draw(t, "pause")) * time.Millisecond
 			now = now.Add(max(pause, 0))
 			balance += c.MinPerSecond * max(pause, 0).Seconds()
 			if rapid.Bool().Draw(t, "first") {
-				b.First(now.Add(min(pause, 0)))
+				b.RecordFirst(now.Add(min(pause, 0)))
 				balance += c.Ratio
 			} else {
-				saved := b.Saved(now)
-				require.Equal(t, saved >= 1, b.Take(now))
+				saved := b.Available(now)
+				require.Equal(t, saved >= 1, b.TrySpend(now))
 				if saved >= 1 {
 					balance--
 				}
 			}
 			highest = max(highest, balance)
-			require.LessOrEqual(t, highest-balance, c.Bank+1e-6)
+			require.LessOrEqual(t, highest-balance, c.Burst+1e-6)
 		}
 	})
 }
@@ -58,21 +58,21 @@
 // If every attempt fails, the load increases by the ratio, the burst and the minimum
 // rate at most, and the whole ratio can be used.
 func TestTotalFailureIncreasesLoadByRatio(t *testing.T) {
-	c := BudgetConfig{Ratio: 0.2, MinPerSecond: 0.5, Bank: 10}
+	c := BudgetConfig{Ratio: 0.2, MinPerSecond: 0.5, Burst: 10}
 	b := NewBudget(c)
 	const firsts, seconds, triesEach = 10_000, 100, 5
 	attempts := 0
 	for i := range firsts {
 		now := epoch.Add(time.Duration(i) * seconds * time.Second / firsts)
-		b.First(now)
+		b.RecordFirst(now)
 		attempts++
 		for range triesEach {
-			if b.Take(now) {
+			if b.TrySpend(now) {
 				attempts++
 			}
 		}
 	}
-	extra := c.Bank + c.MinPerSecond*seconds
+	extra := c.Burst + c.MinPerSecond*seconds
 	require.LessOrEqual(t, float64(attempts), (1+c.Ratio)*firsts+extra)
 	require.GreaterOrEqual(t, float64(attempts), (1+c.Ratio)*firsts)
 }
@@ -80,16 +80,16 @@
 // A group that had no first attempts for a long time can retry once the minimum rate
 // has added a retry, and a smaller burst takes effect immediately.
 func TestIdleGroupMayRetry(t *testing.T) {
-	b := NewBudget(BudgetConfig{Ratio: 0.2, MinPerSecond: 0.5, Bank: 3})
+	b := NewBudget(BudgetConfig{Ratio: 0.2, MinPerSecond: 0.5, Burst: 3})
 	for range 3 {
-		require.True(t, b.Take(epoch))
+		require.True(t, b.TrySpend(epoch))
 	}
-	require.False(t, b.Take(epoch.Add(time.Second)))
-	require.True(t, b.Take(epoch.Add(2*time.Second)))
-	require.InDelta(t, 3, b.Saved(epoch.Add(time.Hour)), 1e-9)
-	b.Configure(epoch.Add(time.Hour), BudgetConfig{Bank: 1})
-	require.True(t, b.Take(epoch.Add(time.Hour)))
-	require.False(t, b.Take(epoch.Add(2*time.Hour)))
+	require.False(t, b.TrySpend(epoch.Add(time.Second)))
+	require.True(t, b.TrySpend(epoch.Add(2*time.Second)))
+	require.InDelta(t, 3, b.Available(epoch.Add(time.Hour)), 1e-9)
+	b.Configure(epoch.Add(time.Hour), BudgetConfig{Burst: 1})
+	require.True(t, b.TrySpend(epoch.Add(time.Hour)))
+	require.False(t, b.TrySpend(epoch.Add(2*time.Hour)))
 }
 
 // The delay is within [0, min(Cap, Base*2^n)], leaves the service time before the
@@ -127,7 +127,7 @@
 		cfg := BudgetConfig{
 			Ratio:        rapid.Float64Range(0, 0.5).Draw(t, "ratio"),
 			MinPerSecond: rapid.Float64Range(0, 1).Draw(t, "rate"),
-			Bank:         rapid.Float64Range(1, 8).Draw(t, "bank"),
+			Burst:        rapid.Float64Range(1, 8).Draw(t, "bank"),
 			Window:       window,
 		}
 		b := NewBudget(cfg)
@@ -137,12 +137,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
 				for range rapid.IntRange(1, 5).Draw(t, "count") {
-					b.First(now)
+					b.RecordFirst(now)
 					firsts = append(firsts, now)
 				}
 				continue
 			}
-			for b.Take(now) {
+			for b.TrySpend(now) {
 				retries = append(retries, now)
 			}
 		}
@@ -157,7 +157,7 @@
 		}
 		for _, at := range retries {
 			end := at.Add(window)
-			paid := cfg.Bank + cfg.Ratio*within(firsts, at.Add(-window), end) + cfg.MinPerSecond*window.Seconds()
+			paid := cfg.Burst + cfg.Ratio*within(firsts, at.Add(-window), end) + cfg.MinPerSecond*window.Seconds()
 			require.LessOrEqual(t, within(retries, at, end), paid+1e-6)
 		}
 	})
@@ -168,15 +168,15 @@
 // retried.
 func TestBudgetCoversReplicaLoss(t *testing.T) {
 	const instances = 95
-	cfg := BudgetConfig{Ratio: 0.08, MinPerSecond: 0.1, Bank: 187.0 / instances, Window: 10 * time.Second}
+	cfg := BudgetConfig{Ratio: 0.08, MinPerSecond: 0.1, Burst: 187.0 / instances, Window: 10 * time.Second}
 	b := NewBudget(cfg)
 	now := time.Unix(1000, 0)
 	for range 80 {
 		now = now.Add(250 * time.Millisecond)
-		b.First(now)
+		b.RecordFirst(now)
 	}
 	for i := range 5 {
-		require.True(t, b.Take(now), "stream %d", i)
+		require.True(t, b.TrySpend(now), "stream %d", i)
 	}
-	require.False(t, b.Take(now))
+	require.False(t, b.TrySpend(now))
 }
--- a/core/waitlist/maxwait.go
+++ b/core/waitlist/maxwait.go
@@ -16,10 +16,10 @@
 // transmission, the prefill and the first event.
 const firstEventReserve = 500 * time.Millisecond
 
-// LongestWait returns how long a stream that has received no event, or none for a
+// MaxWait returns how long a stream that has received no event, or none for a
 // while, may wait for free capacity or for a retry. After a longer wait the client
 // would give up before the next event. Objective and gap are the objectives of the
 // route for the first event and for the gap between events, 0 if it has none.
-func LongestWait(objective, gap time.Duration) time.Duration {
+func MaxWait(objective, gap time.Duration) time.Duration {
 	return max(minClientTimeout, objectiveFactor*objective, gapFactor*gap) - firstEventReserve
 }
--- a/core/waitlist/waitlist.go
+++ b/core/waitlist/waitlist.go
@@ -17,8 +17,8 @@
 	// time.
 	Retried bool
 	Arrival time.Time
-	// GiveUp is when the request is refused if it still waits.
-	GiveUp time.Time
+	// RefuseAt is when the request is refused if it still waits.
+	RefuseAt time.Time
 
 	sequence uint64
 }
@@ -77,7 +77,7 @@
 	var out []*Item
 	kept := l.items[:0]
 	for _, it := range l.items {
-		if now.Before(it.GiveUp) {
+		if now.Before(it.RefuseAt) {
 			kept = append(kept, it)
 			continue
 		}
--- a/core/waitlist/waitlist_test.go
+++ b/core/waitlist/waitlist_test.go
@@ -31,8 +31,8 @@
 
 func TestRemoveExpired(t *testing.T) {
 	var l waitlist.List
-	a := &waitlist.Item{GiveUp: start}
-	b := &waitlist.Item{GiveUp: start.Add(time.Second)}
+	a := &waitlist.Item{RefuseAt: start}
+	b := &waitlist.Item{RefuseAt: start.Add(time.Second)}
 	l.Add(a)
 	l.Add(b)
 	require.Equal(t, []*waitlist.Item{a}, l.RemoveExpired(start))
--- a/node/api/bench_test.go
+++ b/node/api/bench_test.go
@@ -56,7 +56,7 @@
 // discardMetrics discards all measurements.
 type discardMetrics struct{}
 
-func (discardMetrics) Dropped(attempt.DropKind)                    {}
+func (discardMetrics) Dropped(attempt.DiscardReason)               {}
 func (discardMetrics) TokenGap(string, config.Rank, time.Duration) {}
 func (discardMetrics) Finished(*router.Result)                     {}
 func (discardMetrics) ConnectionReplaced(string)                   {}
--- a/node/app/observer.go
+++ b/node/app/observer.go
@@ -23,7 +23,7 @@
 var _ router.Metrics = (*observer)(nil)
 
 // Dropped implements router.Metrics.
-func (o *observer) Dropped(attempt.DropKind) {
+func (o *observer) Dropped(attempt.DiscardReason) {
 	o.registry.Add(metrics.LateResponses, 1)
 }
 
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -68,7 +68,7 @@
 	if n, err := strconv.ParseInt(c.LastEvent, 10, 64); err == nil {
 		s.lastEventID = n
 	}
-	h := forward.History{Repeatable: c.route.Repeatable(), MaxRuns: c.route.MaxAttempts}
+	h := forward.History{Idempotent: c.route.Repeatable(), MaxRuns: c.route.MaxAttempts}
 	for {
 		if time.Now().Add(s.pool.paused(time.Now())).After(s.waitLimit()) {
 			s.endWithoutPath(ctx, &h)
@@ -91,7 +91,7 @@
 		}
 		s.grant.release()
 		next := h.Step(outcome, func() bool { return g.awaitRetry(ctx, c, s.waitLimit()) })
-		if outcome == forward.Answered || (outcome == forward.Failed && next != forward.Retry) {
+		if outcome == forward.Responded || (outcome == forward.Failed && next != forward.Retry) {
 			return
 		}
 		g.log.Info("attempt failed", zap.String("request", c.ID), zap.String("replica", c.replica),
@@ -125,7 +125,7 @@
 
 // item returns the request's entry in the list of waiting requests.
 func (s *stream) item() *waitlist.Item {
-	return &waitlist.Item{Rank: s.rank, Arrival: s.arrival, GiveUp: s.waitLimit()}
+	return &waitlist.Item{Rank: s.rank, Arrival: s.arrival, RefuseAt: s.waitLimit()}
 }
 
 // waitLimit is the latest time at which a path is still of use: after that, the client
@@ -136,7 +136,7 @@
 	if s.headSent {
 		since = s.lastSent
 	}
-	end := since.Add(waitlist.LongestWait(s.route.Objective, s.route.GapObjective))
+	end := since.Add(waitlist.MaxWait(s.route.Objective, s.route.GapObjective))
 	if s.deadline.Before(end) {
 		return s.deadline
 	}
@@ -163,7 +163,7 @@
 }
 
 // endIncomplete finishes a request whose response is incomplete.
-func (s *stream) endIncomplete(ctx context.Context, next forward.Next) {
+func (s *stream) endIncomplete(ctx context.Context, next forward.Decision) {
 	switch {
 	case s.headSent:
 		httpserver.Abort(s.writer)
@@ -293,7 +293,7 @@
 		return forward.Lost, err
 	}
 	s.g.deliver(s.call, &plainResponse{status: resp.Status, header: resp.Header, body: body})
-	return forward.Answered, nil
+	return forward.Responded, nil
 }
 
 // relay forwards whole events to the client as they arrive.
@@ -321,7 +321,7 @@
 			before := s.lastEventID
 			done, outcome, err := s.handleEvent(ctx, resp, ev)
 			if done {
-				whole = outcome == forward.Answered
+				whole = outcome == forward.Responded
 				return outcome, err
 			}
 			// Comments that a stalled replica keeps sending are not progress.
@@ -345,7 +345,7 @@
 		s.g.crashes.recordSuccess(s.fingerprint)
 		s.g.logEnd(s.call, resp.Status, "delivered", zap.Int("events", s.relayed), zap.Int("parts", len(s.grant.path())),
 			zap.Duration("longest_pause", s.longestGap), zap.Int("repaths", s.repaths), zap.String("zones", zonesOf(s.grant.path())))
-		return true, forward.Answered, nil
+		return true, forward.Responded, nil
 	}
 	if ev.err != nil {
 		return true, forward.Lost, ev.err
--- a/node/gateway/modelpool_test.go
+++ b/node/gateway/modelpool_test.go
@@ -36,7 +36,7 @@
 	for _, id := range avoid {
 		limit.Avoid[id] = true
 	}
-	it := &waitlist.Item{Arrival: time.Now(), GiveUp: time.Now().Add(time.Second)}
+	it := &waitlist.Item{Arrival: time.Now(), RefuseAt: time.Now().Add(time.Second)}
 	return p.acquire(context.Background(), it, pipeline.Demand{Prompt: 100, Output: 100}, limit)
 }
 
@@ -153,7 +153,7 @@
 		p.block("c", time.Minute, "test")
 		ask := func(prompt float64) <-chan *grant {
 			out := make(chan *grant, 1)
-			it := &waitlist.Item{Arrival: time.Now(), GiveUp: time.Now().Add(5 * time.Second)}
+			it := &waitlist.Item{Arrival: time.Now(), RefuseAt: time.Now().Add(5 * time.Second)}
 			go func() {
 				out <- p.acquire(context.Background(), it, pipeline.Demand{Prompt: prompt}, pipeline.Constraint{})
 			}()
--- a/node/gateway/plain.go
+++ b/node/gateway/plain.go
@@ -37,7 +37,7 @@
 func (g *Gateway) servePlain(ctx context.Context, c *call) {
 	pool := g.plain(c.service.Name)
 	g.countFirst(c.service.Name)
-	h := forward.History{Repeatable: c.route.Kind == routing.Idempotent, MaxRuns: c.route.MaxAttempts}
+	h := forward.History{Idempotent: c.route.Kind == routing.Idempotent, MaxRuns: c.route.MaxAttempts}
 	tried := map[string]bool{}
 	for {
 		replica, ok := pool.selectReplica(time.Now(), tried)
@@ -53,7 +53,7 @@
 		c.replica = replica.ID
 		outcome, response, err := g.sendPlain(ctx, c, pool, replica, &h)
 		next := h.Step(outcome, func() bool { return g.mayRetry(ctx, c) })
-		if outcome != forward.Answered {
+		if outcome != forward.Responded {
 			g.log.Info("attempt failed", zap.String("request", c.ID), zap.String("replica", replica.ID),
 				zap.Stringer("outcome", outcome), zap.Stringer("next", next), zap.Int("sends", h.Sends),
 				zap.Duration("left", c.remaining(time.Now())),
@@ -108,16 +108,16 @@
 // result for the replica's load, its health and the detection of crashes.
 func (g *Gateway) sendPlain(ctx context.Context, c *call, pool *plainPool, replica Replica, h *forward.History) (forward.Outcome, *plainResponse, error) {
 	now := time.Now()
-	if h.Repeatable && h.Runs+1 < h.MaxRuns {
+	if h.Idempotent && h.Runs+1 < h.MaxRuns {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(float64(c.remaining(now))*firstAttemptShare))
 		defer cancel()
 	}
 	pool.recordSend(replica.ID)
 	sent := time.Now()
-	outcome, response, err := g.exchangePlain(ctx, c, replica, !h.Repeatable, pool)
+	outcome, response, err := g.exchangePlain(ctx, c, replica, !h.Idempotent, pool)
 	switch {
-	case outcome == forward.Answered && response.status < http.StatusMultipleChoices:
+	case outcome == forward.Responded && response.status < http.StatusMultipleChoices:
 		g.crashes.recordSuccess(c.fingerprint)
 	case outcome == forward.Lost && mayBeCrash(err) && !errors.Is(c.http.Context().Err(), context.Canceled) && pool.listed(replica):
 		r := g.crashes.process(poison.Process{Replica: replica.ID, StartTime: replica.Born}, sent)
@@ -173,7 +173,7 @@
 	if resp.Status >= http.StatusInternalServerError {
 		return forward.Failed, response, nil
 	}
-	return forward.Answered, response, nil
+	return forward.Responded, response, nil
 }
 
 // drainBody reads the rest of a short response so that its connection can be reused. The
--- a/node/gateway/plainpool.go
+++ b/node/gateway/plainpool.go
@@ -179,7 +179,7 @@
 	}
 	r.inFlight = max(0, r.inFlight-1)
 	switch o {
-	case forward.Answered, forward.Failed:
+	case forward.Responded, forward.Failed:
 		r.failures = 0
 		r.ejectedUntil = time.Time{}
 		if r.meanDuration == 0 {
--- a/node/gateway/retries.go
+++ b/node/gateway/retries.go
@@ -74,14 +74,14 @@
 func (g *Gateway) retryAllowed(service string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget(service).Take(time.Now())
+	return g.budget(service).TrySpend(time.Now())
 }
 
 // countFirst adds the first attempt of a request to the service's budget.
 func (g *Gateway) countFirst(service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget(service).First(time.Now())
+	g.budget(service).RecordFirst(time.Now())
 }
 
 const (
@@ -112,7 +112,7 @@
 // instances start at once, each would otherwise assume that it is one of a few.
 func (g *Gateway) budgetConfig() retry.BudgetConfig {
 	if g.instances == 0 {
-		return retry.BudgetConfig{Ratio: g.opts.Retries.Ratio * retryRatioShare, Bank: 1, Window: g.opts.Retries.Window}
+		return retry.BudgetConfig{Ratio: g.opts.Retries.Ratio * retryRatioShare, Burst: 1, Window: g.opts.Retries.Window}
 	}
 	n := float64(g.instances)
 	window := max(g.opts.Retries.Window, time.Second).Seconds()
@@ -120,7 +120,7 @@
 	return retry.BudgetConfig{
 		Ratio:        g.opts.Retries.Ratio * retryRatioShare,
 		MinPerSecond: slack * retryRateShare / window,
-		Bank:         max(1, slack*retryBankShare),
+		Burst:        max(1, slack*retryBankShare),
 		Window:       g.opts.Retries.Window,
 	}
 }
--- a/node/gateway/waiting.go
+++ b/node/gateway/waiting.go
@@ -21,7 +21,7 @@
 		return g
 	default:
 	}
-	timer := time.NewTimer(time.Until(it.GiveUp))
+	timer := time.NewTimer(time.Until(it.RefuseAt))
 	defer timer.Stop()
 	select {
 	case g := <-w.granted:
--- a/node/router/attempts.go
+++ b/node/router/attempts.go
@@ -99,11 +99,11 @@
 	x.version = x.pool.version()
 	x.result.Expected = c.Expected
 	x.result.Route = replicaIDs(c.Hops)
-	stages := make([]attempt.Hop, 0, len(c.Hops))
+	stages := make([]attempt.Stage, 0, len(c.Hops))
 	for _, stage := range c.Hops {
-		stages = append(stages, attempt.Hop{ReplicaID: stage.ReplicaID, FirstLayer: stage.First, LastLayer: stage.Last})
+		stages = append(stages, attempt.Stage{ReplicaID: stage.ReplicaID, FirstLayer: stage.First, LastLayer: stage.Last})
 	}
-	return attempt.Routed{Hops: stages}
+	return attempt.Routed{Stages: stages}
 }
 
 func (x *requestRun) routeRequest(exclude []string) route.Request {
--- a/node/router/configure_test.go
+++ b/node/router/configure_test.go
@@ -65,7 +65,7 @@
 	p := r.pools["m"]
 	for p.spendRetry() { // exhaust the budget
 	}
-	before := p.budget.Saved(time.Now())
+	before := p.budget.Available(time.Now())
 	p.recordFirstAttempt()
-	require.GreaterOrEqual(t, p.budget.Saved(time.Now())-before, 0.5)
+	require.GreaterOrEqual(t, p.budget.Available(time.Now())-before, 0.5)
 }
--- a/node/router/fake_test.go
+++ b/node/router/fake_test.go
@@ -185,14 +185,14 @@
 // discardCounter implements Metrics and counts the discarded responses.
 type discardCounter struct {
 	mu        sync.Mutex
-	discarded map[attempt.DropKind]int
+	discarded map[attempt.DiscardReason]int
 }
 
-func (m *discardCounter) Dropped(k attempt.DropKind) {
+func (m *discardCounter) Dropped(k attempt.DiscardReason) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.discarded == nil {
-		m.discarded = map[attempt.DropKind]int{}
+		m.discarded = map[attempt.DiscardReason]int{}
 	}
 	m.discarded[k]++
 }
--- a/node/router/outcome.go
+++ b/node/router/outcome.go
@@ -69,9 +69,9 @@
 
 func refusalCode(r admission.Reason) Code {
 	switch r {
-	case admission.ReasonHopeless:
+	case admission.ReasonUnmeetableDeadline:
 		return CodeHopeless
-	case admission.ReasonDeadline:
+	case admission.ReasonDeadlineWhileQueued:
 		return CodeDeadline
 	case admission.ReasonWorkspaceFull:
 		return CodeWorkspaceFull
--- a/node/router/pool.go
+++ b/node/router/pool.go
@@ -33,7 +33,7 @@
 	return retry.BudgetConfig{
 		Ratio:        ratio,
 		MinPerSecond: max(1, retryRatePerSlot*float64(slots)),
-		Bank:         float64(max(minSavedRetries, savedRetriesPerSlot*slots)),
+		Burst:        float64(max(minSavedRetries, savedRetriesPerSlot*slots)),
 	}
 }
 
@@ -268,7 +268,7 @@
 func (p *pool) recordFirstAttempt() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.First(time.Now())
+	p.budget.RecordFirst(time.Now())
 }
 
 // spendRetry takes one retry from the budget. It returns false if the budget is
@@ -276,7 +276,7 @@
 func (p *pool) spendRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.Take(time.Now())
+	return p.budget.TrySpend(time.Now())
 }
 
 // setEntryInstances sets the IDs of the entry instances that dispatch to the pool.
--- a/node/router/queue.go
+++ b/node/router/queue.go
@@ -148,7 +148,7 @@
 		return
 	}
 	q.slots = slots
-	q.deliver(q.admitter.Capacity(time.Now(), slots))
+	q.deliver(q.admitter.SetSlots(time.Now(), slots))
 }
 
 func (q *queue) totalCapacity() int {
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -48,7 +48,7 @@
 // use.
 type Metrics interface {
 	// Dropped counts an upstream response that was discarded.
-	Dropped(k attempt.DropKind)
+	Dropped(k attempt.DiscardReason)
 	// TokenGap records the time between two consecutive tokens of one response.
 	TokenGap(workspace string, rank config.Rank, d time.Duration)
 	// Finished records the result of a request.
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -86,15 +86,15 @@
 // order.
 func TestMismatchedResponsesAreDiscarded(t *testing.T) {
 	cases := map[string]struct {
-		kind  attempt.DropKind
+		kind  attempt.DiscardReason
 		alter func(*wire.StepResponse)
 	}{
-		"other request":      {attempt.DropForeign, func(r *wire.StepResponse) { r.RequestID = "other" }},
-		"late attempt":       {attempt.DropForeign, func(r *wire.StepResponse) { r.Attempt-- }},
-		"duplicate position": {attempt.DropForeign, func(r *wire.StepResponse) { r.Position-- }},
-		"position ahead":     {attempt.DropForeign, func(r *wire.StepResponse) { r.Position++ }},
-		"no output":          {attempt.DropMalformed, func(r *wire.StepResponse) { r.Hidden, r.Token = nil, nil }},
-		"output of both a last and an inner stage": {attempt.DropMalformed, func(r *wire.StepResponse) {
+		"other request":      {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.RequestID = "other" }},
+		"late attempt":       {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.Attempt-- }},
+		"duplicate position": {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.Position-- }},
+		"position ahead":     {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.Position++ }},
+		"no output":          {attempt.DiscardMalformed, func(r *wire.StepResponse) { r.Hidden, r.Token = nil, nil }},
+		"output of both a last and an inner stage": {attempt.DiscardMalformed, func(r *wire.StepResponse) {
 			r.Hidden, r.Token = []byte{1}, &wire.Token{Text: "wrong"}
 		}},
 	}
@@ -115,7 +115,7 @@
 					require.True(t, res.Complete)
 					require.Equal(t, completeResponse("a", 5), sink.texts)
 					require.Equal(t, 2, res.Attempts)
-					require.Equal(t, map[attempt.DropKind]int{c.kind: 1}, m.discarded)
+					require.Equal(t, map[attempt.DiscardReason]int{c.kind: 1}, m.discarded)
 				})
 			})
 		}
--- a/node/router/run.go
+++ b/node/router/run.go
@@ -114,9 +114,9 @@
 		return x.emit(e)
 	case attempt.Release:
 		x.release(e)
-	case attempt.Drop:
+	case attempt.Discard:
 		x.result.Dropped++
-		x.router.metrics.Dropped(e.Kind)
+		x.router.metrics.Dropped(e.Reason)
 	case attempt.Finish:
 		x.finish(e.Outcome)
 	}
--- a/node/router/setup_test.go
+++ b/node/router/setup_test.go
@@ -25,7 +25,7 @@
 	ejected []string
 }
 
-func (*upstreamEvents) Dropped(attempt.DropKind)                    {}
+func (*upstreamEvents) Dropped(attempt.DiscardReason)               {}
 func (*upstreamEvents) TokenGap(string, config.Rank, time.Duration) {}
 func (*upstreamEvents) Finished(*Result)                            {}
 func (*upstreamEvents) ConnectionReplaced(string)                   {}
--- a/node/router/step.go
+++ b/node/router/step.go
@@ -17,9 +17,9 @@
 	if s.Prefill {
 		prefill = req.CoveredTokens
 	}
-	c, ok := x.pool.beginStep(s.Hop.ReplicaID, x.fingerprint, prefill, x.router.stepTimeout())
+	c, ok := x.pool.beginStep(s.Stage.ReplicaID, x.fingerprint, prefill, x.router.stepTimeout())
 	if !ok {
-		return attempt.Refused{Asked: s.Step, Reason: "not_listed"}
+		return attempt.Refused{Step: s.Step, Reason: "not_listed"}
 	}
 	x.currentCall = c
 	stepCtx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -42,8 +42,8 @@
 		Position:      s.Step.Position,
 		Model:         x.req.Model,
 		Version:       x.version,
-		FirstLayer:    s.Hop.FirstLayer,
-		LastLayer:     s.Hop.LastLayer,
+		FirstLayer:    s.Stage.FirstLayer,
+		LastLayer:     s.Stage.LastLayer,
 		Priority:      int(x.req.Rank),
 		Prefill:       s.Prefill,
 		Resend:        s.Resend,
@@ -62,8 +62,8 @@
 }
 
 func answeredEvent(s attempt.Send, resp *wire.StepResponse) attempt.Event {
-	a := attempt.Answered{
-		Asked: s.Step,
+	a := attempt.Responded{
+		Step: s.Step,
 		Reported: attempt.Identity{
 			RequestID: resp.RequestID, Attempt: resp.Attempt, Stage: s.Step.Stage, Position: resp.Position,
 		},
@@ -84,17 +84,17 @@
 	if !errors.As(err, &ce) {
 		ce = &engine.CallError{Code: engine.CodeProtocol, Err: err}
 	}
-	x.lastFailure = s.Hop.ReplicaID + ": " + ce.Error()
+	x.lastFailure = s.Stage.ReplicaID + ": " + ce.Error()
 	switch {
 	case ce.Proof != engine.ProofNone:
 		x.pool.recordRefusal(x.currentCall, ce.Code)
-		return attempt.Refused{Asked: s.Step, Reason: ce.Code}
+		return attempt.Refused{Step: s.Step, Reason: ce.Code}
 	case ce.Code == engine.CodeTimeout, ce.Code == engine.CodeConnection:
 		x.connectionBroken = ce.Code == engine.CodeConnection
-		return attempt.Silent{Asked: s.Step}
+		return attempt.Unresponsive{Step: s.Step}
 	default:
 		x.pool.discardStep(x.currentCall)
-		return attempt.Failed{Asked: s.Step, Reason: ce.Code}
+		return attempt.Failed{Step: s.Step, Reason: ce.Code}
 	}
 }
 
@@ -105,7 +105,7 @@
 		return contextEvent(ctx)
 	}
 	if !alive && x.connectionBroken {
-		x.poisoned = x.router.poison.stopAfterCrash(e.Hop.ReplicaID, x.fingerprint)
+		x.poisoned = x.router.poison.stopAfterCrash(e.Stage.ReplicaID, x.fingerprint)
 	}
-	return attempt.Probed{Asked: e.Step, Alive: alive}
+	return attempt.Probed{Step: e.Step, Alive: alive}
 }
