--- a/cmd/internal/local/local.go
+++ b/cmd/internal/local/local.go
@@ -119,7 +119,7 @@
 	}
 	c.nextNumber++
 	c.Apps = append(c.Apps, a)
-	c.Fleet.Instances().Add(wire.Instance{ID: id, Role: wire.RoleEntry, Zone: zone, Address: a.PeerAddr()})
+	c.Fleet.Instances().Add(wire.Instance{ID: id, Role: wire.RoleRouter, Zone: zone, Address: a.PeerAddr()})
 	return a, nil
 }
 
--- a/cmd/masticctl/standin.go
+++ b/cmd/masticctl/standin.go
@@ -87,7 +87,7 @@
 		if parts == nil {
 			return nil, fmt.Errorf("--entry %q is not ID,zone,address", text)
 		}
-		out = append(out, wire.Instance{ID: parts[0], Role: wire.RoleEntry, Zone: parts[1], Address: parts[2]})
+		out = append(out, wire.Instance{ID: parts[0], Role: wire.RoleRouter, Zone: parts[1], Address: parts[2]})
 	}
 	return out, nil
 }
--- a/core/health/bench_test.go
+++ b/core/health/bench_test.go
@@ -6,7 +6,7 @@
 func BenchmarkProgress(b *testing.B) {
 	u := NewUpstream(DefaultConfig(), NewGroup(0.5), 1)
 	u.Step(start, Listed{})
-	u.Step(start, ProbeAnswered{1})
+	u.Step(start, ProbeSucceeded{1})
 	var event Event = Progress{7}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -75,16 +75,16 @@
 // Progress reports that an expected response arrived on a connection.
 type Progress struct{ Connection uint64 }
 
-// Silent reports that a connection made no progress within its ProgressTimeout.
-type Silent struct{ Connection uint64 }
+// Unresponsive reports that a connection made no progress within its ProgressTimeout.
+type Unresponsive struct{ Connection uint64 }
 
-// Lost reports that a connection was refused, reset or closed by the remote
+// ConnectionFailed reports that a connection was refused, reset or closed by the remote
 // end.
-type Lost struct{ Connection uint64 }
+type ConnectionFailed struct{ Connection uint64 }
 
-// ProbeAnswered reports that the upstream responded to the probe with this
+// ProbeSucceeded reports that the upstream responded to the probe with this
 // number. A response that refuses work counts too.
-type ProbeAnswered struct{ Probe uint64 }
+type ProbeSucceeded struct{ Probe uint64 }
 
 // ProbeFailed reports that the probe with this number could not be sent or got
 // no response in time.
@@ -93,15 +93,15 @@
 // Tick reports that the time returned by Upstream.Deadline has been reached.
 type Tick struct{}
 
-func (Listed) isEvent()        {}
-func (Unlisted) isEvent()      {}
-func (Leaving) isEvent()       {}
-func (Progress) isEvent()      {}
-func (Silent) isEvent()        {}
-func (Lost) isEvent()          {}
-func (ProbeAnswered) isEvent() {}
-func (ProbeFailed) isEvent()   {}
-func (Tick) isEvent()          {}
+func (Listed) isEvent()           {}
+func (Unlisted) isEvent()         {}
+func (Leaving) isEvent()          {}
+func (Progress) isEvent()         {}
+func (Unresponsive) isEvent()     {}
+func (ConnectionFailed) isEvent() {}
+func (ProbeSucceeded) isEvent()   {}
+func (ProbeFailed) isEvent()      {}
+func (Tick) isEvent()             {}
 
 // Source is the origin of the first report that an upstream is leaving.
 type Source int
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	runScript(t, u, []scriptStep{
 		{0, Listed{}, []Effect{SetWeight{0}, probe(1)}},
-		{0, ProbeAnswered{1}, []Effect{SetWeight{1}}},
+		{0, ProbeSucceeded{1}, []Effect{SetWeight{1}}},
 	})
 }
 
@@ -71,79 +71,79 @@
 func TestScripts(t *testing.T) {
 	scripts := map[string][]scriptStep{
 		"a successful probe replaces the connection only": {
-			{second, Silent{7}, []Effect{probe(2)}},
-			{second, Silent{7}, nil},
-			{second, Lost{8}, nil},
-			{second, ProbeAnswered{1}, nil}, // a late response to an older probe
-			{second, ProbeAnswered{2}, []Effect{ReplaceConnection{7}, ReplaceConnection{8}}},
+			{second, Unresponsive{7}, []Effect{probe(2)}},
+			{second, Unresponsive{7}, nil},
+			{second, ConnectionFailed{8}, nil},
+			{second, ProbeSucceeded{1}, nil}, // a late response to an older probe
+			{second, ProbeSucceeded{2}, []Effect{ReplaceConnection{7}, ReplaceConnection{8}}},
 		},
 		"a connection that makes progress is kept": {
-			{second, Silent{7}, []Effect{probe(2)}},
+			{second, Unresponsive{7}, []Effect{probe(2)}},
 			{second, Progress{7}, nil},
-			{second, ProbeAnswered{2}, nil},
+			{second, ProbeSucceeded{2}, nil},
 		},
 		"progress after the probe was sent overrides its failure": {
-			{second, Silent{7}, []Effect{probe(2)}},
+			{second, Unresponsive{7}, []Effect{probe(2)}},
 			{second + 1, Progress{9}, nil},
 			{2 * second, ProbeFailed{2}, []Effect{ReplaceConnection{7}}},
 		},
 		"a failed probe ejects, and recovery goes through the slow start": {
-			{second, Silent{7}, []Effect{probe(2)}},
+			{second, Unresponsive{7}, []Effect{probe(2)}},
 			{2 * second, Tick{}, []Effect{FailAttempts{}, SetWeight{0}, Eject{}}},
 			{3 * second, Tick{}, []Effect{probe(3)}},
-			{3 * second, ProbeAnswered{3}, []Effect{SetWeight{0.1}}},
+			{3 * second, ProbeSucceeded{3}, []Effect{SetWeight{0.1}}},
 			{4 * second, Tick{}, nil},
 			{5 * second, Tick{}, []Effect{SetWeight{0.25}}},
 			{7 * second, Tick{}, []Effect{SetWeight{0.5}}},
 			{9 * second, Tick{}, []Effect{SetWeight{1}}},
 		},
 		"consecutive faults eject despite successful probes": {
-			{second, Silent{1}, []Effect{probe(2)}},
-			{second, ProbeAnswered{2}, []Effect{ReplaceConnection{1}}},
-			{second, Silent{2}, []Effect{probe(3)}},
-			{second, ProbeAnswered{3}, []Effect{ReplaceConnection{2}}},
-			{second, Lost{3}, []Effect{probe(4)}},
-			{second, ProbeAnswered{4}, []Effect{ReplaceConnection{3}}},
-			{second, Lost{4}, []Effect{probe(5)}},
-			{second, ProbeAnswered{5}, []Effect{FailAttempts{}, SetWeight{0}, Eject{}}},
+			{second, Unresponsive{1}, []Effect{probe(2)}},
+			{second, ProbeSucceeded{2}, []Effect{ReplaceConnection{1}}},
+			{second, Unresponsive{2}, []Effect{probe(3)}},
+			{second, ProbeSucceeded{3}, []Effect{ReplaceConnection{2}}},
+			{second, ConnectionFailed{3}, []Effect{probe(4)}},
+			{second, ProbeSucceeded{4}, []Effect{ReplaceConnection{3}}},
+			{second, ConnectionFailed{4}, []Effect{probe(5)}},
+			{second, ProbeSucceeded{5}, []Effect{FailAttempts{}, SetWeight{0}, Eject{}}},
 			{2 * second, Tick{}, []Effect{probe(6)}},
-			{2 * second, ProbeAnswered{6}, []Effect{SetWeight{0.1}}},
-			{2 * second, Silent{5}, []Effect{probe(7)}},
-			{2 * second, ProbeAnswered{7}, []Effect{ReplaceConnection{5}}},
+			{2 * second, ProbeSucceeded{6}, []Effect{SetWeight{0.1}}},
+			{2 * second, Unresponsive{5}, []Effect{probe(7)}},
+			{2 * second, ProbeSucceeded{7}, []Effect{ReplaceConnection{5}}},
 		},
 		"an ejected upstream that is unlisted is removed": {
-			{second, Silent{7}, []Effect{probe(2)}},
+			{second, Unresponsive{7}, []Effect{probe(2)}},
 			{2 * second, ProbeFailed{2}, []Effect{FailAttempts{}, SetWeight{0}, Eject{}}},
 			{2 * second, Unlisted{}, []Effect{Remove{}}},
 		},
 		"connections that fail together count as one fault": {
-			{second, Silent{1}, []Effect{probe(2)}},
-			{second, Silent{2}, nil},
-			{second, Lost{3}, nil},
-			{second, Lost{4}, nil},
-			{second, ProbeAnswered{2}, []Effect{
+			{second, Unresponsive{1}, []Effect{probe(2)}},
+			{second, Unresponsive{2}, nil},
+			{second, ConnectionFailed{3}, nil},
+			{second, ConnectionFailed{4}, nil},
+			{second, ProbeSucceeded{2}, []Effect{
 				ReplaceConnection{1}, ReplaceConnection{2}, ReplaceConnection{3}, ReplaceConnection{4},
 			}},
 		},
 		"progress resets the consecutive faults": {
-			{second, Silent{1}, []Effect{probe(2)}},
-			{second, ProbeAnswered{2}, []Effect{ReplaceConnection{1}}},
-			{second, Silent{2}, []Effect{probe(3)}},
-			{second, ProbeAnswered{3}, []Effect{ReplaceConnection{2}}},
-			{second, Silent{3}, []Effect{probe(4)}},
-			{second, ProbeAnswered{4}, []Effect{ReplaceConnection{3}}},
+			{second, Unresponsive{1}, []Effect{probe(2)}},
+			{second, ProbeSucceeded{2}, []Effect{ReplaceConnection{1}}},
+			{second, Unresponsive{2}, []Effect{probe(3)}},
+			{second, ProbeSucceeded{3}, []Effect{ReplaceConnection{2}}},
+			{second, Unresponsive{3}, []Effect{probe(4)}},
+			{second, ProbeSucceeded{4}, []Effect{ReplaceConnection{3}}},
 			{second, Progress{5}, nil},
-			{second, Silent{4}, []Effect{probe(5)}},
-			{second, ProbeAnswered{5}, []Effect{ReplaceConnection{4}}},
+			{second, Unresponsive{4}, []Effect{probe(5)}},
+			{second, ProbeSucceeded{5}, []Effect{ReplaceConnection{4}}},
 		},
 		"the list does not revoke the upstream's own report of leaving": {
 			{second, Leaving{FromUpstream}, []Effect{SetWeight{0}, AnnounceLeaving{}}},
 			{second, Listed{}, nil},
 			{second, Leaving{FromPeer}, nil},
 			{second, Leaving{FromUpstream}, nil},
-			{second, Silent{7}, []Effect{probe(2)}},
-			{second, ProbeAnswered{2}, []Effect{ReplaceConnection{7}}},
-			{second, Silent{8}, []Effect{probe(3)}},
+			{second, Unresponsive{7}, []Effect{probe(2)}},
+			{second, ProbeSucceeded{2}, []Effect{ReplaceConnection{7}}},
+			{second, Unresponsive{8}, []Effect{probe(3)}},
 			{second, ProbeFailed{3}, []Effect{FailAttempts{}}},
 			{minute, Tick{}, nil},
 			{minute, Listed{}, nil},
@@ -152,7 +152,7 @@
 		},
 		"a peer's report of leaving is accepted": {
 			{second, Leaving{FromPeer}, []Effect{SetWeight{0}}},
-			{second, ProbeAnswered{1}, nil},
+			{second, ProbeSucceeded{1}, nil},
 		},
 		"the list's report of leaving is accepted": {
 			{second, Listed{Leaving: true}, []Effect{SetWeight{0}}},
@@ -160,13 +160,13 @@
 		},
 		"an unlisted upstream that responds stays for the grace period": {
 			{second, Unlisted{}, []Effect{probe(2)}},
-			{second, ProbeAnswered{2}, nil},
+			{second, ProbeSucceeded{2}, nil},
 			{30 * second, Unlisted{}, nil},
 			{31 * second, Tick{}, []Effect{SetWeight{0}, Remove{}}},
 		},
 		"an upstream that is listed again stays": {
 			{second, Unlisted{}, []Effect{probe(2)}},
-			{second, ProbeAnswered{2}, nil},
+			{second, ProbeSucceeded{2}, nil},
 			{2 * second, Listed{}, nil},
 			{31 * second, Tick{}, nil},
 		},
@@ -191,7 +191,7 @@
 		{second, ProbeFailed{1}, nil},
 		{second, Listed{}, nil},
 		{2 * second, Tick{}, []Effect{probe(2)}},
-		{2 * second, ProbeAnswered{2}, []Effect{SetWeight{1}}},
+		{2 * second, ProbeSucceeded{2}, []Effect{SetWeight{1}}},
 	})
 }
 
@@ -201,10 +201,10 @@
 func TestDegradedWhenGroupAllowsNoEjection(t *testing.T) {
 	u := joinedUpstream(t, 0)
 	runScript(t, u, []scriptStep{
-		{second, Silent{7}, []Effect{probe(2)}},
+		{second, Unresponsive{7}, []Effect{probe(2)}},
 		{2 * second, ProbeFailed{2}, []Effect{FailAttempts{}, SetWeight{0.1}}},
 		{3 * second, Tick{}, []Effect{probe(3)}},
-		{3 * second, ProbeAnswered{3}, nil},
+		{3 * second, ProbeSucceeded{3}, nil},
 		{5 * second, Tick{}, []Effect{SetWeight{0.25}}},
 	})
 }
@@ -246,17 +246,17 @@
 		Leaving{FromPeer},
 		Progress{1},
 		Progress{2},
-		Silent{1},
-		Silent{2},
-		Silent{3},
-		Lost{3},
-		Lost{4},
-		Lost{5},
+		Unresponsive{1},
+		Unresponsive{2},
+		Unresponsive{3},
+		ConnectionFailed{3},
+		ConnectionFailed{4},
+		ConnectionFailed{5},
 		Tick{},
 		Tick{},
-		ProbeAnswered{n},
-		ProbeAnswered{n},
-		ProbeAnswered{n - 1},
+		ProbeSucceeded{n},
+		ProbeSucceeded{n},
+		ProbeSucceeded{n - 1},
 		ProbeFailed{n},
 		ProbeFailed{n},
 		ProbeFailed{n},
@@ -268,7 +268,7 @@
 func checkStep(t *rapid.T, u *Upstream, now time.Time, e Event) {
 	before := *u
 	responsive := u.lastProgress.After(u.probe.sentAt)
-	if _, ok := e.(ProbeAnswered); ok {
+	if _, ok := e.(ProbeSucceeded); ok {
 		responsive = true
 	}
 	for _, effect := range u.Step(now, e) {
@@ -304,7 +304,7 @@
 		for i := range upstreams {
 			upstreams[i] = NewUpstream(DefaultConfig(), g, uint64(i))
 			checkStep(t, upstreams[i], start, Listed{})
-			checkStep(t, upstreams[i], start, ProbeAnswered{1})
+			checkStep(t, upstreams[i], start, ProbeSucceeded{1})
 		}
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
--- a/core/health/pace.go
+++ b/core/health/pace.go
@@ -24,10 +24,10 @@
 	maxDoublings = 3
 )
 
-// Pace estimates the timeout of the steps of one stage from their durations,
+// TimeoutEstimator estimates the timeout of the steps of one stage from their durations,
 // separately for prefill and decode. The zero value is ready for use. It is not
 // safe for concurrent use.
-type Pace struct {
+type TimeoutEstimator struct {
 	decode  durationEstimate
 	prefill durationEstimate
 	// doublings is the number of timeouts since the last observed step, at most
@@ -57,21 +57,21 @@
 }
 
 // ObserveDecode adds the duration of one decode step.
-func (p *Pace) ObserveDecode(d time.Duration) {
+func (p *TimeoutEstimator) ObserveDecode(d time.Duration) {
 	p.decode.addSample(d.Seconds())
 	p.doublings = 0
 }
 
 // ObservePrefill adds the duration of a prefill of the given number of tokens.
-func (p *Pace) ObservePrefill(tokens int, d time.Duration) {
+func (p *TimeoutEstimator) ObservePrefill(tokens int, d time.Duration) {
 	p.prefill.addSample(d.Seconds() / float64(max(tokens, 1)))
 	p.doublings = 0
 }
 
-// Expired records that a step exceeded its timeout. Timeouts double until a
+// RecordTimeout records that a step exceeded its timeout. Timeouts double until a
 // step is observed again, so that a stage that became slower is not repeatedly
 // taken for unresponsive.
-func (p *Pace) Expired() {
+func (p *TimeoutEstimator) RecordTimeout() {
 	p.doublings = min(p.doublings+1, maxDoublings)
 }
 
@@ -81,7 +81,7 @@
 //
 // The formula is that of TCP's retransmission timeout (RFC 6298), the mean plus
 // four mean deviations, times timeoutFactor.
-func (p *Pace) ProgressTimeout(prefillTokens int, initial time.Duration) time.Duration {
+func (p *TimeoutEstimator) ProgressTimeout(prefillTokens int, initial time.Duration) time.Duration {
 	if prefillTokens > 0 {
 		perToken := p.prefill
 		perToken.scale(float64(prefillTokens))
--- a/core/health/pace_test.go
+++ b/core/health/pace_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const initial = 10 * time.Second
 		step := time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
-		var p Pace
+		var p TimeoutEstimator
 		require.Equal(t, initial, p.ProgressTimeout(0, initial))
 		for range 60 {
 			took := time.Duration(rapid.Float64Range(0.5, 1.5).Draw(t, "jitter") * float64(step))
@@ -27,7 +27,7 @@
 		timeout := p.ProgressTimeout(0, initial)
 		require.Less(t, timeout, max(MinProgressTimeout+1, 12*step))
 		require.GreaterOrEqual(t, p.ProgressTimeout(200, initial), p.ProgressTimeout(100, initial))
-		p.Expired()
+		p.RecordTimeout()
 		require.Equal(t, min(2*timeout, MaxProgressTimeout), p.ProgressTimeout(0, initial))
 		p.ObserveDecode(step)
 		require.Less(t, p.ProgressTimeout(0, initial), max(2*MinProgressTimeout, 2*timeout))
@@ -38,7 +38,7 @@
 // as long at every fifth step does not exceed its timeout.
 func TestProgressTimeoutCoversDeviation(t *testing.T) {
 	const initial = 10 * time.Second
-	var p Pace
+	var p TimeoutEstimator
 	for i := range 100 {
 		took := time.Second
 		if i%5 == 0 {
--- a/core/health/upstream.go
+++ b/core/health/upstream.go
@@ -106,11 +106,11 @@
 		u.startLeaving(e.Source)
 	case Progress:
 		u.recordProgress(now, e.Connection)
-	case Silent:
+	case Unresponsive:
 		u.connectionFault(now, e.Connection)
-	case Lost:
+	case ConnectionFailed:
 		u.connectionFault(now, e.Connection)
-	case ProbeAnswered:
+	case ProbeSucceeded:
 		if u.closeProbe(e.Probe) {
 			u.probeSucceeded(now)
 		}
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -40,12 +40,12 @@
 		if err := table.Upsert(Replica{ID: id, First: held.First, Last: held.Last, Accelerator: fmt.Sprint(accelerator)}); err != nil {
 			b.Fatal(err)
 		}
-		table.Latency(id, time.Duration(250+i)*time.Microsecond)
+		table.SetLatency(id, time.Duration(250+i)*time.Microsecond)
 		step := time.Duration((held.Last-held.First+1)<<accelerator*250+i) * time.Microsecond
-		table.Report(start, id, Load{Running: i % 16, Slots: 16, Step: step, PrefillTokensPerSecond: 8000})
-		table.Observe(id, 0, 1, step+time.Millisecond)
+		table.ApplyLoad(start, id, Load{Running: i % 16, Slots: 16, Step: step, PrefillTokensPerSecond: 8000})
+		table.RecordSteps(id, 0, 1, step+time.Millisecond)
 		for _, block := range req.Blocks[:i*7%len(req.Blocks)] {
-			table.CacheEvent(start, id, block, false)
+			table.ApplyCacheEvent(start, id, block, false)
 		}
 	}
 	return table, req
@@ -53,12 +53,12 @@
 
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{40, 80, 160, 256, 512} {
-		for limit, want := range map[int]Outcome{64: Chosen, 1: Full} {
+		for limit, want := range map[int]Outcome{64: Chosen, 1: AllAtLimit} {
 			b.Run(fmt.Sprintf("%v/replicas=%d", want, n), func(b *testing.B) {
 				table, req := benchTable(b, n, newPolicy(PolicyCost))
 				for id := range table.replicas {
 					table.SetLimit(id, limit)
-					table.Begin(id, 0)
+					table.RecordDispatch(id, 0)
 				}
 				b.ReportAllocs()
 				i := uint64(0)
@@ -82,7 +82,7 @@
 		table.cache = newCacheIndex(hints)
 		filled := heapBytes()
 		for i := range uint64(hints) {
-			table.CacheEvent(start, fmt.Sprintf("replica-%d", i%n), i, false)
+			table.ApplyCacheEvent(start, fmt.Sprintf("replica-%d", i%n), i, false)
 		}
 		b.ReportMetric(float64(filled-empty)/n, "B/replica")
 		b.ReportMetric(float64(heapBytes()-filled)/hints, "B/hint")
@@ -103,7 +103,7 @@
 	block := uint64(0)
 	for b.Loop() {
 		block++
-		table.CacheEvent(start.Add(time.Duration(block)), "replica-7", block, false)
+		table.ApplyCacheEvent(start.Add(time.Duration(block)), "replica-7", block, false)
 	}
 }
 
@@ -144,7 +144,7 @@
 func placeBetweenReports(b *testing.B, p policy, each int, seed uint64) (times []float64, most int) {
 	const instances = 9
 	truth, req := benchTable(b, 40, p)
-	var paths []Chain
+	var paths []Path
 	for instance := range instances {
 		table, _ := benchTable(b, 40, p)
 		table.SetInstances(instances)
@@ -154,18 +154,18 @@
 		}
 		table.choiceRate = choiceRate{count: float64(each), updatedAt: start.UnixNano()}
 		for range each {
-			c := table.Choose(start, req, random.Uint64()).Chain
+			c := table.Choose(start, req, random.Uint64()).Path
 			paths = append(paths, c)
-			for _, stage := range c.Hops {
-				table.Begin(stage.ReplicaID, req.PromptTokens)
-				truth.Begin(stage.ReplicaID, req.PromptTokens)
+			for _, stage := range c.Stages {
+				table.RecordDispatch(stage.ReplicaID, req.PromptTokens)
+				truth.RecordDispatch(stage.ReplicaID, req.PromptTokens)
 			}
 		}
 	}
 	truth.beginChoice(start.UnixNano(), &req)
 	for _, c := range paths {
 		total := 0.0
-		for _, hop := range c.Hops {
+		for _, hop := range c.Stages {
 			r := truth.replicas[hop.ReplicaID]
 			total += truth.costTerms(start.UnixNano(), &req, r, truth.cachedFraction(r)).Total()
 			most = max(most, r.inFlight)
@@ -183,7 +183,7 @@
 	sum, runs := 0.0, uint64(0)
 	for b.Loop() {
 		runs++
-		sum += table.Choose(start, req, runs).Chain.Expected.Seconds() / table.lowestCost[0]
+		sum += table.Choose(start, req, runs).Path.Expected.Seconds() / table.lowestCost[0]
 	}
 	b.ReportMetric(sum/float64(runs), "to-lowest")
 }
--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -38,7 +38,7 @@
 		return t.explainFailure(at)
 	}
 	t.choiceRate.count++
-	return Decision{Outcome: Chosen, Chain: t.drawPath(random)}
+	return Decision{Outcome: Chosen, Path: t.drawPath(random)}
 }
 
 // beginChoice starts a choice: it marks the excluded replicas and the expected
@@ -56,18 +56,18 @@
 
 // drawPath builds a path from the first layer on. The policy picks the replica
 // of each stage.
-func (t *Table) drawPath(random uint64) Chain {
-	stages := make([]Hop, 0, typicalStages)
+func (t *Table) drawPath(random uint64) Path {
+	stages := make([]Stage, 0, typicalStages)
 	total := 0.0
 	t.source.Seed(random, 0)
 	for b := 0; b < t.layers; {
 		t.collectCandidates(b)
 		c := t.candidates[t.policy.pick(t, b, t.candidates, t.source.Uint64())]
-		stages = append(stages, Hop{ReplicaID: c.replica.ID, First: b, Last: c.nextLayer - 1})
+		stages = append(stages, Stage{ReplicaID: c.replica.ID, First: b, Last: c.nextLayer - 1})
 		total += c.replica.cost
 		b = c.nextLayer
 	}
-	return Chain{Hops: stages, Expected: durationOf(total)}
+	return Path{Stages: stages, Expected: durationOf(total)}
 }
 
 // collectCandidates lists the candidates at layer boundary b.
--- a/core/route/explain.go
+++ b/core/route/explain.go
@@ -39,14 +39,14 @@
 // ReplicaView describes one replica in an Explanation.
 type ReplicaView struct {
 	Replica
-	Standing Status
-	Terms    CostTerms
-	// CachedPart is the fraction of the prompt, 0 to 1, expected in the prefix
+	Status Status
+	Terms  CostTerms
+	// CachedFraction is the fraction of the prompt, 0 to 1, expected in the prefix
 	// cache.
-	CachedPart float64
-	Weight     float64
-	Limit      int
-	InFlight   int
+	CachedFraction float64
+	Weight         float64
+	Limit          int
+	InFlight       int
 	// Occupancy is the estimated number of sequences held, of all instances.
 	Occupancy int
 	// ReportAge is the age of the last load report; negative if there is none.
@@ -93,16 +93,16 @@
 
 func (t *Table) view(now int64, req *Request, r *replica) ReplicaView {
 	v := ReplicaView{
-		Replica:    r.Replica,
-		Standing:   t.status(now, r),
-		CachedPart: t.cachedFraction(r),
-		Weight:     r.weight,
-		Limit:      r.limit,
-		InFlight:   r.inFlight,
-		Occupancy:  r.occupancy(now),
-		ReportAge:  -1,
+		Replica:        r.Replica,
+		Status:         t.status(now, r),
+		CachedFraction: t.cachedFraction(r),
+		Weight:         r.weight,
+		Limit:          r.limit,
+		InFlight:       r.inFlight,
+		Occupancy:      r.occupancy(now),
+		ReportAge:      -1,
 	}
-	v.Terms = t.costTerms(now, req, r, v.CachedPart)
+	v.Terms = t.costTerms(now, req, r, v.CachedFraction)
 	if r.reported {
 		v.ReportAge = time.Duration(now - r.reportedAt)
 	}
--- a/core/route/part_test.go
+++ b/core/route/part_test.go
@@ -48,7 +48,7 @@
 			id := fmt.Sprint("r", i)
 			require.NoError(t, table.Upsert(Replica{ID: id}))
 			table.SetLimit(id, limit)
-			table.Report(start, id, Load{Slots: limit})
+			table.ApplyLoad(start, id, Load{Slots: limit})
 		}
 		table.SetMembers(self, live)
 		shares := 0
@@ -58,8 +58,8 @@
 		for i := range shares {
 			d := table.Choose(start.Add(time.Millisecond), Request{PromptTokens: 1, OutputTokens: 1}, uint64(i)*0x9e3779b97f4a7c15)
 			require.Equal(t, Chosen, d.Outcome)
-			table.Begin(d.Chain.Hops[0].ReplicaID, 1)
-			held[d.Chain.Hops[0].ReplicaID]++
+			table.RecordDispatch(d.Path.Stages[0].ReplicaID, 1)
+			held[d.Path.Stages[0].ReplicaID]++
 		}
 	}
 	for id, n := range held {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -64,17 +64,17 @@
 	return fmt.Sprintf("%d-%d", r.First, r.Last)
 }
 
-// Hop is one stage of a path: a replica and the layers that it runs.
-type Hop struct {
+// Stage is one stage of a path: a replica and the layers that it runs.
+type Stage struct {
 	ReplicaID string
 	First     int
 	Last      int
 }
 
-// Chain is the list of stages chosen for a request. Their layers tile the model
+// Path is the list of stages chosen for a request. Their layers tile the model
 // exactly.
-type Chain struct {
-	Hops []Hop
+type Path struct {
+	Stages []Stage
 	// Expected is the estimated time from dispatch to the last token.
 	Expected time.Duration
 }
@@ -85,10 +85,10 @@
 const (
 	// Chosen means that a path was found; the decision contains it.
 	Chosen Outcome = iota
-	// Full means that paths exist, but each needs a range of layers whose
+	// AllAtLimit means that paths exist, but each needs a range of layers whose
 	// replicas have all reached their limit of requests in flight.
 	// Decision.Missing is the smallest such range. A later attempt can succeed.
-	Full
+	AllAtLimit
 	// OnlyExcluded means that every path needs a replica that the request
 	// excludes. Decision.Missing is the smallest range that is missing without
 	// the excluded replicas.
@@ -103,7 +103,7 @@
 	switch o {
 	case Chosen:
 		return "chosen"
-	case Full:
+	case AllAtLimit:
 		return "full"
 	case OnlyExcluded:
 		return "only_excluded"
@@ -117,8 +117,8 @@
 // Decision is the result of Choose.
 type Decision struct {
 	Outcome Outcome
-	// Chain is set when Outcome is Chosen.
-	Chain Chain
+	// Path is set when Outcome is Chosen.
+	Path Path
 	// Missing is set when Outcome is not Chosen. One more replica with this
 	// range would complete a path.
 	Missing Range
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -41,7 +41,7 @@
 
 func drawState(t *rapid.T, table *Table, id string) {
 	if rapid.Bool().Draw(t, "reported") {
-		table.Report(start, id, Load{
+		table.ApplyLoad(start, id, Load{
 			Running: rapid.IntRange(0, 12).Draw(t, "running"),
 			Waiting: rapid.IntRange(0, 4).Draw(t, "waiting"),
 			Slots:   rapid.IntRange(0, 8).Draw(t, "slots"),
@@ -49,17 +49,17 @@
 		})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "begun") {
-		table.Begin(id, 100)
+		table.RecordDispatch(id, 100)
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "observed") {
-		table.Observe(id, 0, 4, time.Duration(rapid.IntRange(1, 200).Draw(t, "took"))*time.Millisecond)
+		table.RecordSteps(id, 0, 4, time.Duration(rapid.IntRange(1, 200).Draw(t, "took"))*time.Millisecond)
 	}
 	table.SetLimit(id, rapid.IntRange(0, 8).Draw(t, "limit"))
 	table.SetWeight(id, rapid.SampledFrom([]float64{0, 0.2, 1, 1, 1}).Draw(t, "weight"))
-	table.Latency(id, time.Duration(rapid.IntRange(0, 3).Draw(t, "link"))*time.Millisecond)
+	table.SetLatency(id, time.Duration(rapid.IntRange(0, 3).Draw(t, "link"))*time.Millisecond)
 	for range rapid.IntRange(0, 3).Draw(t, "caches") {
 		block := rapid.Uint64Range(1, 3).Draw(t, "block")
-		table.CacheEvent(start, id, block, rapid.IntRange(0, 3).Draw(t, "evicted") == 0)
+		table.ApplyCacheEvent(start, id, block, rapid.IntRange(0, 3).Draw(t, "evicted") == 0)
 	}
 }
 
@@ -115,10 +115,10 @@
 	return table.costTerms(start.UnixNano(), req, r, cached).Total()
 }
 
-func requireTiling(t require.TestingT, table *Table, req *Request, path Chain) float64 {
+func requireTiling(t require.TestingT, table *Table, req *Request, path Path) float64 {
 	next := 0
 	total := 0.0
-	for _, stage := range path.Hops {
+	for _, stage := range path.Stages {
 		r := table.replicas[stage.ReplicaID]
 		require.NotNil(t, r)
 		require.Equal(t, next, stage.First)
@@ -164,15 +164,15 @@
 	if !math.IsInf(lowest, 1) {
 		require.Equal(t, Chosen, d.Outcome)
 		require.InDelta(t, lowest, table.lowestCost[0], 1e-9)
-		cost := requireTiling(t, table, &req, d.Chain)
-		require.InDelta(t, cost, d.Chain.Expected.Seconds(), 1e-6)
+		cost := requireTiling(t, table, &req, d.Path)
+		require.InDelta(t, cost, d.Path.Expected.Seconds(), 1e-6)
 		if policy == PolicyCost {
 			require.LessOrEqual(t, cost, lowest*(1+table.tolerance)+1e-9)
 			require.LessOrEqual(t, table.tolerance, MaxTolerance)
 		}
 		return Chosen
 	}
-	allowed, want := free, Full
+	allowed, want := free, AllAtLimit
 	switch {
 	case math.IsInf(bruteForce(table, &req, inUse), 1):
 		allowed, want = inUse, NoTiling
@@ -221,12 +221,12 @@
 			if r == replicas {
 				step *= 2
 			}
-			table.Report(start, id, Load{Slots: 8, Running: 2, Step: step})
+			table.ApplyLoad(start, id, Load{Slots: 8, Running: 2, Step: step})
 		}
 		for round := range rounds {
 			d := table.Choose(start, Request{PromptTokens: 100, OutputTokens: 50}, uint64(i*rounds+round))
 			require.Equal(t, Chosen, d.Outcome)
-			picked[d.Chain.Hops[0].ReplicaID]++
+			picked[d.Path.Stages[0].ReplicaID]++
 		}
 	}
 	require.Zero(t, picked["r8"])
--- a/core/route/search.go
+++ b/core/route/search.go
@@ -57,7 +57,7 @@
 	missing, lacking := t.missingRange(t.usable)
 	if !lacking {
 		missing, _ = t.missingRange(func(r *replica) bool { return t.usable(r) && !t.atLimit(now, r) })
-		return Decision{Outcome: Full, Missing: missing}
+		return Decision{Outcome: AllAtLimit, Missing: missing}
 	}
 	inUse := func(r *replica) bool { return r.weight > 0 }
 	if _, still := t.missingRange(inUse); !still {
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -143,50 +143,50 @@
 	}
 }
 
-// Latency sets the one-way network latency to a replica. Every step crosses the
+// SetLatency sets the one-way network latency to a replica. Every step crosses the
 // link twice.
-func (t *Table) Latency(id string, d time.Duration) {
+func (t *Table) SetLatency(id string, d time.Duration) {
 	if r, ok := t.replicas[id]; ok {
 		r.latency = max(d, 0).Seconds()
 	}
 }
 
-// Begin records that this instance dispatched a request with the given number
+// RecordDispatch records that this instance dispatched a request with the given number
 // of prompt tokens to a replica.
-func (t *Table) Begin(id string, tokens int) {
+func (t *Table) RecordDispatch(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
 		r.recordDispatch(tokens)
 	}
 }
 
-// End records the end of a request that was recorded as dispatched.
-func (t *Table) End(id string, tokens int) {
+// RecordEnd records the end of a request that was recorded as dispatched.
+func (t *Table) RecordEnd(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
 		r.recordEnd(tokens)
 	}
 }
 
-// Report applies a replica's load report received at time now. Reports older
+// ApplyLoad applies a replica's load report received at time now. Reports older
 // than the last one are ignored.
-func (t *Table) Report(now time.Time, id string, load Load) {
+func (t *Table) ApplyLoad(now time.Time, id string, load Load) {
 	if r, ok := t.replicas[id]; ok {
 		r.applyLoad(now.UnixNano(), load)
 	}
 }
 
-// Observe records the measured duration, including the network, of steps that
+// RecordSteps records the measured duration, including the network, of steps that
 // ran the given numbers of tokens on a replica. Prefill tokens served from the
 // prefix cache must not be included.
-func (t *Table) Observe(id string, prefillTokens, decodeTokens int, d time.Duration) {
+func (t *Table) RecordSteps(id string, prefillTokens, decodeTokens int, d time.Duration) {
 	if r, ok := t.replicas[id]; ok {
 		r.recordSteps(prefillTokens, decodeTokens, d.Seconds())
 	}
 }
 
-// CacheEvent records a replica's report that it stored or evicted a prompt
+// ApplyCacheEvent records a replica's report that it stored or evicted a prompt
 // block. Reports are hints: their number is bounded and their value falls with
 // age.
-func (t *Table) CacheEvent(now time.Time, id string, block uint64, evicted bool) {
+func (t *Table) ApplyCacheEvent(now time.Time, id string, block uint64, evicted bool) {
 	r, ok := t.replicas[id]
 	if !ok {
 		return
--- a/core/route/table_test.go
+++ b/core/route/table_test.go
@@ -32,21 +32,21 @@
 func TestOccupancyIsCorrectedByOwnDispatches(t *testing.T) {
 	table := newTestTable(t, "r")
 	r := table.replicas["r"]
-	table.Report(start, "r", Load{Running: 5, Slots: 8})
-	table.Begin("r", 10)
-	table.Begin("r", 10)
+	table.ApplyLoad(start, "r", Load{Running: 5, Slots: 8})
+	table.RecordDispatch("r", 10)
+	table.RecordDispatch("r", 10)
 	require.Equal(t, 7, r.occupancy(start.UnixNano()))
 	require.Equal(t, 5+9*2, r.expectedOccupancy(start.UnixNano(), 9))
-	table.Report(start.Add(time.Second), "r", Load{Running: 1, Slots: 8})
+	table.ApplyLoad(start.Add(time.Second), "r", Load{Running: 1, Slots: 8})
 	require.Equal(t, 2, r.occupancy(start.UnixNano()), "occupancy must not be below the own requests in flight")
-	table.Report(start, "r", Load{Running: 8, Slots: 8})
+	table.ApplyLoad(start, "r", Load{Running: 8, Slots: 8})
 	require.Equal(t, 2, r.occupancy(start.UnixNano()), "an older report must be ignored")
-	table.End("r", 10)
-	table.End("r", 10)
-	table.End("r", 10)
+	table.RecordEnd("r", 10)
+	table.RecordEnd("r", 10)
+	table.RecordEnd("r", 10)
 	require.Zero(t, r.inFlight)
-	table.Begin("r", 10)
-	table.Report(start.Add(time.Second), "r", Load{Running: 8, Slots: 8})
+	table.RecordDispatch("r", 10)
+	table.ApplyLoad(start.Add(time.Second), "r", Load{Running: 8, Slots: 8})
 	fresh := start.Add(time.Second + reportMaxAge)
 	require.Equal(t, 8, r.occupancy(fresh.UnixNano()))
 	require.Equal(t, 1, r.occupancy(fresh.UnixNano()+1), "a report of this age must have expired")
@@ -76,37 +76,37 @@
 func TestTokenTimeFallsBackToAcceleratorType(t *testing.T) {
 	table := newTestTable(t, "known", "fresh")
 	require.NoError(t, table.Upsert(Replica{ID: "half", Last: 1, Accelerator: "a"}))
-	table.Latency("known", 5*time.Millisecond)
+	table.SetLatency("known", 5*time.Millisecond)
 	for range 100 {
-		table.Observe("known", 0, 1, 50*time.Millisecond)
+		table.RecordSteps("known", 0, 1, 50*time.Millisecond)
 	}
 	require.InDelta(t, 0.040, table.replicas["known"].decodeStepTime(), 1e-9)
 	require.InDelta(t, 0.040, table.replicas["fresh"].decodeStepTime(), 1e-9)
 	require.InDelta(t, 0.020, table.replicas["half"].decodeStepTime(), 1e-9)
-	table.Report(start, "fresh", Load{Running: 8, Slots: 8})
+	table.ApplyLoad(start, "fresh", Load{Running: 8, Slots: 8})
 	for range 100 {
-		table.Observe("fresh", 0, 1, 100*time.Millisecond)
+		table.RecordSteps("fresh", 0, 1, 100*time.Millisecond)
 	}
 	require.InDelta(t, 0.100/(1+batchSlope), table.replicas["fresh"].decodeStepTime(), 1e-6)
-	table.Report(start, "fresh", Load{Running: 9, Slots: 8, PrefillTokensPerSecond: 1000})
+	table.ApplyLoad(start, "fresh", Load{Running: 9, Slots: 8, PrefillTokensPerSecond: 1000})
 	before := table.replicas["fresh"].prefillTokenTime()
-	table.Observe("fresh", 10, 0, time.Minute)
+	table.RecordSteps("fresh", 10, 0, time.Minute)
 	require.InDelta(t, before, table.replicas["fresh"].prefillTokenTime(), 1e-9, "the step waited for a slot")
-	table.Report(start, "half", Load{Step: 7 * time.Millisecond})
+	table.ApplyLoad(start, "half", Load{Step: 7 * time.Millisecond})
 	require.InDelta(t, 0.007, table.replicas["half"].decodeStepTime(), 1e-9)
 }
 
 func TestChangedRangeDiscardsMeasurements(t *testing.T) {
 	table := newTestTable(t, "r")
-	table.CacheEvent(start, "r", 1, false)
-	table.Report(start, "r", Load{Running: 3})
+	table.ApplyCacheEvent(start, "r", 1, false)
+	table.ApplyLoad(start, "r", Load{Running: 3})
 	table.SetLimit("r", 9)
-	table.Begin("r", 1)
+	table.RecordDispatch("r", 1)
 	require.NoError(t, table.Upsert(Replica{ID: "r", Last: 1}))
 	require.NoError(t, table.Upsert(Replica{ID: "s", First: 2, Last: 3}))
 	d := table.Choose(start, Request{Blocks: []uint64{1}}, 1)
 	require.Equal(t, Chosen, d.Outcome)
-	require.Len(t, d.Chain.Hops, 2)
+	require.Len(t, d.Path.Stages, 2)
 	r := table.replicas["r"]
 	require.Zero(t, r.cachedFraction)
 	require.False(t, r.reported)
@@ -157,10 +157,10 @@
 // and is 0 at cacheHintAge.
 func TestCacheHintsLoseValueWithAge(t *testing.T) {
 	table := newTestTable(t, "r")
-	table.CacheEvent(start, "r", 7, false)
+	table.ApplyCacheEvent(start, "r", 7, false)
 	cached := func(age time.Duration) float64 {
 		e := table.Explain(start.Add(age), Request{PromptTokens: 100, Blocks: []uint64{7}}, 1)
-		return e.Replicas[0].CachedPart
+		return e.Replicas[0].CachedFraction
 	}
 	require.InDelta(t, 1, cached(0), 1e-9)
 	require.InDelta(t, 0.5, cached(cacheHintAge/2), 1e-9)
@@ -171,21 +171,21 @@
 func TestExplainStatuses(t *testing.T) {
 	table := newTestTable(t, "fast", "slow", "busy", "zero-weight", "excluded")
 	require.NoError(t, table.Upsert(Replica{ID: "off-path", First: 1, Last: 3}))
-	table.Report(start, "slow", Load{Step: time.Second})
+	table.ApplyLoad(start, "slow", Load{Step: time.Second})
 	table.SetLimit("busy", 1)
-	table.Begin("busy", 1)
+	table.RecordDispatch("busy", 1)
 	table.SetWeight("zero-weight", 0)
 	e := table.Explain(start, Request{PromptTokens: 10, OutputTokens: 10, Exclude: []string{"excluded"}}, 1)
 	got := make(map[string]Status)
 	for _, r := range e.Replicas {
-		got[r.ID] = r.Standing
+		got[r.ID] = r.Status
 	}
 	require.Equal(t, map[string]Status{
 		"fast": Eligible, "slow": TooSlow, "busy": AtLimit, "zero-weight": ZeroWeight,
 		"excluded": Excluded, "off-path": NoPath,
 	}, got)
-	require.Equal(t, "fast", e.Decision.Chain.Hops[0].ReplicaID)
-	require.Equal(t, e.Lowest, e.Decision.Chain.Expected)
+	require.Equal(t, "fast", e.Decision.Path.Stages[0].ReplicaID)
+	require.Equal(t, e.Lowest, e.Decision.Path.Expected)
 }
 
 // TestEachSignOfSlownessRaisesItsTerm checks that each sign of a slower
@@ -197,7 +197,7 @@
 		return func(table *Table) {
 			load := baseline
 			f(&load)
-			table.Report(start, "worse", load)
+			table.ApplyLoad(start, "worse", load)
 		}
 	}
 	wait := func(c CostTerms) float64 { return c.Wait }
@@ -211,16 +211,16 @@
 		"waiting":      {change(func(l *Load) { l.Waiting = 2 }), wait},
 		"slots held":   {change(func(l *Load) { l.Running = 4 }), wait},
 		"slow start":   {func(table *Table) { table.SetWeight("worse", 0.5) }, wait},
-		"new prompt":   {func(table *Table) { table.Begin("worse", 500) }, wait},
+		"new prompt":   {func(table *Table) { table.RecordDispatch("worse", 500) }, wait},
 		"slow step":    {change(func(l *Load) { l.Step *= 2 }), decode},
 		"slow prefill": {change(func(l *Load) { l.PrefillTokensPerSecond /= 2 }), prefill},
-		"evicted":      {func(table *Table) { table.CacheEvent(start, "worse", 1, true) }, prefill},
-		"far":          {func(table *Table) { table.Latency("worse", time.Millisecond) }, link},
+		"evicted":      {func(table *Table) { table.ApplyCacheEvent(start, "worse", 1, true) }, prefill},
+		"far":          {func(table *Table) { table.SetLatency("worse", time.Millisecond) }, link},
 	} {
 		table := newTestTable(t, "usual", "worse")
 		for _, id := range []string{"usual", "worse"} {
-			table.Report(start, id, baseline)
-			table.CacheEvent(start, id, 1, false)
+			table.ApplyLoad(start, id, baseline)
+			table.ApplyCacheEvent(start, id, 1, false)
 		}
 		sign.apply(table)
 		req := Request{PromptTokens: 100, OutputTokens: 100, Blocks: []uint64{1, 2}}
--- a/core/routing/config.go
+++ b/core/routing/config.go
@@ -53,12 +53,12 @@
 	// Timeout is the maximum time until the client gets a response; 0 means no
 	// limit.
 	Timeout time.Duration
-	// Objective is the longest time to the response, or to the first event of a
+	// LatencyObjective is the longest time to the response, or to the first event of a
 	// stream, that still gets full credit.
-	Objective time.Duration
-	// GapObjective is the longest time between two events of a stream that
+	LatencyObjective time.Duration
+	// EventGapObjective is the longest time between two events of a stream that
 	// still gets full credit.
-	GapObjective time.Duration
+	EventGapObjective time.Duration
 	// Priority is the rank of the requests; 0 is the most urgent.
 	Priority int
 	Targets  []Target
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -49,9 +49,9 @@
 // Limits returns the bounds of what clients may send.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// NeedsKeys reports whether requests to routes that are not public require an
+// RequiresAPIKeys reports whether requests to routes that are not public require an
 // API key.
-func (t *Table) NeedsKeys() bool { return len(t.config.Workspaces) > 0 }
+func (t *Table) RequiresAPIKeys() bool { return len(t.config.Workspaces) > 0 }
 
 // Services returns all services.
 func (t *Table) Services() []Service { return t.config.Services }
@@ -81,9 +81,9 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the service of a target chosen by weight. draw is a random
+// PickService returns the service of a target chosen by weight. draw is a random
 // number from 0 to 1. It returns "" if no target has a weight above 0.
-func (r *Route) Pick(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
--- a/core/routing/table_test.go
+++ b/core/routing/table_test.go
@@ -34,7 +34,7 @@
 
 func TestKeys(t *testing.T) {
 	tab := table()
-	require.True(t, tab.NeedsKeys())
+	require.True(t, tab.RequiresAPIKeys())
 	require.Equal(t, "w", tab.Workspace("k2").Name)
 	require.Nil(t, tab.Workspace(""))
 	require.NotNil(t, tab.Service("s"))
@@ -43,12 +43,12 @@
 
 func TestPickByWeight(t *testing.T) {
 	r := routing.Route{Targets: []routing.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
-	require.Equal(t, "a", r.Pick(0))
-	require.Equal(t, "a", r.Pick(0.89))
-	require.Equal(t, "b", r.Pick(0.91))
-	require.Empty(t, (&routing.Route{}).Pick(0.5))
+	require.Equal(t, "a", r.PickService(0))
+	require.Equal(t, "a", r.PickService(0.89))
+	require.Equal(t, "b", r.PickService(0.91))
+	require.Empty(t, (&routing.Route{}).PickService(0.5))
 	none := routing.Route{Targets: []routing.Target{{Service: "a"}}}
-	require.Empty(t, none.Pick(0.5))
+	require.Empty(t, none.PickService(0.5))
 }
 
 func TestRepeatable(t *testing.T) {
--- a/node/app/explain.go
+++ b/node/app/explain.go
@@ -65,10 +65,10 @@
 func routeExplanation(e *route.Explanation) *admin.RouteExplanation {
 	out := &admin.RouteExplanation{
 		Outcome:          e.Decision.Outcome.String(),
-		EstimatedSeconds: e.Decision.Chain.Expected.Seconds(),
+		EstimatedSeconds: e.Decision.Path.Expected.Seconds(),
 		LowestSeconds:    e.Lowest.Seconds(),
 	}
-	for _, h := range e.Decision.Chain.Hops {
+	for _, h := range e.Decision.Path.Stages {
 		out.Route = append(out.Route, h.ReplicaID)
 	}
 	for _, v := range e.Replicas {
@@ -76,11 +76,11 @@
 			ID:         v.ID,
 			FirstLayer: v.First,
 			LastLayer:  v.Last,
-			Standing:   v.Standing.String(),
+			Standing:   v.Status.String(),
 			Weight:     v.Weight,
 			Occupancy:  v.Occupancy,
 			Limit:      v.Limit,
-			CachedPart: v.CachedPart,
+			CachedPart: v.CachedFraction,
 			Seconds:    v.Terms.Total(),
 		})
 	}
--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -53,8 +53,8 @@
 	a.neighbors = neighbor.NewChooser(neighbor.DefaultLimits())
 	a.sharer = sharing.New(sharing.Options{
 		ID: s.Instance.ID, Peers: n, Pools: a.router, Logger: a.logger,
-		OnMember: func(membership.StateChange) { a.updateEntryInstances() },
-		Teller:   publisherConfig(s.Peers.DigestPeriod),
+		OnMemberChange: func(membership.StateChange) { a.updateEntryInstances() },
+		Publisher:      publisherConfig(s.Peers.DigestPeriod),
 	})
 	a.runInGroup(ctx, a.sharer.Run)
 	a.runInGroup(ctx, a.sharePoison)
@@ -202,8 +202,8 @@
 	}
 }
 
-// Heard implements peer.Handler.
-func (h *peerHandler) Heard(info peer.Info) { h.app.sharer.Heard(info) }
+// MessageReceived implements peer.Handler.
+func (h *peerHandler) MessageReceived(info peer.Info) { h.app.sharer.PeerReceived(info) }
 
 // Digest implements peer.Handler.
 func (h *peerHandler) Digest(_ string, d *peerpb.Digest) { h.app.sharer.Digest(d) }
--- a/node/engine/engine.go
+++ b/node/engine/engine.go
@@ -31,7 +31,7 @@
 	CacheEvents(ctx context.Context, t Target, from uint64) (*wire.CacheEvents, error)
 	// Order sends a layer assignment. It carries the complete target state, so sending
 	// it again is harmless.
-	Order(ctx context.Context, t Target, o *wire.Order) (*wire.OrderResponse, error)
+	Order(ctx context.Context, t Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error)
 	// State reads which model, version and layers the engine holds.
 	State(ctx context.Context, t Target) (*wire.EngineState, error)
 	// ReplaceConnections closes the idle connections to the engine, so that later
--- a/node/engine/httpjson/client.go
+++ b/node/engine/httpjson/client.go
@@ -74,9 +74,9 @@
 }
 
 // Order implements engine.Client.
-func (c *Client) Order(ctx context.Context, t engine.Target, o *wire.Order) (*wire.OrderResponse, error) {
-	out := &wire.OrderResponse{}
-	return out, c.call(ctx, c.transport(t), http.MethodPost, t, wire.PathOrder, o, out)
+func (c *Client) Order(ctx context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
+	out := &wire.LayerAssignmentResponse{}
+	return out, c.call(ctx, c.transport(t), http.MethodPost, t, wire.PathLayerAssignment, o, out)
 }
 
 // State implements engine.Client.
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -241,7 +241,7 @@
 		return false
 	}
 	c.rank = c.route.Priority
-	if table.NeedsKeys() && !c.route.Public {
+	if table.RequiresAPIKeys() && !c.route.Public {
 		ws := table.Workspace(c.Key)
 		if ws == nil {
 			g.sendRefusal(c, http.StatusUnauthorized, "unknown_key", 0)
@@ -252,7 +252,7 @@
 			c.rank = *ws.Priority
 		}
 	}
-	c.service = table.Service(c.route.Pick(rand.Float64()))
+	c.service = table.Service(c.route.PickService(rand.Float64()))
 	if c.service == nil {
 		g.sendRefusal(c, http.StatusServiceUnavailable, "no_service", noReplicaRetryAfter)
 		return false
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -136,7 +136,7 @@
 	if s.headSent {
 		since = s.lastSent
 	}
-	end := since.Add(waitlist.MaxWait(s.route.Objective, s.route.GapObjective))
+	end := since.Add(waitlist.MaxWait(s.route.LatencyObjective, s.route.EventGapObjective))
 	if s.deadline.Before(end) {
 		return s.deadline
 	}
--- a/node/instancelist/instancelist_test.go
+++ b/node/instancelist/instancelist_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []wire.Instance{
 		{ID: "e1", Role: wire.RoleEngine, Leaving: true},
-		{ID: "m1", Role: wire.RoleEntry, Zone: "quito"},
+		{ID: "m1", Role: wire.RoleRouter, Zone: "quito"},
 	}, got)
 	_, err = listFrom(t, http.StatusServiceUnavailable, `{}`)
 	require.Error(t, err)
--- a/node/loader/calls.go
+++ b/node/loader/calls.go
@@ -181,7 +181,7 @@
 func (l *Loader) sendOrder(ctx context.Context, epoch uint64, t engine.Target, o placement.Order) orderResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	order := &wire.Order{
+	order := &wire.LayerAssignment{
 		Fence: o.Fence, Model: o.Target.Model, Version: o.Target.Version,
 		FirstLayer: o.Target.First, LastLayer: o.Target.Last,
 	}
--- a/node/loader/loader_test.go
+++ b/node/loader/loader_test.go
@@ -31,7 +31,7 @@
 
 	mu              sync.Mutex
 	states          map[string]wire.EngineState
-	orders          []wire.Order
+	orders          []wire.LayerAssignment
 	responsesToLose int  // number of next orders that take effect without a response
 	maxLoads        int  // maximum number of concurrent loads; 0 means no limit
 	peakLoads       int  // highest number of concurrent loads
@@ -49,7 +49,7 @@
 	return &s, nil
 }
 
-func (e *fakeEngines) Order(_ context.Context, t engine.Target, o *wire.Order) (*wire.OrderResponse, error) {
+func (e *fakeEngines) Order(_ context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, *o)
@@ -65,7 +65,7 @@
 		e.responsesToLose--
 		return nil, &engine.CallError{Code: engine.CodeTimeout, Err: errors.New("response lost")}
 	}
-	return &wire.OrderResponse{Accepted: true, Fence: o.Fence}, nil
+	return &wire.LayerAssignmentResponse{Accepted: true, Fence: o.Fence}, nil
 }
 
 func (e *fakeEngines) loaded(id string) {
--- a/node/peer/bench_test.go
+++ b/node/peer/bench_test.go
@@ -68,7 +68,7 @@
 	options := func(id string) Options {
 		return Options{
 			ID: id, Zone: "quito", Listen: "127.0.0.1:0", Key: testKey, Handler: handler,
-			HeartbeatInterval: time.Minute, SilenceTimeout: time.Hour,
+			HeartbeatInterval: time.Minute, MessageTimeout: time.Hour,
 		}
 	}
 	start := func(id string) *Node {
--- a/node/peer/handler.go
+++ b/node/peer/handler.go
@@ -25,9 +25,9 @@
 	PeerUp(info Info)
 	// PeerDown is called when the last session with a peer has ended.
 	PeerDown(info Info)
-	// Heard is called for every message received, including the first one. It
+	// MessageReceived is called for every message received, including the first one. It
 	// shows that the peer is alive and reports its state.
-	Heard(info Info)
+	MessageReceived(info Info)
 	// Digest is called for a demand digest.
 	Digest(from string, digest *peerpb.Digest)
 	// ConfigState is called for a configuration received from the peer. It may
@@ -72,8 +72,8 @@
 // PeerDown implements Handler.
 func (NopHandler) PeerDown(Info) {}
 
-// Heard implements Handler.
-func (NopHandler) Heard(Info) {}
+// MessageReceived implements Handler.
+func (NopHandler) MessageReceived(Info) {}
 
 // Digest implements Handler.
 func (NopHandler) Digest(string, *peerpb.Digest) {}
--- a/node/peer/node_test.go
+++ b/node/peer/node_test.go
@@ -60,7 +60,7 @@
 	events := newRecorder()
 	options := Options{
 		ID: id, Zone: "quito", Listen: "127.0.0.1:0", Key: testKey, Handler: events,
-		HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: testTimeout,
+		HeartbeatInterval: 20 * time.Millisecond, MessageTimeout: testTimeout,
 	}
 	if change != nil {
 		change(&options)
@@ -235,7 +235,7 @@
 }
 
 func TestUnresponsiveSessionIsReplaced(t *testing.T) {
-	quick := func(o *Options) { o.SilenceTimeout = 200 * time.Millisecond }
+	quick := func(o *Options) { o.MessageTimeout = 200 * time.Millisecond }
 	a, atA := startNode(t, "a", quick)
 	b, atB := startNode(t, "b", quick)
 	through := startProxy(t, a.Addr().String())
--- a/node/peer/options.go
+++ b/node/peer/options.go
@@ -21,7 +21,7 @@
 // Defaults and limits of Options.
 const (
 	DefaultHeartbeatInterval = 500 * time.Millisecond
-	DefaultSilenceTimeout    = 2 * time.Second
+	DefaultMessageTimeout    = 2 * time.Second
 	DefaultHandshakeTimeout  = 2 * time.Second
 	DefaultMaxMessageBytes   = 4 << 20
 	DefaultMaxSessions       = 128
@@ -52,9 +52,9 @@
 
 	// HeartbeatInterval is the maximum time between two messages to a peer.
 	HeartbeatInterval time.Duration
-	// SilenceTimeout is the maximum time without a message from a peer and the
+	// MessageTimeout is the maximum time without a message from a peer and the
 	// timeout of one write. After either, the session is replaced.
-	SilenceTimeout time.Duration
+	MessageTimeout time.Duration
 	// HandshakeTimeout is the timeout of each step of opening a session:
 	// dialing, authentication, and accepting the peer's stream.
 	HandshakeTimeout time.Duration
@@ -81,7 +81,7 @@
 		o.Handler = NopHandler{}
 	}
 	setDuration(&o.HeartbeatInterval, DefaultHeartbeatInterval)
-	setDuration(&o.SilenceTimeout, DefaultSilenceTimeout)
+	setDuration(&o.MessageTimeout, DefaultMessageTimeout)
 	setDuration(&o.HandshakeTimeout, DefaultHandshakeTimeout)
 	if o.MaxMessageBytes <= 0 {
 		o.MaxMessageBytes = DefaultMaxMessageBytes
@@ -107,9 +107,9 @@
 	if len(o.Key) < MinKeyBytes {
 		return trace.BadParameter("peer: the shared key has %d bytes, at least %d are required", len(o.Key), MinKeyBytes)
 	}
-	if o.SilenceTimeout <= o.HeartbeatInterval {
+	if o.MessageTimeout <= o.HeartbeatInterval {
 		return trace.BadParameter("peer: message timeout %v must exceed heartbeat interval %v",
-			o.SilenceTimeout, o.HeartbeatInterval)
+			o.MessageTimeout, o.HeartbeatInterval)
 	}
 	return nil
 }
--- a/node/peer/serve.go
+++ b/node/peer/serve.go
@@ -59,7 +59,7 @@
 	}
 	n.notifyUp(r, s)
 	info, _ := s.snapshot()
-	n.options.Handler.Heard(info)
+	n.options.Handler.MessageReceived(info)
 	n.logger.Info("peer session established", zap.String("peer", r.id), zap.Bool("dialed", s.dialed))
 	return true, n.exchangeMessages(s, w, reader)
 }
@@ -109,7 +109,7 @@
 		session:      s,
 		stream:       stream,
 		interval:     n.options.HeartbeatInterval,
-		timeout:      n.options.SilenceTimeout,
+		timeout:      n.options.MessageTimeout,
 		newHeartbeat: n.newHeartbeat,
 	}
 }
@@ -155,7 +155,7 @@
 func (n *Node) dispatch(s *session, message *peerpb.Envelope) error {
 	info := s.recordReceived(message.GetHeartbeat())
 	handler := n.options.Handler
-	handler.Heard(info)
+	handler.MessageReceived(info)
 	switch body := message.GetBody().(type) {
 	case *peerpb.Envelope_Hello:
 		return trace.BadParameter("second Hello from %q", s.remoteID)
--- a/node/peer/session.go
+++ b/node/peer/session.go
@@ -48,9 +48,9 @@
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
 	config.LogOutput = io.Discard
-	config.ConnectionWriteTimeout = options.SilenceTimeout
-	config.StreamOpenTimeout = options.SilenceTimeout
-	config.StreamCloseTimeout = options.SilenceTimeout
+	config.ConnectionWriteTimeout = options.MessageTimeout
+	config.StreamOpenTimeout = options.MessageTimeout
+	config.StreamCloseTimeout = options.MessageTimeout
 	config.AcceptBacklog = 1
 	mux, err := startMux(conn, config, dialed)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return &receiver{
 		stream:           stream,
 		reader:           bufio.NewReader(stream),
-		timeout:          options.SilenceTimeout,
+		timeout:          options.MessageTimeout,
 		unmarshalOptions: protodelim.UnmarshalOptions{MaxSize: int64(options.MaxMessageBytes)},
 	}
 }
--- a/node/peer/sharing/bench_test.go
+++ b/node/peer/sharing/bench_test.go
@@ -21,7 +21,7 @@
 }
 
 func (m *meshInstance) PeerUp(info peer.Info)                  { m.up <- info }
-func (m *meshInstance) Heard(info peer.Info)                   { m.sharer.Heard(info) }
+func (m *meshInstance) MessageReceived(info peer.Info)         { m.sharer.PeerReceived(info) }
 func (m *meshInstance) Digest(_ string, digest *peerpb.Digest) { m.sharer.Digest(digest) }
 
 // BenchmarkNineInstances runs nine nodes with their sharers over loopback for
--- a/node/peer/sharing/sharing.go
+++ b/node/peer/sharing/sharing.go
@@ -62,15 +62,15 @@
 	Peers  Broadcaster
 	Pools  Pools
 	Logger *zap.Logger
-	// OnMember, if set, is called for each state change of another instance.
-	OnMember func(membership.StateChange)
+	// OnMemberChange, if set, is called for each state change of another instance.
+	OnMemberChange func(membership.StateChange)
 
 	// Tick is the time between two updates; 0 means DefaultTick.
 	Tick time.Duration
 	// Membership holds the heartbeat settings; its Self is overwritten with ID.
 	Membership membership.Config
-	// Teller bounds how often digests are published.
-	Teller demand.PublisherConfig
+	// Publisher bounds how often digests are published.
+	Publisher demand.PublisherConfig
 	// MaxWorkspaces is the maximum number of workspaces listed per pool; 0
 	// means DefaultMaxWorkspaces.
 	MaxWorkspaces int
@@ -83,11 +83,11 @@
 	if o.Tick <= 0 {
 		o.Tick = DefaultTick
 	}
-	if o.Teller.MinPeriod <= 0 {
-		o.Teller.MinPeriod = demand.DefaultMinPeriod
+	if o.Publisher.MinPeriod <= 0 {
+		o.Publisher.MinPeriod = demand.DefaultMinPeriod
 	}
-	if o.Teller.MaxPeriod <= 0 {
-		o.Teller.MaxPeriod = demand.DefaultMaxPeriod
+	if o.Publisher.MaxPeriod <= 0 {
+		o.Publisher.MaxPeriod = demand.DefaultMaxPeriod
 	}
 	if o.MaxWorkspaces <= 0 {
 		o.MaxWorkspaces = DefaultMaxWorkspaces
@@ -117,8 +117,8 @@
 		options:   options,
 		wake:      make(chan struct{}, 1),
 		members:   membership.New(options.Membership),
-		view:      demand.NewView(stalePeriods * options.Teller.MaxPeriod),
-		publisher: demand.NewPublisher(options.Teller),
+		view:      demand.NewView(stalePeriods * options.Publisher.MaxPeriod),
+		publisher: demand.NewPublisher(options.Publisher),
 	}
 }
 
@@ -154,7 +154,7 @@
 func (s *Sharer) SetList(instances []wire.Instance) {
 	var listed membership.Listed
 	for _, in := range instances {
-		if in.Role == wire.RoleEntry {
+		if in.Role == wire.RoleRouter {
 			listed.Instances = append(listed.Instances, membership.ListedInstance{
 				ID: in.ID, Address: in.Address, Zone: in.Zone, Leaving: in.Leaving,
 			})
@@ -166,9 +166,9 @@
 // SetState sets the state of this instance.
 func (s *Sharer) SetState(state membership.State) { s.apply(membership.SelfChanged{State: state}) }
 
-// Heard applies the state of a peer. It must be called for every message of the
+// PeerReceived applies the state of a peer. It must be called for every message of the
 // peer.
-func (s *Sharer) Heard(info peer.Info) {
+func (s *Sharer) PeerReceived(info peer.Info) {
 	if event, ok := info.Member(); ok {
 		s.apply(event)
 	}
@@ -219,8 +219,8 @@
 	}
 	s.options.Logger.Info("instance state changed", zap.String("instance", c.ID),
 		zap.Stringer("from", c.From), zap.Stringer("to", c.To))
-	if s.options.OnMember != nil {
-		s.options.OnMember(c)
+	if s.options.OnMemberChange != nil {
+		s.options.OnMemberChange(c)
 	}
 }
 
--- a/node/peer/sharing/sharing_test.go
+++ b/node/peer/sharing/sharing_test.go
@@ -55,7 +55,7 @@
 		if id == e.id {
 			continue
 		}
-		other.sharer.Heard(info)
+		other.sharer.PeerReceived(info)
 		digest := proto.CloneOf(message.(*peerpb.Digest))
 		digest.Instance, digest.Incarnation = e.id, 1
 		other.sharer.Digest(digest)
@@ -123,7 +123,7 @@
 func (b *bus) list() []wire.Instance {
 	var list []wire.Instance
 	for i := range instances {
-		list = append(list, wire.Instance{ID: fmt.Sprintf("m%d", i), Role: wire.RoleEntry})
+		list = append(list, wire.Instance{ID: fmt.Sprintf("m%d", i), Role: wire.RoleRouter})
 	}
 	return append(list, wire.Instance{ID: "replica-1", Role: wire.RoleEngine})
 }
--- a/node/peer/status.go
+++ b/node/peer/status.go
@@ -16,20 +16,20 @@
 	Zone    string
 	// Connected is true if there is a session. The five fields after it are set
 	// only then.
-	Connected   bool
-	Incarnation uint64
-	Version     uint32
-	State       peerpb.InstanceState
-	Revision    uint64
-	LastHeard   time.Time
+	Connected    bool
+	Incarnation  uint64
+	Version      uint32
+	State        peerpb.InstanceState
+	Revision     uint64
+	LastReceived time.Time
 
 	BytesSent        uint64
 	BytesReceived    uint64
 	MessagesSent     uint64
 	MessagesReceived uint64
-	// Dropped counts messages that were superseded or discarded because a queue
+	// Discarded counts messages that were superseded or discarded because a queue
 	// was full.
-	Dropped uint64
+	Discarded uint64
 	// Dials counts connection attempts; Sessions counts sessions that were
 	// started.
 	Dials    uint64
@@ -93,7 +93,7 @@
 		BytesReceived:    sum.bytesReceived,
 		MessagesSent:     sum.messagesSent,
 		MessagesReceived: sum.messagesReceived,
-		Dropped:          sum.discarded,
+		Discarded:        sum.discarded,
 		Dials:            sum.dials,
 		Sessions:         sum.sessions,
 	}
@@ -106,7 +106,7 @@
 	status.Version = info.Version
 	status.State = info.State
 	status.Revision = info.Revision
-	status.LastHeard = heardAt
+	status.LastReceived = heardAt
 	if info.Zone != "" {
 		status.Zone = info.Zone
 	}
--- a/node/router/attempts.go
+++ b/node/router/attempts.go
@@ -43,7 +43,7 @@
 		if d.Outcome == route.Chosen {
 			x.result.QueueWait = time.Since(x.req.Arrived)
 			x.pool.recordFirstAttempt()
-			return x.beginAttempt(d.Chain)
+			return x.beginAttempt(d.Path)
 		}
 		x.dispatched = false
 		effect, err = x.pool.queue.requeue(ctx, x.req.ID)
@@ -73,8 +73,8 @@
 		}
 		d := x.pool.choose(x.routeRequest(x.excludedReplicas(e.Exclude)))
 		if d.Outcome == route.Chosen {
-			x.router.poison.recordPlacement(x.fingerprint, replicaIDs(d.Chain.Hops))
-			return x.beginAttempt(d.Chain)
+			x.router.poison.recordPlacement(x.fingerprint, replicaIDs(d.Path.Stages))
+			return x.beginAttempt(d.Path)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	return append(slices.Clone(failed), x.router.poison.replicasToAvoid(x.fingerprint)...)
 }
 
-func replicaIDs(stages []route.Hop) []string {
+func replicaIDs(stages []route.Stage) []string {
 	out := make([]string, 0, len(stages))
 	for _, stage := range stages {
 		out = append(out, stage.ReplicaID)
@@ -94,13 +94,13 @@
 	return out
 }
 
-func (x *requestRun) beginAttempt(c route.Chain) attempt.Event {
-	x.stages = c.Hops
+func (x *requestRun) beginAttempt(c route.Path) attempt.Event {
+	x.stages = c.Stages
 	x.version = x.pool.version()
 	x.result.Expected = c.Expected
-	x.result.Route = replicaIDs(c.Hops)
-	stages := make([]attempt.Stage, 0, len(c.Hops))
-	for _, stage := range c.Hops {
+	x.result.Route = replicaIDs(c.Stages)
+	stages := make([]attempt.Stage, 0, len(c.Stages))
+	for _, stage := range c.Stages {
 		stages = append(stages, attempt.Stage{ReplicaID: stage.ReplicaID, FirstLayer: stage.First, LastLayer: stage.Last})
 	}
 	return attempt.Routed{Stages: stages}
--- a/node/router/cache.go
+++ b/node/router/cache.go
@@ -49,7 +49,7 @@
 	}
 	now := time.Now()
 	for _, e := range events.Events {
-		p.table.CacheEvent(now, t.ID, e.Block, e.Evicted)
+		p.table.ApplyCacheEvent(now, t.ID, e.Block, e.Evicted)
 	}
 	u.nextCacheEvent = max(u.nextCacheEvent, events.Next)
 }
--- a/node/router/fake_test.go
+++ b/node/router/fake_test.go
@@ -128,8 +128,8 @@
 }
 
 // Order implements engine.Client.
-func (f *fakeEngines) Order(context.Context, engine.Target, *wire.Order) (*wire.OrderResponse, error) {
-	return &wire.OrderResponse{}, nil
+func (f *fakeEngines) Order(context.Context, engine.Target, *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
+	return &wire.LayerAssignmentResponse{}, nil
 }
 
 // State implements engine.Client.
--- a/node/router/health.go
+++ b/node/router/health.go
@@ -53,11 +53,11 @@
 	now := time.Now()
 	if prefill > 0 {
 		computed := max(prefill-cached, 1)
-		p.table.Observe(c.target.ID, computed, 0, d)
+		p.table.RecordSteps(c.target.ID, computed, 0, d)
 		u.stepTimes.ObservePrefill(computed, d)
 		u.limit.Observe(now, limit.Prefill, u.inFlight, d/time.Duration(computed))
 	} else {
-		p.table.Observe(c.target.ID, 0, 1, d)
+		p.table.RecordSteps(c.target.ID, 0, 1, d)
 		u.stepTimes.ObserveDecode(d)
 		u.limit.Observe(now, limit.Decode, u.inFlight, d)
 	}
@@ -83,7 +83,7 @@
 		u.limit.Refused(time.Now())
 		p.updateLimit(u)
 	case engine.CodeConnection:
-		p.step(u, health.Lost{Connection: c.number})
+		p.step(u, health.ConnectionFailed{Connection: c.number})
 	}
 }
 
@@ -153,12 +153,12 @@
 	if broken {
 		u.lostSteps[c.number] = u.runningSteps[c.number]
 		delete(u.runningSteps, c.number)
-		p.step(u, health.Lost{Connection: c.number})
+		p.step(u, health.ConnectionFailed{Connection: c.number})
 		return ch
 	}
 	delete(u.runningSteps, c.number)
-	u.stepTimes.Expired()
-	p.step(u, health.Silent{Connection: c.number})
+	u.stepTimes.RecordTimeout()
+	p.step(u, health.Unresponsive{Connection: c.number})
 	return ch
 }
 
@@ -231,7 +231,7 @@
 			return
 		}
 		if err == nil || refused(err) {
-			p.step(u, health.ProbeAnswered{Probe: e.Number})
+			p.step(u, health.ProbeSucceeded{Probe: e.Number})
 			return
 		}
 		p.step(u, health.ProbeFailed{Probe: e.Number})
--- a/node/router/pool.go
+++ b/node/router/pool.go
@@ -136,7 +136,7 @@
 	}
 	u.missedReports = 0
 	p.calls++
-	p.step(u, health.Silent{Connection: p.calls})
+	p.step(u, health.Unresponsive{Connection: p.calls})
 }
 
 // applyLoadReport applies the load report of one replica.
@@ -148,7 +148,7 @@
 		return
 	}
 	u.missedReports = 0
-	p.table.Report(time.Now(), t.ID, route.Load{
+	p.table.ApplyLoad(time.Now(), t.ID, route.Load{
 		Running:                r.Running,
 		Waiting:                r.Waiting,
 		Slots:                  r.Slots,
@@ -198,8 +198,8 @@
 	if d.Outcome != route.Chosen {
 		return d
 	}
-	for _, stage := range d.Chain.Hops {
-		p.table.Begin(stage.ReplicaID, req.PromptTokens)
+	for _, stage := range d.Path.Stages {
+		p.table.RecordDispatch(stage.ReplicaID, req.PromptTokens)
 		if u, ok := p.upstreams[stage.ReplicaID]; ok {
 			u.inFlight++
 		}
@@ -211,7 +211,7 @@
 func (p *pool) endAttempt(id string, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.End(id, tokens)
+	p.table.RecordEnd(id, tokens)
 	u, ok := p.upstreams[id]
 	if !ok || u.inFlight == 0 {
 		return
@@ -223,7 +223,7 @@
 }
 
 // release cancels an attempt on its replicas and then frees its slots there.
-func (p *pool) release(requestID string, attemptNumber int, stages []route.Hop, tokens int) {
+func (p *pool) release(requestID string, attemptNumber int, stages []route.Stage, tokens int) {
 	var wg sync.WaitGroup
 	for _, stage := range stages {
 		wg.Go(func() {
--- a/node/router/run.go
+++ b/node/router/run.go
@@ -33,7 +33,7 @@
 	// fingerprint identifies the content of the request regardless of its ID.
 	fingerprint poison.Fingerprint
 	machine     *attempt.Machine
-	stages      []route.Hop // of the current attempt
+	stages      []route.Stage // of the current attempt
 	result      Result
 	// dispatched is true while admission counts the request as running.
 	dispatched bool
--- a/node/router/service.go
+++ b/node/router/service.go
@@ -182,7 +182,7 @@
 		defer stop()
 	}
 	probeTimer := time.AfterFunc(c.probeAfter, func() {
-		pool.observe(c.replica, health.Silent{Connection: c.number})
+		pool.observe(c.replica, health.Unresponsive{Connection: c.number})
 	})
 	defer probeTimer.Stop()
 	response, err := r.opts.Services.Do(callCtx, c.address, call)
--- a/node/router/servicepool.go
+++ b/node/router/servicepool.go
@@ -162,7 +162,7 @@
 	if !errors.As(err, &failure) || failure.Execution != execution.NotRun {
 		c.replica.lostCalls[c.number] = f
 	}
-	s.step(c.replica, health.Lost{Connection: c.number})
+	s.step(c.replica, health.ConnectionFailed{Connection: c.number})
 }
 
 // step passes an event to the health state machine of a replica and performs the
--- a/node/router/servicepool_test.go
+++ b/node/router/servicepool_test.go
@@ -87,7 +87,7 @@
 	at, ok := rep.health.Deadline()
 	require.True(t, ok)
 	rep.health.Step(at, health.Tick{})
-	rep.health.Step(at, health.ProbeAnswered{Probe: 3})
+	rep.health.Step(at, health.ProbeSucceeded{Probe: 3})
 	require.Equal(t, health.DefaultConfig().SlowStart[0], rep.health.Weight())
 	c, ok := s.beginCall(nil)
 	require.True(t, ok)
@@ -148,7 +148,7 @@
 		_, err := r.sendCall(ctx, s, c, poison.Fingerprint{}, getCall("/x", true))
 		ended <- err
 	}()
-	s.observe(c.replica, health.Silent{Connection: c.number})
+	s.observe(c.replica, health.Unresponsive{Connection: c.number})
 	require.Error(t, <-ended)
 	r.work.Wait()
 	require.NoError(t, ctx.Err())
--- a/node/router/servicereplica.go
+++ b/node/router/servicereplica.go
@@ -75,7 +75,7 @@
 		if isLeavingRefusal(response) {
 			a.pool.observe(a.replica, health.Leaving{Source: health.FromUpstream})
 		}
-		a.pool.observe(a.replica, health.ProbeAnswered{Probe: e.Number})
+		a.pool.observe(a.replica, health.ProbeSucceeded{Probe: e.Number})
 	})
 }
 
--- a/node/router/upstream.go
+++ b/node/router/upstream.go
@@ -15,7 +15,7 @@
 type upstream struct {
 	instance  wire.Instance
 	health    *health.Upstream
-	stepTimes health.Pace
+	stepTimes health.TimeoutEstimator
 	// limit estimates how many sequences the replica can run concurrently.
 	limit *limit.Limiter
 	// appliedLimit is the limit last passed to the route table.
--- a/node/wire/engine.go
+++ b/node/wire/engine.go
@@ -16,9 +16,9 @@
 	// PathCacheEvents returns CacheEvents, starting at the sequence number in
 	// the query parameter "from".
 	PathCacheEvents = "/v1/cache-events"
-	// PathOrder accepts a layer assignment by POST and returns an
+	// PathLayerAssignment accepts a layer assignment by POST and returns an
 	// OrderResponse.
-	PathOrder = "/v1/order"
+	PathLayerAssignment = "/v1/order"
 	// PathState returns an EngineState.
 	PathState = "/v1/state"
 )
@@ -121,9 +121,9 @@
 // covers.
 const PrefixBlockBytes = 64
 
-// Order assigns a range of layers to an engine. It contains the whole target
+// LayerAssignment assigns a range of layers to an engine. It contains the whole target
 // state, so repeating it has no effect.
-type Order struct {
+type LayerAssignment struct {
 	// Fence is the epoch of the leader task that sends the assignment.
 	Fence      uint64 `json:"fence"`
 	Model      string `json:"model"`
@@ -132,8 +132,8 @@
 	LastLayer  int    `json:"last_layer"`
 }
 
-// OrderResponse reports whether an engine accepted a layer assignment.
-type OrderResponse struct {
+// LayerAssignmentResponse reports whether an engine accepted a layer assignment.
+type LayerAssignmentResponse struct {
 	Accepted bool `json:"accepted"`
 	// Fence is the highest fence received so far.
 	Fence uint64 `json:"fence"`
--- a/node/wire/instance.go
+++ b/node/wire/instance.go
@@ -9,8 +9,8 @@
 	RoleEngine = "engine"
 	// RoleService is a plain service.
 	RoleService = "service"
-	// RoleEntry is an instance of the router.
-	RoleEntry = "entry"
+	// RoleRouter is an instance of the router.
+	RoleRouter = "entry"
 )
 
 // InstanceList is the platform's list of instances. It may be out of date.
--- a/standin/engine/assignment.go
+++ b/standin/engine/assignment.go
@@ -20,11 +20,11 @@
 
 // applyAssignment applies a layer assignment. With fencing, an assignment with an outdated
 // fencing token is refused; without fencing, every assignment is accepted.
-func (e *Engine) applyAssignment(a wire.Order) wire.OrderResponse {
+func (e *Engine) applyAssignment(a wire.LayerAssignment) wire.LayerAssignmentResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.Fencing && a.Fence < e.state.Fence {
-		return wire.OrderResponse{Fence: e.state.Fence}
+		return wire.LayerAssignmentResponse{Fence: e.state.Fence}
 	}
 	e.state.Fence = max(e.state.Fence, a.Fence)
 	if !e.matches(a) {
@@ -34,11 +34,11 @@
 		e.state.FirstLayer, e.state.LastLayer = a.FirstLayer, a.LastLayer
 		e.startLoading(a)
 	}
-	return wire.OrderResponse{Accepted: true, Fence: e.state.Fence}
+	return wire.LayerAssignmentResponse{Accepted: true, Fence: e.state.Fence}
 }
 
 // matches reports whether the engine holds or loads the layers of an assignment.
-func (e *Engine) matches(a wire.Order) bool {
+func (e *Engine) matches(a wire.LayerAssignment) bool {
 	held := e.state
 	return held.Model == a.Model && held.Version == a.Version &&
 		held.FirstLayer == a.FirstLayer && held.LastLayer == a.LastLayer
@@ -53,7 +53,7 @@
 
 // startLoading begins to fetch the weights, if there is a weight store. The caller
 // holds e.mu.
-func (e *Engine) startLoading(a wire.Order) {
+func (e *Engine) startLoading(a wire.LayerAssignment) {
 	if e.options.WeightStore == "" {
 		return
 	}
@@ -63,7 +63,7 @@
 
 // loadWeights fetches the weights, with retries, and marks them as loaded. It gives up
 // when another assignment has replaced this one or the engine is closed.
-func (e *Engine) loadWeights(a wire.Order) {
+func (e *Engine) loadWeights(a wire.LayerAssignment) {
 	for {
 		err := fetchWeights(e.options.WeightStore, a)
 		e.mu.Lock()
@@ -80,7 +80,7 @@
 }
 
 // fetchWeights fetches the weights of an assignment once and discards them.
-func fetchWeights(store string, a wire.Order) error {
+func fetchWeights(store string, a wire.LayerAssignment) error {
 	query := url.Values{}
 	query.Set("model", a.Model)
 	query.Set("version", a.Version)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -76,7 +76,7 @@
 	e.mux.HandleFunc("GET "+wire.PathLoad, e.serveLoad)
 	e.mux.HandleFunc("GET "+wire.PathProbe, e.serveProbe)
 	e.mux.HandleFunc("GET "+wire.PathCacheEvents, e.serveCacheEvents)
-	e.mux.HandleFunc("POST "+wire.PathOrder, e.serveAssignment)
+	e.mux.HandleFunc("POST "+wire.PathLayerAssignment, e.serveAssignment)
 	e.mux.HandleFunc("GET "+wire.PathState, e.serveState)
 	e.mux.HandleFunc("POST "+fault.Path, e.serveFault)
 	return e
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -127,13 +127,13 @@
 func TestFencing(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		e := wholeModelEngine(Options{Fencing: fencing})
-		target := wire.Order{Fence: 5, Model: testModel, Version: "2", LastLayer: testLayers - 1}
-		var response wire.OrderResponse
-		require.Equal(t, http.StatusOK, post(e, wire.PathOrder, target, &response))
-		require.Equal(t, wire.OrderResponse{Accepted: true, Fence: 5}, response)
+		target := wire.LayerAssignment{Fence: 5, Model: testModel, Version: "2", LastLayer: testLayers - 1}
+		var response wire.LayerAssignmentResponse
+		require.Equal(t, http.StatusOK, post(e, wire.PathLayerAssignment, target, &response))
+		require.Equal(t, wire.LayerAssignmentResponse{Accepted: true, Fence: 5}, response)
 		target.Fence, target.Version = 4, "1"
-		require.Equal(t, http.StatusOK, post(e, wire.PathOrder, target, &response))
-		require.Equal(t, wire.OrderResponse{Accepted: !fencing, Fence: 5}, response)
+		require.Equal(t, http.StatusOK, post(e, wire.PathLayerAssignment, target, &response))
+		require.Equal(t, wire.LayerAssignmentResponse{Accepted: !fencing, Fence: 5}, response)
 		held := map[bool]string{true: "2", false: "1"}[fencing]
 		require.Equal(t, held, e.State().Version)
 	}
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -157,7 +157,7 @@
 }
 
 func (e *Engine) serveAssignment(w http.ResponseWriter, r *http.Request) {
-	var assignment wire.Order
+	var assignment wire.LayerAssignment
 	if err := json.NewDecoder(r.Body).Decode(&assignment); err != nil {
 		writeRefusal(w, refuse(wire.CodeMalformed, err.Error()))
 		return
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -107,9 +107,9 @@
 	require.NoError(t, err)
 	defer f.Close()
 	target := enginesWithFirstLayers(f, 0)[0]
-	assignment := wire.Order{Fence: 1, Model: "dev", Version: "1", FirstLayer: 4, LastLayer: 8}
-	var response wire.OrderResponse
-	_, err = post(t, target.Address, wire.PathOrder, assignment, &response)
+	assignment := wire.LayerAssignment{Fence: 1, Model: "dev", Version: "1", FirstLayer: 4, LastLayer: 8}
+	var response wire.LayerAssignmentResponse
+	_, err = post(t, target.Address, wire.PathLayerAssignment, assignment, &response)
 	require.NoError(t, err)
 	require.True(t, response.Accepted)
 	require.Eventually(t, func() bool { return !f.Engines()[0].State().Loading }, 5*time.Second, time.Millisecond)
