--- a/cmd/internal/local/loader_test.go
+++ b/cmd/internal/local/loader_test.go
@@ -168,7 +168,7 @@
 func (l *loaderFleet) sendOutdatedAssignments(t *testing.T, fencing bool) {
 	t.Helper()
 	for _, id := range []string{"dev-0-3-l0", "dev-9-11-s1"} {
-		response, err := l.client.Order(context.Background(), l.target(id), &wire.LayerAssignment{
+		response, err := l.client.AssignLayers(context.Background(), l.target(id), &wire.LayerAssignment{
 			Fence: 4, Model: "dev", Version: "1", FirstLayer: 4, LastLayer: 8,
 		})
 		require.NoError(t, err)
--- a/node/api/api.go
+++ b/node/api/api.go
@@ -146,7 +146,7 @@
 		return &apiError{status: http.StatusBadRequest, code: "invalid_deadline", message: err.Error(), param: HeaderDeadline}
 	}
 	if !at.After(c.arrived) {
-		return &apiError{status: http.StatusGatewayTimeout, code: string(router.CodeDeadline), message: "the deadline has passed", param: HeaderDeadline}
+		return &apiError{status: http.StatusGatewayTimeout, code: string(router.CodeDeadlinePassed), message: "the deadline has passed", param: HeaderDeadline}
 	}
 	if at.Before(c.deadline) {
 		c.deadline = at
--- a/node/api/bench_test.go
+++ b/node/api/bench_test.go
@@ -51,17 +51,17 @@
 
 func (stubEngines) Probe(context.Context, engine.Target) error { return nil }
 
-func (stubEngines) Forget(engine.Target) {}
+func (stubEngines) Release(engine.Target) {}
 
 // discardMetrics discards all measurements.
 type discardMetrics struct{}
 
-func (discardMetrics) Dropped(attempt.DiscardReason)               {}
+func (discardMetrics) ResponseDiscarded(attempt.DiscardReason)     {}
 func (discardMetrics) TokenGap(string, config.Rank, time.Duration) {}
 func (discardMetrics) Finished(*router.Result)                     {}
 func (discardMetrics) ConnectionReplaced(string)                   {}
 func (discardMetrics) Ejected(string)                              {}
-func (discardMetrics) Leaving(string)                              {}
+func (discardMetrics) UpstreamLeaving(string)                      {}
 
 func benchConfig() *config.Config {
 	key := sha256.Sum256([]byte(benchKey))
--- a/node/api/completion.go
+++ b/node/api/completion.go
@@ -208,9 +208,9 @@
 	switch code {
 	case router.CodeUnknownModel, router.CodeUnknownService:
 		return http.StatusNotFound
-	case router.CodeWorkspaceFull:
+	case router.CodeWorkspaceQueueFull:
 		return http.StatusTooManyRequests
-	case router.CodeDeadline:
+	case router.CodeDeadlinePassed:
 		return http.StatusGatewayTimeout
 	case router.CodePoison, router.CodeKeyReused:
 		return http.StatusUnprocessableEntity
@@ -218,13 +218,13 @@
 		return http.StatusBadRequest
 	case router.CodeKeyExpired, router.CodeKeyUndecided:
 		return http.StatusConflict
-	case router.CodeAnswerTooLarge:
+	case router.CodeResponseTooLarge:
 		return http.StatusInsufficientStorage
-	case router.CodeAttempts, router.CodeUpstreamFailed, router.CodeRetryBudget:
+	case router.CodeAttemptsExhausted, router.CodeUpstreamFailed, router.CodeRetryBudgetExhausted:
 		return http.StatusBadGateway
 	case router.CodeCancelled:
 		return http.StatusRequestTimeout
-	case router.CodeRefused, router.CodePoolFull, router.CodeHopeless, router.CodeNoRoute,
+	case router.CodeRefused, router.CodePoolQueueFull, router.CodeDeadlineUnreachable, router.CodeNoRoute,
 		router.CodeNoUpstream, router.CodeNotReady, router.CodeLogUnavailable:
 		return http.StatusServiceUnavailable
 	default:
--- a/node/api/service.go
+++ b/node/api/service.go
@@ -49,7 +49,7 @@
 		Arrived:   c.arrived,
 	})
 	w.Header().Set(HeaderRequestID, c.id)
-	if res.Answer == nil {
+	if res.Response == nil {
 		writeResultError(w, &res.Result)
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 func writeServiceResponse(w http.ResponseWriter, res *router.ServiceResult) {
-	for name, values := range res.Answer.Header {
+	for name, values := range res.Response.Header {
 		for _, v := range values {
 			w.Header().Add(name, v)
 		}
@@ -106,5 +106,5 @@
 	if res.Replayed {
 		w.Header().Set(HeaderReplayed, "true")
 	}
-	writeBody(w, res.Answer.Status, "", res.Answer.Body)
+	writeBody(w, res.Response.Status, "", res.Response.Body)
 }
--- a/node/app/app.go
+++ b/node/app/app.go
@@ -97,7 +97,7 @@
 		Logger:      a.logger,
 		RoutePolicy: policy,
 		FIFO:        o.Settings.Policy.Admission == "fifo",
-		Wake:        a.wakeSharer,
+		OnWait:      a.wakeSharer,
 		Seed:        routerSeed(o.Settings.Instance.ID),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/node/app/observer.go
+++ b/node/app/observer.go
@@ -22,8 +22,8 @@
 
 var _ router.Metrics = (*observer)(nil)
 
-// Dropped implements router.Metrics.
-func (o *observer) Dropped(attempt.DiscardReason) {
+// ResponseDiscarded implements router.Metrics.
+func (o *observer) ResponseDiscarded(attempt.DiscardReason) {
 	o.registry.Add(metrics.LateResponses, 1)
 }
 
@@ -37,8 +37,8 @@
 	o.registry.Add(metrics.Ejections, 1)
 }
 
-// Leaving implements router.Metrics.
-func (o *observer) Leaving(upstream string) {
+// UpstreamLeaving implements router.Metrics.
+func (o *observer) UpstreamLeaving(upstream string) {
 	o.announceLeaving(upstream)
 }
 
@@ -73,7 +73,7 @@
 	switch {
 	case r.Complete:
 		return metrics.Completed
-	case r.Code == router.CodeDeadline:
+	case r.Code == router.CodeDeadlinePassed:
 		return metrics.Expired
 	case r.Code == router.CodeCancelled:
 		return metrics.Cancelled
@@ -96,7 +96,7 @@
 		zap.Strings("route", r.Route),
 		zap.Int("attempts", r.Attempts),
 		zap.Int("retries", r.Retries),
-		zap.Int("dropped", r.Dropped),
+		zap.Int("dropped", r.DiscardedResponses),
 		zap.Int("tokens", r.Tokens),
 		zap.Duration("queue_wait", r.QueueWait),
 		zap.Duration("first_token", r.FirstToken),
--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -80,7 +80,7 @@
 			live = append(live, m.ID)
 		}
 	}
-	a.router.SetEntries(live)
+	a.router.SetEntryInstances(live)
 	a.metrics.Set(metrics.Peers, int64(len(live)-1))
 }
 
@@ -96,7 +96,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			if evidence := a.router.PoisonNews(); !evidence.Empty() {
+			if evidence := a.router.PendingCrashEvidence(); !evidence.Empty() {
 				a.broadcast(peer.EncodeEvidence(evidence, now))
 			}
 			a.sendPoisonBlocks(now, sentAt)
@@ -107,7 +107,7 @@
 // sendPoisonBlocks sends the blocks that were not sent within poisonResendPeriod. It
 // records the times of sending in sentAt and removes expired blocks from it.
 func (a *App) sendPoisonBlocks(now time.Time, sentAt map[poison.Fingerprint]time.Time) {
-	blocks := a.router.PoisonBlocks()
+	blocks := a.router.BlockedFingerprints()
 	current := map[poison.Fingerprint]bool{}
 	for _, b := range blocks {
 		current[b.Fingerprint] = true
@@ -194,7 +194,7 @@
 // session, as the peer has missed earlier broadcasts.
 func (h *peerHandler) PeerUp(info peer.Info) {
 	now := time.Now()
-	for _, b := range h.app.router.PoisonBlocks() {
+	for _, b := range h.app.router.BlockedFingerprints() {
 		if err := h.app.peers.Send(info.ID, poisonMessage(b, now)); err != nil {
 			h.app.logger.Warn("failed to send poison fingerprint", zap.String("peer", info.ID), zap.Error(err))
 			return
@@ -215,12 +215,12 @@
 		return
 	}
 	copy(f[:], p.GetFingerprint())
-	h.app.router.LearnPoison(f, time.Duration(p.GetTtlMs())*time.Millisecond)
+	h.app.router.BlockFingerprint(f, time.Duration(p.GetTtlMs())*time.Millisecond)
 }
 
 // CrashEvidence implements peer.Handler.
 func (h *peerHandler) CrashEvidence(_ string, m *peerpb.CrashEvidence) {
-	h.app.router.LearnPoisonEvidence(peer.DecodeEvidence(m, time.Now()))
+	h.app.router.MergeCrashEvidence(peer.DecodeEvidence(m, time.Now()))
 }
 
 // ConfigState implements peer.Handler.
--- a/node/engine/engine.go
+++ b/node/engine/engine.go
@@ -29,16 +29,16 @@
 	// CacheEvents reads the changes of the prefix cache, starting with event number
 	// from.
 	CacheEvents(ctx context.Context, t Target, from uint64) (*wire.CacheEvents, error)
-	// Order sends a layer assignment. It carries the complete target state, so sending
+	// AssignLayers sends a layer assignment. It carries the complete target state, so sending
 	// it again is harmless.
-	Order(ctx context.Context, t Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error)
+	AssignLayers(ctx context.Context, t Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error)
 	// State reads which model, version and layers the engine holds.
 	State(ctx context.Context, t Target) (*wire.EngineState, error)
 	// ReplaceConnections closes the idle connections to the engine, so that later
 	// calls open new ones.
 	ReplaceConnections(t Target)
-	// Forget releases all resources held for the engine.
-	Forget(t Target)
+	// Release releases all resources held for the engine.
+	Release(t Target)
 }
 
 // Proof states what is known about the execution of a failed call.
--- a/node/engine/httpjson/bench_test.go
+++ b/node/engine/httpjson/bench_test.go
@@ -124,7 +124,7 @@
 			hidden := bytes.Repeat([]byte{7}, size)
 			s := startCannedServer(b, wire.StepResponse{RequestID: "r", Attempt: 1, Position: 1, Hidden: hidden})
 			c := httpjson.New()
-			defer c.Forget(s.target())
+			defer c.Release(s.target())
 			req := &wire.StepRequest{RequestID: "r", Attempt: 1, Position: 1, Model: "m", Version: "1", FirstLayer: 10, LastLayer: 19, Hidden: hidden, CoveredTokens: 1, MaxTokens: 100}
 			measureCalls(b, s, func() error {
 				_, err := c.Step(context.Background(), s.target(), req)
@@ -138,7 +138,7 @@
 func BenchmarkLoad(b *testing.B) {
 	s := startCannedServer(b, wire.LoadReport{Running: 3, Waiting: 1, Slots: 16, StepMillis: 21.5, PrefillTokensPerSecond: 8123.4})
 	c := httpjson.New()
-	defer c.Forget(s.target())
+	defer c.Release(s.target())
 	measureCalls(b, s, func() error {
 		_, err := c.Load(context.Background(), s.target())
 		return err
--- a/node/engine/httpjson/client.go
+++ b/node/engine/httpjson/client.go
@@ -73,8 +73,8 @@
 	return out, c.call(ctx, c.transport(t), http.MethodGet, t, path, nil, out)
 }
 
-// Order implements engine.Client.
-func (c *Client) Order(ctx context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
+// AssignLayers implements engine.Client.
+func (c *Client) AssignLayers(ctx context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
 	out := &wire.LayerAssignmentResponse{}
 	return out, c.call(ctx, c.transport(t), http.MethodPost, t, wire.PathLayerAssignment, o, out)
 }
@@ -87,11 +87,11 @@
 
 // ReplaceConnections implements engine.Client.
 func (c *Client) ReplaceConnections(t engine.Target) {
-	c.Forget(t)
+	c.Release(t)
 }
 
-// Forget implements engine.Client.
-func (c *Client) Forget(t engine.Target) {
+// Release implements engine.Client.
+func (c *Client) Release(t engine.Target) {
 	c.mu.Lock()
 	tr := c.transports[t.Address]
 	delete(c.transports, t.Address)
--- a/node/engine/httpjson/endless_test.go
+++ b/node/engine/httpjson/endless_test.go
@@ -21,7 +21,7 @@
 				s := boundedtest.Start(t, response)
 				c := httpjson.New()
 				target := engine.Target{ID: "e", Address: s.Address()}
-				defer c.Forget(target)
+				defer c.Release(target)
 				_, err := c.Step(context.Background(), target, &wire.StepRequest{})
 				var failure *engine.CallError
 				require.ErrorAs(t, err, &failure)
--- a/node/loader/calls.go
+++ b/node/loader/calls.go
@@ -188,7 +188,7 @@
 	if currentEpoch, ok := l.opts.Keeper.Valid(l.opts.Duty); !ok || currentEpoch != epoch {
 		return resultNotSent
 	}
-	response, err := l.opts.Engines.Order(ctx, t, order)
+	response, err := l.opts.Engines.AssignLayers(ctx, t, order)
 	var refused *engine.CallError
 	switch {
 	case errors.As(err, &refused) && refused.Code == wire.CodeOverloaded:
--- a/node/loader/loader_test.go
+++ b/node/loader/loader_test.go
@@ -49,7 +49,7 @@
 	return &s, nil
 }
 
-func (e *fakeEngines) Order(_ context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
+func (e *fakeEngines) AssignLayers(_ context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, *o)
--- a/node/router/fake_test.go
+++ b/node/router/fake_test.go
@@ -127,8 +127,8 @@
 	return &wire.CacheEvents{}, nil
 }
 
-// Order implements engine.Client.
-func (f *fakeEngines) Order(context.Context, engine.Target, *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
+// AssignLayers implements engine.Client.
+func (f *fakeEngines) AssignLayers(context.Context, engine.Target, *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
 	return &wire.LayerAssignmentResponse{}, nil
 }
 
@@ -144,8 +144,8 @@
 	f.replaced = append(f.replaced, t.ID)
 }
 
-// Forget implements engine.Client.
-func (f *fakeEngines) Forget(engine.Target) {}
+// Release implements engine.Client.
+func (f *fakeEngines) Release(engine.Target) {}
 
 // stepsOf returns the steps of one request that engines received.
 func (f *fakeEngines) stepsOf(request string) []sentStep {
@@ -188,7 +188,7 @@
 	discarded map[attempt.DiscardReason]int
 }
 
-func (m *discardCounter) Dropped(k attempt.DiscardReason) {
+func (m *discardCounter) ResponseDiscarded(k attempt.DiscardReason) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.discarded == nil {
@@ -201,7 +201,7 @@
 func (*discardCounter) Finished(*Result)                            {}
 func (*discardCounter) ConnectionReplaced(string)                   {}
 func (*discardCounter) Ejected(string)                              {}
-func (*discardCounter) Leaving(string)                              {}
+func (*discardCounter) UpstreamLeaving(string)                      {}
 
 // testConfig returns a configuration with the given number of workspaces.
 func testConfig(workspaces int) *config.Config {
--- a/node/router/health.go
+++ b/node/router/health.go
@@ -245,6 +245,6 @@
 		u.deliverProbeResult(number, false)
 	}
 	p.table.Remove(u.instance.ID)
-	p.engines.Forget(u.target())
+	p.engines.Release(u.target())
 	delete(p.upstreams, u.instance.ID)
 }
--- a/node/router/orders.go
+++ b/node/router/orders.go
@@ -58,10 +58,10 @@
 
 func newOrderAnswer(res *ServiceResult) order.Response {
 	a := order.Response{Execution: res.Execution}
-	if res.Answer != nil {
-		a.Status = res.Answer.Status
-		a.ContentType = res.Answer.Header.Get("Content-Type")
-		a.Body = res.Answer.Body
+	if res.Response != nil {
+		a.Status = res.Response.Status
+		a.ContentType = res.Response.Header.Get("Content-Type")
+		a.Body = res.Response.Body
 	}
 	return a
 }
@@ -74,7 +74,7 @@
 		out.RetryAfter = orderRetryAfter(res.Reason)
 		return out
 	}
-	if sent.Answer != nil && !res.Replayed {
+	if sent.Response != nil && !res.Replayed {
 		out := *sent
 		out.Execution = res.Execution
 		return out
@@ -84,7 +84,7 @@
 		out.Execution = res.Execution
 		return out
 	}
-	out := ServiceResult{Replayed: res.Replayed, Answer: &service.Answer{
+	out := ServiceResult{Replayed: res.Replayed, Response: &service.Response{
 		Status: res.Response.Status,
 		Header: http.Header{"Content-Type": {res.Response.ContentType}},
 		Body:   res.Response.Body,
@@ -105,15 +105,15 @@
 	case order.ReasonLogUnavailable, order.ReasonVersion:
 		return CodeLogUnavailable
 	case order.ReasonOverloaded:
-		return CodePoolFull
+		return CodePoolQueueFull
 	case order.ReasonRunning, order.ReasonClaimantGone:
 		return CodeKeyUndecided
 	case order.ReasonDispatchWindowPassed, order.ReasonReleased:
-		return CodeDeadline
+		return CodeDeadlinePassed
 	case order.ReasonClientGone:
 		return CodeCancelled
 	case order.ReasonResponseTooLarge:
-		return CodeAnswerTooLarge
+		return CodeResponseTooLarge
 	default:
 		return CodeUpstreamFailed
 	}
--- a/node/router/outcome.go
+++ b/node/router/outcome.go
@@ -49,10 +49,10 @@
 	}
 	switch o.Reason {
 	case attempt.ReasonAttempts:
-		x.result.Code = CodeAttempts
+		x.result.Code = CodeAttemptsExhausted
 		x.result.RetryAfter = retryAfterFailure
 	case attempt.ReasonDeadline:
-		x.result.Code = CodeDeadline
+		x.result.Code = CodeDeadlinePassed
 	case attempt.ReasonCancelled:
 		x.result.Code = CodeCancelled
 	case string(CodePoison):
@@ -70,13 +70,13 @@
 func refusalCode(r admission.Reason) Code {
 	switch r {
 	case admission.ReasonUnmeetableDeadline:
-		return CodeHopeless
+		return CodeDeadlineUnreachable
 	case admission.ReasonDeadlineWhileQueued:
-		return CodeDeadline
+		return CodeDeadlinePassed
 	case admission.ReasonWorkspaceFull:
-		return CodeWorkspaceFull
+		return CodeWorkspaceQueueFull
 	case admission.ReasonPoolFull:
-		return CodePoolFull
+		return CodePoolQueueFull
 	default:
 		return CodeRefused
 	}
--- a/node/router/poison.go
+++ b/node/router/poison.go
@@ -75,29 +75,29 @@
 	return p.tracker.ReplicasToAvoid(f)
 }
 
-// PoisonBlocks returns the blocked fingerprints to send to peers.
-func (r *Router) PoisonBlocks() []poison.Block {
+// BlockedFingerprints returns the blocked fingerprints to send to peers.
+func (r *Router) BlockedFingerprints() []poison.Block {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	return r.poison.tracker.BlocksToShare(time.Now())
 }
 
-// PoisonNews returns the crash evidence that this instance found since the last call.
-func (r *Router) PoisonNews() poison.Evidence {
+// PendingCrashEvidence returns the crash evidence that this instance found since the last call.
+func (r *Router) PendingCrashEvidence() poison.Evidence {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	return r.poison.tracker.DrainUpdates()
 }
 
-// LearnPoisonEvidence merges the crash evidence of a peer.
-func (r *Router) LearnPoisonEvidence(s poison.Evidence) {
+// MergeCrashEvidence merges the crash evidence of a peer.
+func (r *Router) MergeCrashEvidence(s poison.Evidence) {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	r.poison.tracker.Merge(time.Now(), s)
 }
 
-// LearnPoison blocks a fingerprint that a peer reported, for the time ttl.
-func (r *Router) LearnPoison(f poison.Fingerprint, ttl time.Duration) {
+// BlockFingerprint blocks a fingerprint that a peer reported, for the time ttl.
+func (r *Router) BlockFingerprint(f poison.Fingerprint, ttl time.Duration) {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
 	now := time.Now()
--- a/node/router/reporter.go
+++ b/node/router/reporter.go
@@ -52,7 +52,7 @@
 			r.metrics.Ejected(id)
 		case health.AnnounceLeaving:
 			r.log.Info("upstream is leaving", zap.String("upstream", id))
-			r.metrics.Leaving(id)
+			r.metrics.UpstreamLeaving(id)
 		case health.Remove:
 			a.remove()
 			changed = true
--- a/node/router/request.go
+++ b/node/router/request.go
@@ -40,27 +40,27 @@
 
 // Codes of unsuccessful results.
 const (
-	CodeUnknownModel   Code = "unknown_model"
-	CodeUnknownService Code = "unknown_service"
-	CodeRefused        Code = "refused"
-	CodeWorkspaceFull  Code = "workspace_queue_full"
-	CodePoolFull       Code = "pool_queue_full"
-	CodeHopeless       Code = "deadline_cannot_be_met"
-	CodeDeadline       Code = "deadline_passed"
-	CodeCancelled      Code = "caller_left"
-	CodeNoRoute        Code = "no_route"
-	CodeAttempts       Code = "attempts_exhausted"
-	CodeRetryBudget    Code = "retry_budget_exhausted"
-	CodePoison         Code = "poison_request"
-	CodeNoUpstream     Code = "no_upstream"
-	CodeUpstreamFailed Code = "upstream_failed"
-	CodeNotReady       Code = "not_ready"
-	CodeKeyReused      Code = "idempotency_key_reused"
-	CodeKeyExpired     Code = "idempotency_key_expired"
-	CodeKeyMalformed   Code = "idempotency_key_malformed"
-	CodeKeyUndecided   Code = "idempotency_key_undecided"
-	CodeAnswerTooLarge Code = "recorded_answer_too_large"
-	CodeLogUnavailable Code = "log_unavailable"
+	CodeUnknownModel         Code = "unknown_model"
+	CodeUnknownService       Code = "unknown_service"
+	CodeRefused              Code = "refused"
+	CodeWorkspaceQueueFull   Code = "workspace_queue_full"
+	CodePoolQueueFull        Code = "pool_queue_full"
+	CodeDeadlineUnreachable  Code = "deadline_cannot_be_met"
+	CodeDeadlinePassed       Code = "deadline_passed"
+	CodeCancelled            Code = "caller_left"
+	CodeNoRoute              Code = "no_route"
+	CodeAttemptsExhausted    Code = "attempts_exhausted"
+	CodeRetryBudgetExhausted Code = "retry_budget_exhausted"
+	CodePoison               Code = "poison_request"
+	CodeNoUpstream           Code = "no_upstream"
+	CodeUpstreamFailed       Code = "upstream_failed"
+	CodeNotReady             Code = "not_ready"
+	CodeKeyReused            Code = "idempotency_key_reused"
+	CodeKeyExpired           Code = "idempotency_key_expired"
+	CodeKeyMalformed         Code = "idempotency_key_malformed"
+	CodeKeyUndecided         Code = "idempotency_key_undecided"
+	CodeResponseTooLarge     Code = "recorded_answer_too_large"
+	CodeLogUnavailable       Code = "log_unavailable"
 )
 
 // Result is the final outcome of one request, with its statistics.
@@ -73,16 +73,16 @@
 	// RetryAfter is positive if the request may succeed when it is sent again later.
 	RetryAfter time.Duration
 
-	Workspace  string
-	Rank       config.Rank
-	Model      string
-	Tokens     int
-	Attempts   int
-	Retries    int
-	Dropped    int
-	QueueWait  time.Duration
-	FirstToken time.Duration
-	Total      time.Duration
+	Workspace          string
+	Rank               config.Rank
+	Model              string
+	Tokens             int
+	Attempts           int
+	Retries            int
+	DiscardedResponses int
+	QueueWait          time.Duration
+	FirstToken         time.Duration
+	Total              time.Duration
 	// Route holds the replica IDs of the last attempt in layer order.
 	Route []string
 	// Expected is the duration that the router estimated for the chosen route.
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -47,8 +47,8 @@
 // Metrics receives measurements and events. Implementations are safe for concurrent
 // use.
 type Metrics interface {
-	// Dropped counts an upstream response that was discarded.
-	Dropped(k attempt.DiscardReason)
+	// ResponseDiscarded counts an upstream response that was discarded.
+	ResponseDiscarded(k attempt.DiscardReason)
 	// TokenGap records the time between two consecutive tokens of one response.
 	TokenGap(workspace string, rank config.Rank, d time.Duration)
 	// Finished records the result of a request.
@@ -58,9 +58,9 @@
 	ConnectionReplaced(upstream string)
 	// Ejected counts the ejection of an upstream.
 	Ejected(upstream string)
-	// Leaving is called when an upstream announced that it is leaving. It must not
+	// UpstreamLeaving is called when an upstream announced that it is leaving. It must not
 	// block.
-	Leaving(upstream string)
+	UpstreamLeaving(upstream string)
 }
 
 // Options configures a Router.
@@ -77,9 +77,9 @@
 	// RoutePolicy and FIFO select baselines for comparison measurements.
 	RoutePolicy route.Policy
 	FIFO        bool
-	// Wake is called when a request has to wait for a slot; it may be nil. It must not
+	// OnWait is called when a request has to wait for a slot; it may be nil. It must not
 	// block.
-	Wake func()
+	OnWait func()
 	// Seed seeds the random choice among routes of nearly equal cost, so that
 	// instances choose differently.
 	Seed uint64
@@ -223,8 +223,8 @@
 	}
 }
 
-// SetEntries sets the IDs of the live entry instances, including this one.
-func (r *Router) SetEntries(ids []string) {
+// SetEntryInstances sets the IDs of the live entry instances, including this one.
+func (r *Router) SetEntryInstances(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entryInstances = ids
@@ -278,8 +278,8 @@
 }
 
 func (r *Router) onWait() {
-	if r.opts.Wake != nil {
-		r.opts.Wake()
+	if r.opts.OnWait != nil {
+		r.opts.OnWait()
 	}
 }
 
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -218,7 +218,7 @@
 			withRouter(t, engines, fleet(2, 16), func(t *testing.T, r *Router, _ *discardCounter) {
 				res := r.Generate(context.Background(), testRequest("a", 3, time.Minute), &textSink{})
 				require.False(t, res.Complete)
-				require.Equal(t, CodeAttempts, res.Code)
+				require.Equal(t, CodeAttemptsExhausted, res.Code)
 				require.Equal(t, c.want, res.Execution)
 			})
 		})
@@ -251,7 +251,7 @@
 		}
 		synctest.Wait()
 		res := r.Generate(context.Background(), testRequest("late", 1, time.Second), &textSink{})
-		require.Equal(t, CodeDeadline, res.Code)
+		require.Equal(t, CodeDeadlinePassed, res.Code)
 		require.Equal(t, execution.NotRun, res.Execution)
 		require.Empty(t, engines.stepsOf("late"))
 		close(release)
@@ -276,7 +276,7 @@
 		}
 		wg.Wait()
 		for _, code := range codes {
-			require.Equal(t, CodeDeadline, code)
+			require.Equal(t, CodeDeadlinePassed, code)
 		}
 	})
 }
@@ -480,7 +480,7 @@
 			rt.Fatal(wrong)
 		}
 	})
-	for _, code := range []Code{"", CodeDeadline, CodeCancelled, CodeAttempts} {
+	for _, code := range []Code{"", CodeDeadlinePassed, CodeCancelled, CodeAttemptsExhausted} {
 		require.Positive(t, seen[code], "no request ended with code %q", code)
 	}
 }
--- a/node/router/run.go
+++ b/node/router/run.go
@@ -115,8 +115,8 @@
 	case attempt.Release:
 		x.release(e)
 	case attempt.Discard:
-		x.result.Dropped++
-		x.router.metrics.Dropped(e.Reason)
+		x.result.DiscardedResponses++
+		x.router.metrics.ResponseDiscarded(e.Reason)
 	case attempt.Finish:
 		x.finish(e.Outcome)
 	}
--- a/node/router/service.go
+++ b/node/router/service.go
@@ -48,7 +48,7 @@
 // service did not respond.
 type ServiceResult struct {
 	Result
-	Answer *service.Answer
+	Response *service.Response
 	// Replayed is true if the response was recorded by an earlier call with the same
 	// key.
 	Replayed bool
@@ -117,13 +117,13 @@
 		}
 		var id string
 		res, id = r.callReplica(ctx, pool, req, exclude, true)
-		if res.Answer != nil || id == "" || ctx.Err() != nil {
+		if res.Response != nil || id == "" || ctx.Err() != nil {
 			break
 		}
 		worst = max(worst, res.Execution)
 		exclude[id] = true
 	}
-	if res.Answer == nil {
+	if res.Response == nil {
 		res.Execution = max(worst, res.Execution)
 	}
 	return res
@@ -135,7 +135,7 @@
 	exclude := map[string]bool{}
 	for {
 		res, id := r.callReplica(ctx, pool, req, exclude, false)
-		if res.Answer != nil || id == "" || ctx.Err() != nil || res.Execution != execution.NotRun {
+		if res.Response != nil || id == "" || ctx.Err() != nil || res.Execution != execution.NotRun {
 			return res
 		}
 		exclude[id] = true
@@ -164,7 +164,7 @@
 	}
 	pool.observe(c.replica, health.Progress{Connection: c.number})
 	r.poison.recordCompletion(req.fingerprint())
-	res := ServiceResult{Answer: response}
+	res := ServiceResult{Response: response}
 	res.Complete = true
 	res.Execution = execution.Ran
 	res.Attempts = len(exclude) + 1
@@ -174,7 +174,7 @@
 // sendCall sends a call and reports a missing response or a broken connection to the
 // pool. An idempotent call ends as soon as the replica is found unresponsive; any
 // other call waits for its response until the deadline, because it cannot be repeated.
-func (r *Router) sendCall(ctx context.Context, pool *servicePool, c serviceCall, f poison.Fingerprint, call service.Call) (*service.Answer, error) {
+func (r *Router) sendCall(ctx context.Context, pool *servicePool, c serviceCall, f poison.Fingerprint, call service.Call) (*service.Response, error) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if call.Idempotent {
@@ -211,7 +211,7 @@
 
 func contextCode(ctx context.Context) Code {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return CodeDeadline
+		return CodeDeadlinePassed
 	}
 	return CodeCancelled
 }
--- a/node/router/servicereplica.go
+++ b/node/router/servicereplica.go
@@ -129,7 +129,7 @@
 
 // isLeavingRefusal reports whether the replica refused the call because it is leaving.
 // Such a call was not executed.
-func isLeavingRefusal(a *service.Answer) bool {
+func isLeavingRefusal(a *service.Response) bool {
 	if a.Status != http.StatusServiceUnavailable {
 		return false
 	}
--- a/node/router/setup_test.go
+++ b/node/router/setup_test.go
@@ -25,12 +25,12 @@
 	ejected []string
 }
 
-func (*upstreamEvents) Dropped(attempt.DiscardReason)               {}
+func (*upstreamEvents) ResponseDiscarded(attempt.DiscardReason)     {}
 func (*upstreamEvents) TokenGap(string, config.Rank, time.Duration) {}
 func (*upstreamEvents) Finished(*Result)                            {}
 func (*upstreamEvents) ConnectionReplaced(string)                   {}
 func (e *upstreamEvents) Ejected(id string)                         { e.add(&e.ejected, id) }
-func (e *upstreamEvents) Leaving(id string)                         { e.add(&e.leaving, id) }
+func (e *upstreamEvents) UpstreamLeaving(id string)                 { e.add(&e.leaving, id) }
 func (e *upstreamEvents) add(list *[]string, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,7 +42,7 @@
 
 func (stubEngines) Probe(context.Context, engine.Target) error { return nil }
 func (stubEngines) ReplaceConnections(engine.Target)           {}
-func (stubEngines) Forget(engine.Target)                       {}
+func (stubEngines) Release(engine.Target)                      {}
 
 func plainConfig() *config.Config {
 	return &config.Config{
--- a/node/service/service.go
+++ b/node/service/service.go
@@ -33,8 +33,8 @@
 	Idempotent bool
 }
 
-// Answer is the response of a service.
-type Answer struct {
+// Response is the response of a service.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -82,7 +82,7 @@
 }
 
 // Do sends the call to the service at address (host:port). Errors are of type *Error.
-func (c *Client) Do(ctx context.Context, address string, call Call) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, call Call) (*Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, newError(err, true)
 	}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
 // Close closes the idle connections.
