--- a/cmd/internal/entry/entry.go
+++ b/cmd/internal/entry/entry.go
@@ -149,37 +149,37 @@
 		Metrics: i.metrics,
 		Zone:    s.Zone,
 		// Most of the memory is for requests that are queued or streaming.
-		AnswerBytes: int64(float64(s.MemoryMB) * responseMemoryFraction * bytesPerMB),
+		ResponseBytes: int64(float64(s.MemoryMB) * responseMemoryFraction * bytesPerMB),
 
 		Retries: retryBound(s),
-		OnSilent: func(replica string) {
+		OnUnresponsive: func(replica string) {
 			i.mesh.ReportUnresponsive(replica)
-			i.control.Suspect(replica)
+			i.control.ExcludeUnresponsive(replica)
 		},
 		OnLeaving:  func(p roster.Process) { i.control.ReplicaLeaves(p) },
 		OnRejected: func(replica string, count int) { i.mesh.ReportRejection(replica, count) },
 		OnEvidence: func(news poison.Evidence, recurring []poison.Crash) {
 			i.mesh.PublishEvidence(news)
-			i.control.KeepEvidence(recurring)
+			i.control.StoreEvidence(recurring)
 		},
 	})
 	i.control = control.New(control.Options{
-		Configs:    platform.ConfigSource{Store: i.store},
-		Replicas:   platform.ReplicaSource{Store: i.store},
-		Group:      platform.Group{Store: i.store, Member: i.member},
-		Orders:     i.replicas,
-		Evidence:   platform.EvidenceStore{Store: i.store},
-		FirstStart: s.FirstStart,
-		Gateway:    i.gateway,
-		Logger:     i.log,
-		LeastTTL:   s.Store.LeastMembership,
-		OnMembers:  i.setMembers,
-		OnLeaving:  func(p roster.Process) { i.mesh.ReportLeaving(p) },
-		OnRemoved:  func(replica string) { i.mesh.ReportRemoved(replica) },
-		OnConfig:   func(version int64, content []byte) { i.mesh.SetConfig(version, content) },
-		OnUpdates:  func(u roster.Updates) { i.mesh.ForwardUpdates(u) },
-		Peers:      func() int { return i.mesh.Peers() },
-		Reads:      func() bool { return i.mesh.IsConfigReader() },
+		Configs:            platform.ConfigSource{Store: i.store},
+		Replicas:           platform.ReplicaSource{Store: i.store},
+		Group:              platform.Group{Store: i.store, Member: i.member},
+		ReplicaControl:     i.replicas,
+		Evidence:           platform.EvidenceStore{Store: i.store},
+		FirstStart:         s.FirstStart,
+		Gateway:            i.gateway,
+		Logger:             i.log,
+		MinTTL:             s.Store.LeastMembership,
+		OnMembers:          i.setMembers,
+		OnLeaving:          func(p roster.Process) { i.mesh.ReportLeaving(p) },
+		OnRemoved:          func(replica string) { i.mesh.ReportRemoved(replica) },
+		OnConfig:           func(version int64, content []byte) { i.mesh.SetConfig(version, content) },
+		OnUpdates:          func(u roster.Updates) { i.mesh.ForwardUpdates(u) },
+		Peers:              func() int { return i.mesh.Peers() },
+		IsDesignatedReader: func() bool { return i.mesh.IsConfigReader() },
 	})
 	var err error
 	i.mesh, err = mesh.Start(mesh.Options{
@@ -188,15 +188,15 @@
 		Listen:             net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)),
 		Cluster:            s.Store.Address,
 		Gateway:            i.gateway,
-		OnLeaving:          func(p roster.Process) { i.control.Leaving(p) },
-		OnRemoved:          func(replica string) { i.control.Removed(replica) },
-		StoreUnavailable:   func() bool { return i.control.StoreAway() },
+		OnLeaving:          func(p roster.Process) { i.control.ApplyPeerLeaving(p) },
+		OnRemoved:          func(replica string) { i.control.ApplyPeerRemoval(replica) },
+		StoreUnavailable:   func() bool { return i.control.StoreUnavailable() },
 		Departed:           func() []roster.Process { return i.control.Departed() },
-		OnUnresponsive:     func(replica string) { i.control.Suspect(replica) },
-		OnConfig:           func(content []byte) { i.control.TakeConfig(content) },
-		OnUpdates:          func(u roster.Updates) { i.control.TakeUpdates(u) },
-		LeaderGeneration:   func() int64 { return i.control.DutyGeneration() },
-		OnLeaderGeneration: func(generation int64) { i.control.OtherDuty(generation) },
+		OnUnresponsive:     func(replica string) { i.control.ExcludeUnresponsive(replica) },
+		OnConfig:           func(content []byte) { i.control.ApplyConfig(content) },
+		OnUpdates:          func(u roster.Updates) { i.control.ApplyUpdates(u) },
+		LeaderGeneration:   func() int64 { return i.control.LeaderGeneration() },
+		OnLeaderGeneration: func(generation int64) { i.control.OtherLeader(generation) },
 		Logger:             i.log,
 	})
 	if err != nil {
@@ -216,7 +216,7 @@
 	i.group.Go(func() error { i.gateway.Run(ctx); return nil })
 	i.group.Go(func() error { i.watchSettings(ctx); return nil })
 	i.group.Go(func() error { i.mesh.Run(ctx); return nil })
-	i.group.Go(func() error { i.gateway.Survey(ctx, i.control.Duty, i.mesh.Standby, i.mesh.SendStates); return nil })
+	i.group.Go(func() error { i.gateway.Survey(ctx, i.control.IsLeader, i.mesh.Standby, i.mesh.SendStates); return nil })
 	i.log.Info("started", zap.String("version", o.Version), zap.String("zone", s.Zone), zap.String("callers", s.CallersAddress),
 		zap.String("ready", s.ReadyAddress), zap.String("store", s.Store.Address), zap.Int("metrics_port", o.MetricsPort))
 	return i, nil
@@ -340,7 +340,7 @@
 	end := start.Add(s.Bounds.Shutdown - stopMargin)
 	i.log.Info("stopping", zap.Int("in_flight", i.metrics.InFlight()), zap.Duration("within", s.Bounds.Shutdown))
 	i.leaving.Store(true)
-	i.control.Retire()
+	i.control.ReleaseLeadership()
 	i.clientServer.Drain()
 	notice := start.Add(i.opts.DrainNotice)
 	i.gateway.Drain(notice)
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -207,7 +207,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	r.Status, r.Complete = resp.StatusCode, err == nil
-	response := platform.Codec{}.Answer(resp.StatusCode, resp.Header)
+	response := platform.Codec{}.Response(resp.StatusCode, resp.Header)
 	r.Replica = strings.TrimPrefix(platformtest.Signature(resp.Header), "signed by ")
 	if response.Leaving {
 		now := time.Now()
--- a/node/app/log.go
+++ b/node/app/log.go
@@ -30,12 +30,12 @@
 	a.platformLog = &logstream.HTTP{Base: p.Log}
 	a.configLog = &lagTracker{Log: a.platformLog}
 	a.follower = follower.New(follower.Options{
-		Log:               a.configLog,
-		Appender:          a.newAppender(p.ConfigStream),
-		Stream:            p.ConfigStream,
-		HoldsSnapshotDuty: a.leadsSnapshots,
-		SnapshotEvery:     p.LogRetention / snapshotsPerRetention,
-		Logger:            a.logger,
+		Log:              a.configLog,
+		Appender:         a.newAppender(p.ConfigStream),
+		Stream:           p.ConfigStream,
+		IsSnapshotLeader: a.leadsSnapshots,
+		SnapshotEvery:    p.LogRetention / snapshotsPerRetention,
+		Logger:           a.logger,
 	})
 	a.leaderTasks = duty.New(duty.Options{
 		Log:      a.platformLog,
@@ -45,7 +45,7 @@
 		Terms:    duty.DefaultTerms(),
 		Logger:   a.logger,
 	})
-	a.leaderTasks.Want(duty.Snapshots, true)
+	a.leaderTasks.Want(duty.SnapshotTask, true)
 	var err error
 	a.orders, err = orders.New(orders.Options{
 		Log:      a.platformLog,
@@ -93,7 +93,7 @@
 // leadsSnapshots reports whether this instance is the leader that writes
 // configuration snapshots.
 func (a *App) leadsSnapshots() bool {
-	_, ok := a.leaderTasks.Valid(duty.Snapshots)
+	_, ok := a.leaderTasks.Valid(duty.SnapshotTask)
 	return ok
 }
 
--- a/node/app/peers.go
+++ b/node/app/peers.go
@@ -230,7 +230,7 @@
 		h.app.logger.Warn("failed to decode configuration state of a peer", zap.String("peer", from), zap.Error(err))
 		return
 	}
-	if h.app.follower != nil && h.app.follower.Offer(*r.Snapshot) {
+	if h.app.follower != nil && h.app.follower.MergePeerState(*r.Snapshot) {
 		h.app.logger.Info("configuration accepted from a peer", zap.String("peer", from), zap.Uint64("revision", r.Snapshot.Revision))
 	}
 }
--- a/node/control/control.go
+++ b/node/control/control.go
@@ -85,18 +85,18 @@
 
 // Options configures a Control.
 type Options struct {
-	Configs  ConfigSource
-	Replicas ReplicaSource
-	Group    Group
-	Orders   gateway.ReplicaControl
-	Gateway  *gateway.Gateway
+	Configs        ConfigSource
+	Replicas       ReplicaSource
+	Group          Group
+	ReplicaControl gateway.ReplicaControl
+	Gateway        *gateway.Gateway
 	// Evidence, if set, stores evidence about requests that crash replicas.
 	Evidence EvidenceStore
 	// FirstStart is true if the whole system starts for the first time.
 	FirstStart bool
 	Logger     *zap.Logger
-	// LeastTTL is the shortest time to live that the group accepts.
-	LeastTTL time.Duration
+	// MinTTL is the shortest time to live that the group accepts.
+	MinTTL time.Duration
 	// OnMembers, if set, is called with the names of all members.
 	OnMembers func([]string)
 	// OnLeaving, if set, is called with a replica process that begins to shut down,
@@ -110,9 +110,9 @@
 	OnUpdates func(roster.Updates)
 	// Peers, if set, returns the number of instances that this one is connected to.
 	Peers func() int
-	// Reads, if set, reports whether this instance is a designated reader, which follows
+	// IsDesignatedReader, if set, reports whether this instance is a designated reader, which follows
 	// the configuration in the store for all; others receive it from their peers.
-	Reads func() bool
+	IsDesignatedReader func() bool
 }
 
 // Control connects one instance to the platform's store. It is safe for concurrent use.
@@ -193,7 +193,7 @@
 }
 
 // ttl is how long the group keeps this instance after a join.
-func (c *Control) ttl() time.Duration { return max(memberTTL, c.opts.LeastTTL) }
+func (c *Control) ttl() time.Duration { return max(memberTTL, c.opts.MinTTL) }
 
 // Ready reports whether the configuration and the replicas are known.
 func (c *Control) Ready() bool { return c.configLoaded.Load() && c.replicasLoaded.Load() }
@@ -270,7 +270,7 @@
 }
 
 // reportMalformed logs each unreadable record once per error.
-func (c *Control) reportMalformed(list []*Malformed) {
+func (c *Control) reportMalformed(list []*MalformedError) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range list {
@@ -312,7 +312,7 @@
 	c.opts.Gateway.SetReplicas(c.roster.Available)
 	c.configLoaded.Store(true)
 	if c.Ready() {
-		c.opts.Gateway.Open()
+		c.opts.Gateway.MarkReady()
 	}
 	return true
 }
@@ -325,8 +325,8 @@
 	}
 }
 
-// Leaving records another instance's report that a replica process shuts down.
-func (c *Control) Leaving(p roster.Process) { c.markLeaving(p, "another instance") }
+// ApplyPeerLeaving records another instance's report that a replica process shuts down.
+func (c *Control) ApplyPeerLeaving(p roster.Process) { c.markLeaving(p, "another instance") }
 
 // markLeaving permanently keeps new work away from a process, and reports whether that is
 // new.
@@ -344,10 +344,10 @@
 	return isNew
 }
 
-// Removed records another instance's report that the entry of a replica was removed. It is
+// ApplyPeerRemoval records another instance's report that the entry of a replica was removed. It is
 // ignored unless this instance waits for entries to return during or after an outage of
 // the store; the other instance has had access to the store all along.
-func (c *Control) Removed(id string) {
+func (c *Control) ApplyPeerRemoval(id string) {
 	c.mu.Lock()
 	marked := c.roster.InGrace(time.Now()) && c.roster.MarkRemoved(id)
 	if marked {
@@ -357,8 +357,8 @@
 	c.updateGateway(marked)
 }
 
-// StoreAway reports whether the store is unavailable.
-func (c *Control) StoreAway() bool {
+// StoreUnavailable reports whether the store is unavailable.
+func (c *Control) StoreUnavailable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.store.unavailable
--- a/node/control/control_test.go
+++ b/node/control/control_test.go
@@ -68,7 +68,7 @@
 }
 
 // Next returns when the wait is over, so that each version is missed by one poll.
-func (c configs) Next(ctx context.Context, cursor int64, wait time.Duration) ([]*Published, []*Malformed, int64, error) {
+func (c configs) Next(ctx context.Context, cursor int64, wait time.Duration) ([]*Published, []*MalformedError, int64, error) {
 	c.set(func() { c.polls++ })
 	sleep(ctx, wait)
 	c.mu.Lock()
@@ -80,7 +80,7 @@
 func (c configs) Decode(content []byte) (*Published, error) {
 	version, err := strconv.ParseInt(string(content), 10, 64)
 	if err != nil {
-		return nil, &Malformed{Key: "config", Err: err}
+		return nil, &MalformedError{Key: "config", Err: err}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,13 +91,13 @@
 
 type replicas struct{ *fakePlatform }
 
-func (r replicas) Newest(context.Context) ([]roster.Entry, []*Malformed, int64, error) {
+func (r replicas) Newest(context.Context) ([]roster.Entry, []*MalformedError, int64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.entries, nil, 0, r.check()
 }
 
-func (r replicas) Next(_ context.Context, cursor int64) (roster.Updates, []*Malformed, error) {
+func (r replicas) Next(_ context.Context, cursor int64) (roster.Updates, []*MalformedError, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reads++
@@ -110,7 +110,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.joinGenerations = append(w.joinGenerations, generation)
-	return Membership{Generation: w.generation, Duty: w.leader}, w.check()
+	return Membership{Generation: w.generation, Leader: w.leader}, w.check()
 }
 
 func (w *fakePlatform) Members(context.Context) ([]string, error) {
@@ -128,7 +128,7 @@
 	return gateway.Report{}, errUnavailable
 }
 
-func (w *fakePlatform) Place(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.OrderResult, error) {
+func (w *fakePlatform) AssignLayers(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.OrderResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.tokensUsed = append(w.tokensUsed, fence)
@@ -160,7 +160,7 @@
 func runWith(t *testing.T, w *fakePlatform, o Options, f func(c *Control, g *gateway.Gateway)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gateway.New(gateway.Options{Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: gateway.NewMetrics(), Control: w})
-		o.Configs, o.Replicas, o.Group, o.Orders, o.Gateway, o.Logger = configs{w}, replicas{w}, w, w, g, zap.NewNop()
+		o.Configs, o.Replicas, o.Group, o.ReplicaControl, o.Gateway, o.Logger = configs{w}, replicas{w}, w, w, g, zap.NewNop()
 		c := New(o)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
--- a/node/control/duty.go
+++ b/node/control/duty.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Retire releases the leader task to another instance. Everything else continues until Run
+// ReleaseLeadership releases the leader task to another instance. Everything else continues until Run
 // ends.
-func (c *Control) Retire() {
+func (c *Control) ReleaseLeadership() {
 	if c.retired.CompareAndSwap(false, true) {
 		close(c.retireSignal)
 	}
@@ -151,8 +151,8 @@
 func (c *Control) setLeadership(sent time.Time, m Membership) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m.Duty != c.leadership.Duty {
-		c.log.Info("leader task of assigning layers changed", zap.Bool("held", m.Duty), zap.Int64("generation", m.Generation))
+	if m.Leader != c.leadership.Leader {
+		c.log.Info("leader task of assigning layers changed", zap.Bool("held", m.Leader), zap.Int64("generation", m.Generation))
 		clear(c.pending)
 	}
 	c.leadership.Membership = m
@@ -194,35 +194,35 @@
 	if c.store.unavailable {
 		until = until.Add(outageLeadership)
 	}
-	if !c.leadership.Duty || !now.Before(until) || c.leadership.Generation <= c.leadership.rejectedToken {
+	if !c.leadership.Leader || !now.Before(until) || c.leadership.Generation <= c.leadership.rejectedToken {
 		return 0, false
 	}
 	return c.leadership.Generation, true
 }
 
-// OtherDuty records a peer's report that it is the leader. A later generation than this
+// OtherLeader records a peer's report that it is the leader. A later generation than this
 // instance's ends its own leadership.
-func (c *Control) OtherDuty(generation int64) {
+func (c *Control) OtherLeader(generation int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leadership.Duty && generation > c.leadership.Generation {
+	if c.leadership.Leader && generation > c.leadership.Generation {
 		c.log.Info("another instance is the leader", zap.Int64("generation", generation), zap.Int64("own", c.leadership.Generation))
-		c.leadership.Duty = false
+		c.leadership.Leader = false
 	}
 }
 
-// DutyGeneration returns the generation under which this instance may assign layers, or 0.
-func (c *Control) DutyGeneration() int64 {
+// LeaderGeneration returns the generation under which this instance may assign layers, or 0.
+func (c *Control) LeaderGeneration() int64 {
 	token, _ := c.fencingToken(time.Now())
 	return token
 }
 
-// Duty reports whether this instance was the leader in the last response of the group,
+// IsLeader reports whether this instance was the leader in the last response of the group,
 // which may have expired.
-func (c *Control) Duty() bool {
+func (c *Control) IsLeader() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leadership.Duty
+	return c.leadership.Leader
 }
 
 // assignment is a layer assignment in progress.
@@ -269,8 +269,8 @@
 	}
 }
 
-// Suspect leaves an unresponsive replica out of the layout before its entry expires.
-func (c *Control) Suspect(id string) {
+// ExcludeUnresponsive leaves an unresponsive replica out of the layout before its entry expires.
+func (c *Control) ExcludeUnresponsive(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, _, ok := c.roster.Get(id)
--- a/node/control/evidence.go
+++ b/node/control/evidence.go
@@ -38,13 +38,13 @@
 	Next(ctx context.Context, cursor int64, wait time.Duration) ([]poison.Crash, int64, error)
 	// Add writes crashes. Writing one again has no effect.
 	Add(ctx context.Context, crashes []poison.Crash) error
-	// Drop deletes crashes.
-	Drop(ctx context.Context, crashes []poison.Crash) error
+	// Delete deletes crashes.
+	Delete(ctx context.Context, crashes []poison.Crash) error
 }
 
-// KeepEvidence queues crashes to be written to the store, so that they survive when all
+// StoreEvidence queues crashes to be written to the store, so that they survive when all
 // instances end.
-func (c *Control) KeepEvidence(crashes []poison.Crash) {
+func (c *Control) StoreEvidence(crashes []poison.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unwritten = append(c.unwritten, crashes...)
@@ -66,7 +66,7 @@
 			continue
 		}
 		if err := c.opts.Evidence.Add(ctx, crashes); err != nil {
-			c.KeepEvidence(crashes)
+			c.StoreEvidence(crashes)
 			c.storeFailed(ctx, "evidence", err)
 			continue
 		}
@@ -88,7 +88,7 @@
 		}
 		list, next, err := c.fetchEvidence(ctx, cursor)
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryTruncated):
 			cursor = -1
 			continue
 		case err != nil:
@@ -99,7 +99,7 @@
 		c.storeResponded("evidence")
 		if len(list) > 0 {
 			c.log.Info("evidence read", zap.Int("crashes", len(list)))
-			c.opts.Gateway.LearnEvidence(poison.Evidence{Crashes: list})
+			c.opts.Gateway.MergeEvidence(poison.Evidence{Crashes: list})
 		}
 	}
 	return nil
@@ -129,7 +129,7 @@
 		return nil
 	}
 	c.log.Info("expired evidence deleted from the store", zap.Int("crashes", len(expired)))
-	return c.opts.Evidence.Drop(ctx, expired)
+	return c.opts.Evidence.Delete(ctx, expired)
 }
 
 // connected reports whether enough other instances are connected.
--- a/node/control/follow.go
+++ b/node/control/follow.go
@@ -23,7 +23,7 @@
 			cursor, err = c.nextConfig(ctx, cursor)
 		}
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryTruncated):
 			c.log.Info("history of the configuration was truncated, reading the newest version")
 			cursor = -1
 		case err != nil:
@@ -38,9 +38,9 @@
 // readConfig reads the newest configuration and returns the cursor after it.
 func (c *Control) readConfig(ctx context.Context) (int64, error) {
 	p, cursor, err := c.opts.Configs.Newest(ctx)
-	var m *Malformed
+	var m *MalformedError
 	if errors.As(err, &m) {
-		c.reportMalformed([]*Malformed{m})
+		c.reportMalformed([]*MalformedError{m})
 		return cursor, nil
 	}
 	if err != nil {
@@ -55,7 +55,7 @@
 // nextConfig waits for new configurations. The wait is cancelled when the store is
 // available again after an outage, because the call may have been lost in it.
 func (c *Control) nextConfig(ctx context.Context, cursor int64) (int64, error) {
-	if c.opts.Reads != nil {
+	if c.opts.IsDesignatedReader != nil {
 		c.awaitReaderRole(ctx)
 	}
 	pollCtx, cancel := context.WithCancel(ctx)
@@ -81,7 +81,7 @@
 // maxConfigReadInterval.
 func (c *Control) awaitReaderRole(ctx context.Context) {
 	end := time.Now().Add(time.Duration((1 + rand.Float64()) / 2 * float64(maxConfigReadInterval)))
-	for ctx.Err() == nil && !c.opts.Reads() && time.Now().Before(end) {
+	for ctx.Err() == nil && !c.opts.IsDesignatedReader() && time.Now().Before(end) {
 		sleep(ctx, readerCheckInterval)
 	}
 }
@@ -103,8 +103,8 @@
 	return configPollWaitWithoutPeers
 }
 
-// TakeConfig applies a configuration that another instance has in force.
-func (c *Control) TakeConfig(content []byte) {
+// ApplyConfig applies a configuration that another instance has in force.
+func (c *Control) ApplyConfig(content []byte) {
 	p, err := c.opts.Configs.Decode(content)
 	if err != nil {
 		c.log.Warn("configuration of another instance could not be decoded", zap.Error(err))
@@ -123,7 +123,7 @@
 		}
 		err := c.readReplicas(ctx)
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryTruncated):
 			c.log.Info("history of the replicas was truncated, reading all entries")
 			c.mu.Lock()
 			c.feed.Invalidate()
@@ -158,7 +158,7 @@
 func (c *Control) relayedReadDue(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leadership.Duty {
+	if c.leadership.Leader {
 		return 0
 	}
 	return c.feed.ReadDelay(now, relayedReadTimeout+c.readDelay)
@@ -172,7 +172,7 @@
 	switch {
 	case len(c.pending) > 0:
 		return pendingReadInterval
-	case c.leadership.Duty:
+	case c.leadership.Leader:
 		return leaderReadInterval
 	case c.inFirstStart():
 		return firstStartInterval
@@ -204,7 +204,7 @@
 	c.replicasLoaded.Store(true)
 	c.updateGateway(len(changes) > 0)
 	if c.Ready() {
-		c.opts.Gateway.Open()
+		c.opts.Gateway.MarkReady()
 	}
 	return nil
 }
@@ -259,8 +259,8 @@
 	return changed
 }
 
-// TakeUpdates applies updates that the leader has read.
-func (c *Control) TakeUpdates(u roster.Updates) {
+// ApplyUpdates applies updates that the leader has read.
+func (c *Control) ApplyUpdates(u roster.Updates) {
 	c.mu.Lock()
 	changed := c.update(c.feed.ApplyForwarded(time.Now(), u))
 	c.readDelay = c.randomReadDelay()
--- a/node/control/follow_test.go
+++ b/node/control/follow_test.go
@@ -58,10 +58,10 @@
 	}
 	runWith(t, w, o, func(c *Control, g *gateway.Gateway) {
 		time.Sleep(100 * time.Millisecond)
-		c.TakeConfig([]byte("5"))
+		c.ApplyConfig([]byte("5"))
 		require.Equal(t, int64(5), g.Table().Version())
-		c.TakeConfig([]byte("4"))
-		c.TakeConfig([]byte("unreadable"))
+		c.ApplyConfig([]byte("4"))
+		c.ApplyConfig([]byte("unreadable"))
 		require.Equal(t, int64(5), g.Table().Version(), "an older version changes nothing")
 		require.Equal(t, []int64{3, 5}, published)
 	})
@@ -137,11 +137,11 @@
 		time.Sleep(2 * time.Second)
 		w.set(func() { w.reads = 0 })
 		for range 10 {
-			c.TakeUpdates(roster.Updates{})
+			c.ApplyUpdates(roster.Updates{})
 			time.Sleep(leaderReadInterval)
 		}
 		w.set(func() { require.LessOrEqual(t, w.reads, 1, "the read that was due when the leader began") })
-		c.TakeUpdates(roster.Updates{To: 1, List: []roster.Update{entryAt(0, 2, roster.Draining)}})
+		c.ApplyUpdates(roster.Updates{To: 1, List: []roster.Update{entryAt(0, 2, roster.Draining)}})
 		require.True(t, c.isLeaving("r"))
 		w.set(func() {
 			w.reads = 0
@@ -183,12 +183,12 @@
 		for i := range all {
 			gw := gateway.New(gateway.Options{Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: gateway.NewMetrics(), Control: w})
 			all[i] = New(Options{
-				Configs: configs{w}, Replicas: replicas{w}, Group: w, Orders: w, Gateway: gw, Logger: zap.NewNop(),
+				Configs: configs{w}, Replicas: replicas{w}, Group: w, ReplicaControl: w, Gateway: gw, Logger: zap.NewNop(),
 				Peers: func() int { return instances - 1 },
 				OnUpdates: func(u roster.Updates) {
 					for k, other := range all {
 						if k != i {
-							other.TakeUpdates(u)
+							other.ApplyUpdates(u)
 						}
 					}
 				},
@@ -214,7 +214,7 @@
 func TestDesignatedReadersPollConfiguration(t *testing.T) {
 	w := newFakePlatform()
 	var turn atomic.Bool
-	runWith(t, w, Options{Peers: func() int { return 94 }, Reads: turn.Load}, func(*Control, *gateway.Gateway) {
+	runWith(t, w, Options{Peers: func() int { return 94 }, IsDesignatedReader: turn.Load}, func(*Control, *gateway.Gateway) {
 		time.Sleep(20 * time.Second)
 		w.set(func() { require.Zero(t, w.polls) })
 		turn.Store(true)
@@ -238,9 +238,9 @@
 		time.Sleep(3 * time.Second)
 		w.set(func() { w.unavailable = false })
 		time.Sleep(time.Second)
-		c.TakeUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
+		c.ApplyUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
 		require.False(t, c.isLeaving("r"), "it may come back")
-		c.Removed("r")
+		c.ApplyPeerRemoval("r")
 		require.True(t, c.isLeaving("r"))
 	})
 }
@@ -256,9 +256,9 @@
 		time.Sleep(3 * time.Second)
 		w.set(func() { w.unavailable = false })
 		back := time.Now()
-		c.TakeUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
+		c.ApplyUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
 		for time.Since(back) < 2900*time.Millisecond {
-			c.TakeUpdates(roster.Updates{From: 1, To: 1})
+			c.ApplyUpdates(roster.Updates{From: 1, To: 1})
 			time.Sleep(leaderReadInterval / 4)
 		}
 		require.False(t, c.isListed("r"), "2.5 s after the store returns, plus a join and a check")
--- a/node/control/orders.go
+++ b/node/control/orders.go
@@ -28,7 +28,7 @@
 
 // sendAssignment sends one assignment and sets when it may be repeated.
 func (c *Control) sendAssignment(ctx context.Context, m *pipeline.Model, e roster.Entry, o layout.Assignment, concurrent int, token int64) {
-	res, err := c.opts.Orders.Place(ctx, gateway.Replica{ID: e.ID, Address: e.Address}, o.From, o.To, token)
+	res, err := c.opts.ReplicaControl.AssignLayers(ctx, gateway.Replica{ID: e.ID, Address: e.Address}, o.From, o.To, token)
 	c.log.Info("layers assigned", zap.String("replica", o.ID), zap.String("kind", e.Kind), zap.String("zone", e.Zone),
 		zap.Int("from", o.From), zap.Int("to", o.To), zap.String("why", o.Reason), zap.Int64("fence", token),
 		zap.Int64("heartbeat", e.Sequence), zap.Stringer("result", res.Status), zap.Duration("pause", res.Pause), zap.Error(err))
@@ -42,7 +42,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch res.Status {
-	case gateway.OrderTaken:
+	case gateway.OrderAccepted:
 		p := c.pending[o.ID]
 		p.until = time.Now().Add(loadTime(m, o.To-o.From, concurrent))
 		c.pending[o.ID] = p
--- a/node/control/port.go
+++ b/node/control/port.go
@@ -12,9 +12,9 @@
 	"masticbank.example/core/routing"
 )
 
-// ErrHistoryGone means that the changes since the cursor are no longer stored and the
+// ErrHistoryTruncated means that the changes since the cursor are no longer stored and the
 // whole state has to be read.
-var ErrHistoryGone = errors.New("history since the cursor is no longer available")
+var ErrHistoryTruncated = errors.New("history since the cursor is no longer available")
 
 // Published is a configuration that the operator published.
 type Published struct {
@@ -30,31 +30,31 @@
 	Newest(ctx context.Context) (*Published, int64, error)
 	// Next waits up to wait for configurations after the cursor. Malformed ones are
 	// returned beside the valid ones.
-	Next(ctx context.Context, cursor int64, wait time.Duration) ([]*Published, []*Malformed, int64, error)
+	Next(ctx context.Context, cursor int64, wait time.Duration) ([]*Published, []*MalformedError, int64, error)
 	// Decode decodes a configuration that another instance relayed. The error has the type
 	// *Malformed.
 	Decode(content []byte) (*Published, error)
 }
 
-// Malformed is the error for a record that cannot be decoded.
-type Malformed struct {
+// MalformedError is the error for a record that cannot be decoded.
+type MalformedError struct {
 	Key string
 	Err error
 }
 
 // Error returns the key and the cause.
-func (m *Malformed) Error() string { return m.Key + ": " + m.Err.Error() }
+func (m *MalformedError) Error() string { return m.Key + ": " + m.Err.Error() }
 
 // Unwrap returns the cause.
-func (m *Malformed) Unwrap() error { return m.Err }
+func (m *MalformedError) Unwrap() error { return m.Err }
 
 // ReplicaSource reads the replicas' entries.
 type ReplicaSource interface {
 	// Newest returns all entries and a cursor. Malformed entries are returned beside the
 	// valid ones.
-	Newest(ctx context.Context) ([]roster.Entry, []*Malformed, int64, error)
+	Newest(ctx context.Context) ([]roster.Entry, []*MalformedError, int64, error)
 	// Next returns the changes from the cursor on.
-	Next(ctx context.Context, cursor int64) (roster.Updates, []*Malformed, error)
+	Next(ctx context.Context, cursor int64) (roster.Updates, []*MalformedError, error)
 }
 
 // Membership is the group's response to a member.
@@ -62,8 +62,8 @@
 	// Generation grows with each change of the group. It is the fencing token of the
 	// leader.
 	Generation int64
-	// Duty is true if this member is the leader, which assigns layers to replicas.
-	Duty bool
+	// Leader is true if this member is the leader, which assigns layers to replicas.
+	Leader bool
 }
 
 // Group is the group of all entry instances, kept by the store.
--- a/node/duty/duty.go
+++ b/node/duty/duty.go
@@ -18,8 +18,8 @@
 	"masticbank.example/node/logstream"
 )
 
-// Snapshots is the leader task of writing configuration snapshots.
-const Snapshots = "snapshots"
+// SnapshotTask is the leader task of writing configuration snapshots.
+const SnapshotTask = "snapshots"
 
 const (
 	defaultTTL           = 10 * time.Second
--- a/node/follower/follower.go
+++ b/node/follower/follower.go
@@ -38,9 +38,9 @@
 	// Decode parses and validates the content of a proposal. Its result must depend on the
 	// content alone, so that all instances decide alike. nil means DecodeJSON.
 	Decode func(content []byte) (*config.Config, error)
-	// HoldsSnapshotDuty reports whether this instance should write snapshots; nil means
+	// IsSnapshotLeader reports whether this instance should write snapshots; nil means
 	// never.
-	HoldsSnapshotDuty func() bool
+	IsSnapshotLeader func() bool
 	// SnapshotEvery is the time between snapshots. It must be at most a quarter of the
 	// log's retention.
 	SnapshotEvery time.Duration
@@ -85,8 +85,8 @@
 	if opts.Decode == nil {
 		opts.Decode = DecodeJSON
 	}
-	if opts.HoldsSnapshotDuty == nil {
-		opts.HoldsSnapshotDuty = func() bool { return false }
+	if opts.IsSnapshotLeader == nil {
+		opts.IsSnapshotLeader = func() bool { return false }
 	}
 	if opts.SnapshotEvery == 0 {
 		opts.SnapshotEvery = defaultSnapshotEvery
@@ -131,9 +131,9 @@
 	return f.machine.State()
 }
 
-// Offer merges the state of a peer, which must be authenticated, and reports whether it
+// MergePeerState merges the state of a peer, which must be authenticated, and reports whether it
 // changed anything. A state whose content is not valid here is rejected.
-func (f *Follower) Offer(s record.Snapshot) bool {
+func (f *Follower) MergePeerState(s record.Snapshot) bool {
 	if _, err := f.opts.Decode(s.Content); err != nil || len(s.Winners) > revision.MaxWinners {
 		return false
 	}
--- a/node/follower/follower_test.go
+++ b/node/follower/follower_test.go
@@ -98,7 +98,7 @@
 	runInFakeTime(t, func(t *testing.T, ctx context.Context) {
 		log := &logtest.Log{}
 		old := start(ctx, log, func(o *follower.Options) {
-			o.HoldsSnapshotDuty = func() bool { return true }
+			o.IsSnapshotLeader = func() bool { return true }
 			o.SnapshotEvery = time.Minute
 		})
 		synctest.Wait()
@@ -117,9 +117,9 @@
 		require.Contains(t, reason, "log is unavailable")
 		forged := old.State()
 		forged.Content = []byte("!")
-		require.False(t, fresh.Offer(forged))
+		require.False(t, fresh.MergePeerState(forged))
 		sub := fresh.Subscribe()
-		require.True(t, fresh.Offer(old.State()))
+		require.True(t, fresh.MergePeerState(old.State()))
 		require.EqualValues(t, 1, (<-sub.C).Number)
 		sub.Close()
 		_, err = fresh.Publish(ctx, "eva", []byte("b"), 1)
--- a/node/follower/snapshot.go
+++ b/node/follower/snapshot.go
@@ -12,7 +12,7 @@
 // writeSnapshot appends the state to the log if this instance is the leader for snapshots
 // and one is due. It does not wait for the append.
 func (f *Follower) writeSnapshot(ctx context.Context) {
-	if !f.opts.HoldsSnapshotDuty() {
+	if !f.opts.IsSnapshotLeader() {
 		return
 	}
 	state, due := f.snapshotDue(time.Now())
--- a/node/gateway/crashes.go
+++ b/node/gateway/crashes.go
@@ -150,7 +150,7 @@
 // held.
 func (k *crashGuard) logCrashes(crashes []poison.Crash, evidence string) {
 	for _, c := range crashes {
-		k.metrics.Crashed()
+		k.metrics.CountCrash()
 		k.log.Info("replica ended while running a request", zap.Stringer("fingerprint", c.Fingerprint), zap.String("replica", c.Replica.Replica),
 			zap.Int64("born", c.Replica.StartTime), zap.String("sign", evidence), zap.Bool("progressed", c.Progressed),
 			zap.Uint64("attempt", c.Run.Attempt), zap.Uint32("run", c.Run.Number),
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -54,15 +54,15 @@
 	Client  *exchange.Client
 	Logger  *zap.Logger
 	Metrics *Metrics
-	// AnswerBytes limits the total memory for buffered plain responses of more than a few
+	// ResponseBytes limits the total memory for buffered plain responses of more than a few
 	// kilobytes; at least minResponseMemory.
-	AnswerBytes int64
+	ResponseBytes int64
 	// Zone is the availability zone of this instance.
 	Zone string
 	// Retries limits the retries of all instances together.
 	Retries RetryBound
-	// OnSilent, if set, is called with a replica that is unresponsive.
-	OnSilent func(replica string)
+	// OnUnresponsive, if set, is called with a replica that is unresponsive.
+	OnUnresponsive func(replica string)
 	// OnRejected, if set, is called with a replica that rejected a request although it has
 	// free capacity; count is the number of such rejections in a row.
 	OnRejected func(replica string, count int)
@@ -118,7 +118,7 @@
 		models:  map[string]*modelPool{},
 		plains:  map[string]*plainPool{},
 		budgets: map[string]*retry.Budget{},
-		memory:  bounded.NewMemory(max(o.AnswerBytes, minResponseMemory)),
+		memory:  bounded.NewMemory(max(o.ResponseBytes, minResponseMemory)),
 		crashes: newCrashGuard(o.Client, o.Metrics, o.Logger),
 		started: time.Now(),
 		ready:   make(chan struct{}),
@@ -164,8 +164,8 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := &call{Request: g.opts.Codec.Request(r.Header), http: r, writer: w, arrival: time.Now(), memory: g.memory.Hold()}
 	defer c.memory.Release()
-	g.opts.Metrics.Began()
-	defer g.opts.Metrics.Ended()
+	g.opts.Metrics.RequestStarted()
+	defer g.opts.Metrics.RequestEnded()
 	g.awaitReady(c)
 	if !g.admit(c) {
 		return
@@ -197,8 +197,8 @@
 	g.servePlain(ctx, c)
 }
 
-// Open signals that the configuration and the replicas are known.
-func (g *Gateway) Open() { g.readyOnce.Do(func() { close(g.ready) }) }
+// MarkReady signals that the configuration and the replicas are known.
+func (g *Gateway) MarkReady() { g.readyOnce.Do(func() { close(g.ready) }) }
 
 // awaitReady delays a request that arrives just after the start until routes and replicas
 // are known. Clients whose connections broke with the previous process reconnect at once,
@@ -320,7 +320,7 @@
 // logEnd logs the end of a request and updates the metrics.
 func (g *Gateway) logEnd(c *call, status int, outcome string, extra ...zap.Field) {
 	took := time.Since(c.arrival)
-	g.opts.Metrics.Done(c.workspace, c.rank, status, outcome, took)
+	g.opts.Metrics.RecordOutcome(c.workspace, c.rank, status, outcome, took)
 	fields := []zap.Field{
 		zap.String("request", c.ID),
 		zap.Int("status", status),
@@ -340,7 +340,7 @@
 }
 
 // newRequest builds the request to a replica.
-func (g *Gateway) newRequest(c *call, s Send, fresh bool) *exchange.Request {
+func (g *Gateway) newRequest(c *call, s ForwardOptions, fresh bool) *exchange.Request {
 	s.Deadline = c.remaining(time.Now())
 	s.Workspace = c.workspace
 	host := c.http.Header.Get("Host")
--- a/node/gateway/metrics.go
+++ b/node/gateway/metrics.go
@@ -51,11 +51,11 @@
 	}
 }
 
-// Began increments the number of requests in progress.
-func (m *Metrics) Began() { m.addInFlight(1) }
+// RequestStarted increments the number of requests in progress.
+func (m *Metrics) RequestStarted() { m.addInFlight(1) }
 
-// Ended decrements the number of requests in progress.
-func (m *Metrics) Ended() { m.addInFlight(-1) }
+// RequestEnded decrements the number of requests in progress.
+func (m *Metrics) RequestEnded() { m.addInFlight(-1) }
 
 func (m *Metrics) addInFlight(n int) {
 	m.mu.Lock()
@@ -70,8 +70,8 @@
 	return m.inFlight
 }
 
-// Done records the end of a request.
-func (m *Metrics) Done(workspace string, rank, status int, outcome string, took time.Duration) {
+// RecordOutcome records the end of a request.
+func (m *Metrics) RecordOutcome(workspace string, rank, status int, outcome string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.outcomes[strconv.Itoa(status)+" "+outcome]++
@@ -86,8 +86,8 @@
 	m.denied[reason]++
 }
 
-// Crashed counts a replica that ended while it ran a request.
-func (m *Metrics) Crashed() {
+// CountCrash counts a replica that ended while it ran a request.
+func (m *Metrics) CountCrash() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashes++
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -185,7 +185,7 @@
 	defer cancel()
 	path := s.grant.path()
 	first := path[0]
-	send := Send{Replica: first.ID, Rank: s.rank, Path: path}
+	send := ForwardOptions{Replica: first.ID, Rank: s.rank, Path: path}
 	if s.lastEventID >= 0 && s.headSent {
 		send.LastEvent = strconv.FormatInt(s.lastEventID, 10)
 	}
@@ -198,7 +198,7 @@
 	}
 	defer resp.Close()
 	s.g.crashes.markResponsive(first.ID)
-	info := s.g.opts.Codec.Answer(resp.Status, resp.Header)
+	info := s.g.opts.Codec.Response(resp.Status, resp.Header)
 	s.applyResponseInfo(first, info)
 	switch {
 	case info.ID != s.ID:
@@ -268,8 +268,8 @@
 
 // rejected keeps new paths away from the stage that rejected the request, and reports a
 // rejection despite free capacity to the other instances.
-func (s *stream) rejected(info Answer, first pipeline.Stage) {
-	id := s.pool.idAt(info.FailingPart)
+func (s *stream) rejected(info Response, first pipeline.Stage) {
+	id := s.pool.idAt(info.FailingStage)
 	if id == "" {
 		id = first.ID
 	}
@@ -397,7 +397,7 @@
 	}
 	s.headSent = true
 	h := s.writer.Header()
-	for k, v := range s.g.opts.Codec.ToCaller(resp.Header) {
+	for k, v := range s.g.opts.Codec.ToClient(resp.Header) {
 		h[k] = v
 	}
 	s.writer.WriteHeader(resp.Status)
--- a/node/gateway/modelpool.go
+++ b/node/gateway/modelpool.go
@@ -321,7 +321,7 @@
 
 func (r *Report) observed() pipeline.Report {
 	return pipeline.Report{
-		StepTimeRatio: r.Pace, CacheUsed: r.CacheUsed, CacheCapacity: r.CacheRoom, From: r.From, To: r.To, HasLayers: r.HasLayers,
+		StepTimeRatio: r.StepTimeRatio, CacheUsed: r.CacheUsed, CacheCapacity: r.CacheCapacity, From: r.From, To: r.To, HasLayers: r.HasLayers,
 	}
 }
 
--- a/node/gateway/pause.go
+++ b/node/gateway/pause.go
@@ -15,7 +15,7 @@
 const outcomeReplicasPaused = "replicas_paused"
 
 // reportIfLeaving reports a replica whose response says that it shuts down.
-func (g *Gateway) reportIfLeaving(r Replica, a Answer) {
+func (g *Gateway) reportIfLeaving(r Replica, a Response) {
 	if a.Leaving {
 		g.reportLeaving(r)
 	}
@@ -24,13 +24,13 @@
 // applyResponseInfo handles what a response says about the first replica of the path and about
 // the stage that rejected the request. A pause applies to both: the first replica asked
 // for it, and the stage is the reason.
-func (s *stream) applyResponseInfo(first pipeline.Stage, a Answer) {
-	s.g.reportIfLeaving(Replica{ID: first.ID, Born: first.StartTime}, a)
+func (s *stream) applyResponseInfo(first pipeline.Stage, a Response) {
+	s.g.reportIfLeaving(Replica{ID: first.ID, StartTime: first.StartTime}, a)
 	if a.Pause <= 0 {
 		return
 	}
 	s.g.logPause(s.ID, first.ID, a.Pause, s.pool.pause(first.ID, a.Pause))
-	if stage := s.pool.idAt(a.FailingPart); stage != "" && stage != first.ID {
+	if stage := s.pool.idAt(a.FailingStage); stage != "" && stage != first.ID {
 		s.g.logPause(s.ID, stage, a.Pause, s.pool.pause(stage, a.Pause))
 	}
 }
@@ -38,7 +38,7 @@
 // reportLeaving reports that a replica process accepts no new work.
 func (g *Gateway) reportLeaving(r Replica) {
 	if g.opts.OnLeaving != nil {
-		g.opts.OnLeaving(roster.Process{ID: r.ID, StartTime: r.Born})
+		g.opts.OnLeaving(roster.Process{ID: r.ID, StartTime: r.StartTime})
 	}
 }
 
--- a/node/gateway/plain.go
+++ b/node/gateway/plain.go
@@ -120,7 +120,7 @@
 	case outcome == forward.Responded && response.status < http.StatusMultipleChoices:
 		g.crashes.recordSuccess(c.fingerprint)
 	case outcome == forward.Lost && mayBeCrash(err) && !errors.Is(c.http.Context().Err(), context.Canceled) && pool.listed(replica):
-		r := g.crashes.process(poison.Process{Replica: replica.ID, StartTime: replica.Born}, sent)
+		r := g.crashes.process(poison.Process{Replica: replica.ID, StartTime: replica.StartTime}, sent)
 		g.crashes.recordLostRun(c, []poison.Process{r}, sent, false)
 		g.crashes.scheduleCheck(r, replica.Address)
 	}
@@ -135,19 +135,19 @@
 
 // lacksSignature reports whether a response claims success without the signature that every
 // replica adds when it ran the request.
-func lacksSignature(status int, a Answer) bool {
+func lacksSignature(status int, a Response) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices && !a.Signed
 }
 
 // exchangePlain sends the request, reads the response and classifies the outcome.
 func (g *Gateway) exchangePlain(ctx context.Context, c *call, replica Replica, fresh bool, pool *plainPool) (forward.Outcome, *plainResponse, error) {
-	resp, err := g.opts.Client.Do(ctx, replica.Address, g.newRequest(c, Send{Replica: replica.ID, Rank: -1}, fresh))
+	resp, err := g.opts.Client.Do(ctx, replica.Address, g.newRequest(c, ForwardOptions{Replica: replica.ID, Rank: -1}, fresh))
 	if err != nil {
 		return outcomeOf(err), nil, err
 	}
 	defer resp.Close()
 	g.crashes.markResponsive(replica.ID)
-	info := g.opts.Codec.Answer(resp.Status, resp.Header)
+	info := g.opts.Codec.Response(resp.Status, resp.Header)
 	if info.ID != c.ID {
 		resp.Discard()
 		return forward.Lost, nil, errResponseMismatch
@@ -199,7 +199,7 @@
 // deliver sends a complete response of a replica to the client.
 func (g *Gateway) deliver(c *call, a *plainResponse) {
 	h := c.writer.Header()
-	for k, v := range g.opts.Codec.ToCaller(a.header) {
+	for k, v := range g.opts.Codec.ToClient(a.header) {
 		h[k] = v
 	}
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
--- a/node/gateway/plainpool.go
+++ b/node/gateway/plainpool.go
@@ -61,7 +61,7 @@
 		if r == nil || r.Address != e.Address {
 			r = &plainReplica{}
 		}
-		r.Replica = Replica{ID: e.ID, Address: e.Address, Born: e.StartTime}
+		r.Replica = Replica{ID: e.ID, Address: e.Address, StartTime: e.StartTime}
 		r.zone, r.slots = e.Zone, e.Slots
 		next[e.ID] = r
 	}
@@ -73,7 +73,7 @@
 func (p *plainPool) pause(r Replica, d time.Duration) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pauses.Add(time.Now(), r.ID, r.Born, d, rand.Float64())
+	return p.pauses.Add(time.Now(), r.ID, r.StartTime, d, rand.Float64())
 }
 
 // paused returns the time until the first pause ends if all replicas asked for one, else
@@ -83,7 +83,7 @@
 	defer p.mu.Unlock()
 	var least time.Duration
 	for id, r := range p.replicas {
-		end, ok := p.pauses.Until(now, id, r.Born)
+		end, ok := p.pauses.Until(now, id, r.StartTime)
 		if !ok {
 			return 0
 		}
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	var list []*plainReplica
 	for id, r := range p.replicas {
-		if _, paused := p.pauses.Until(now, id, r.Born); !tried[id] && !paused {
+		if _, paused := p.pauses.Until(now, id, r.StartTime); !tried[id] && !paused {
 			list = append(list, r)
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // recordLoad records the load that a replica reports with a response.
-func (p *plainPool) recordLoad(id string, a Answer) {
+func (p *plainPool) recordLoad(id string, a Response) {
 	if !a.HasLoad {
 		return
 	}
--- a/node/gateway/port.go
+++ b/node/gateway/port.go
@@ -31,8 +31,8 @@
 	OutputHint float64
 }
 
-// Send is what the router adds to the client's headers when it forwards a request.
-type Send struct {
+// ForwardOptions is what the router adds to the client's headers when it forwards a request.
+type ForwardOptions struct {
 	// Replica is the ID of the replica that the request is addressed to.
 	Replica string
 	// Workspace is the workspace of the API key; "" if the route needs no key.
@@ -47,16 +47,16 @@
 	Rank int
 }
 
-// Answer is the decoded headers of a replica's response.
-type Answer struct {
+// Response is the decoded headers of a replica's response.
+type Response struct {
 	// ID is the ID of the request that the response belongs to.
 	ID string
 	// Signed is true if the response has the signature of a replica that ran the request.
 	Signed bool
 	// NotRun is true if the replica reports that the request did not run.
 	NotRun bool
-	// FailingPart is the address of the replica whose stage of the path failed, or "".
-	FailingPart string
+	// FailingStage is the address of the replica whose stage of the path failed, or "".
+	FailingStage string
 	// Running and Waiting are numbers of requests; valid if HasLoad is true.
 	Running, Waiting int
 	HasLoad          bool
@@ -72,11 +72,11 @@
 	// Request decodes the headers of a client's request.
 	Request(http.Header) Request
 	// Forward returns the headers of a request to a replica.
-	Forward(http.Header, Send) http.Header
-	// Answer decodes the headers of a replica's response.
-	Answer(status int, h http.Header) Answer
-	// ToCaller returns the headers that the client receives with a replica's response.
-	ToCaller(http.Header) http.Header
+	Forward(http.Header, ForwardOptions) http.Header
+	// Response decodes the headers of a replica's response.
+	Response(status int, h http.Header) Response
+	// ToClient returns the headers that the client receives with a replica's response.
+	ToClient(http.Header) http.Header
 	// Refusal returns the headers of a response that the router makes itself.
 	Refusal(id string, retryAfter time.Duration) http.Header
 }
@@ -85,25 +85,25 @@
 type Replica struct {
 	ID      string
 	Address string
-	// Born is the start time of the process in Unix milliseconds; 0 where any process will
+	// StartTime is the start time of the process in Unix milliseconds; 0 where any process will
 	// do.
-	Born int64
+	StartTime int64
 }
 
 // Report is the state that a replica reported. It is some hundred milliseconds old.
 type Report struct {
-	// CacheUsed and CacheRoom are the used and the total KV cache capacity, in tokens
+	// CacheUsed and CacheCapacity are the used and the total KV cache capacity, in tokens
 	// times layers.
-	CacheUsed, CacheRoom float64
-	// Pace is the ratio of the replica's step time to the usual one; above 1 it is slow.
-	Pace float64
+	CacheUsed, CacheCapacity float64
+	// StepTimeRatio is the ratio of the replica's step time to the usual one; above 1 it is slow.
+	StepTimeRatio float64
 	// From and To are the range of layers held; both are 0 if the replica holds none.
 	From, To int
 	// HasLayers is false if the report does not include From and To.
 	HasLayers bool
-	// Born is the start time of the replica's process in Unix milliseconds; 0 if not
+	// StartTime is the start time of the replica's process in Unix milliseconds; 0 if not
 	// reported.
-	Born int64
+	StartTime int64
 	// Leaving is true if the replica shuts down and accepts no new requests.
 	Leaving bool
 	// Stalled maps the IDs of stalled requests to the address of the stage that does not
@@ -116,8 +116,8 @@
 
 // Results of commands.
 const (
-	// OrderTaken means that execution has begun or is done.
-	OrderTaken OrderStatus = iota
+	// OrderAccepted means that execution has begun or is done.
+	OrderAccepted OrderStatus = iota
 	// OrderConflict means that the command does not fit the state of the replica.
 	OrderConflict
 	// OrderFenced means that the replica has seen a higher fencing token.
@@ -136,8 +136,8 @@
 // OrderResult is a replica's response to a command.
 type OrderResult struct {
 	Status OrderStatus
-	// Part is the address of the stage that was missing or full, or "".
-	Part string
+	// Stage is the address of the stage that was missing or full, or "".
+	Stage string
 	// Leaving and Pause have the same meaning as in the headers of a response.
 	Leaving bool
 	Pause   time.Duration
@@ -147,8 +147,8 @@
 type ReplicaControl interface {
 	// Report returns the state that the replica reports.
 	Report(ctx context.Context, r Replica) (Report, error)
-	// Place assigns the layers [from, to) to the replica under the fencing token fence.
-	Place(ctx context.Context, r Replica, from, to int, fence int64) (OrderResult, error)
+	// AssignLayers assigns the layers [from, to) to the replica under the fencing token fence.
+	AssignLayers(ctx context.Context, r Replica, from, to int, fence int64) (OrderResult, error)
 	// Repath moves a running request, whose first stage is r, to another path.
 	Repath(ctx context.Context, r Replica, requestID string, path pipeline.Path) (OrderResult, error)
 }
--- a/node/gateway/state.go
+++ b/node/gateway/state.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// LearnEvidence merges another instance's evidence about requests that crash replicas.
-func (g *Gateway) LearnEvidence(s poison.Evidence) { g.crashes.merge(s) }
+// MergeEvidence merges another instance's evidence about requests that crash replicas.
+func (g *Gateway) MergeEvidence(s poison.Evidence) { g.crashes.merge(s) }
 
 // Evidence returns all evidence about requests that crash replicas.
 func (g *Gateway) Evidence() poison.Evidence { return g.crashes.state() }
@@ -148,9 +148,9 @@
 	return out
 }
 
-// Rejected blocks a replica that rejected a request of another instance; count is the
+// ApplyPeerRejection blocks a replica that rejected a request of another instance; count is the
 // number of rejections in a row.
-func (g *Gateway) Rejected(replica string, count int) {
+func (g *Gateway) ApplyPeerRejection(replica string, count int) {
 	for _, p := range g.modelPools() {
 		p.rejectedElsewhere(replica, count)
 	}
@@ -182,8 +182,8 @@
 	return out
 }
 
-// SetForeign sets the total load of all other instances, by replica and by link.
-func (g *Gateway) SetForeign(of func(replica string) pipeline.Load, link func(pipeline.Link) float64) {
+// SetRemoteLoad sets the total load of all other instances, by replica and by link.
+func (g *Gateway) SetRemoteLoad(of func(replica string) pipeline.Load, link func(pipeline.Link) float64) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
 		p.fleet.SetRemoteLoad(of, link)
@@ -195,8 +195,8 @@
 // reportedBlock is how long a replica is blocked that another instance found unresponsive.
 const reportedBlock = 2 * time.Second
 
-// Suspect blocks a replica that another instance found unresponsive.
-func (g *Gateway) Suspect(replica string) {
+// ApplyPeerUnresponsive blocks a replica that another instance found unresponsive.
+func (g *Gateway) ApplyPeerUnresponsive(replica string) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
 		_, known := p.fleet.Replica(replica)
--- a/node/gateway/survey.go
+++ b/node/gateway/survey.go
@@ -123,14 +123,14 @@
 		if _, paused := p.pauses.Until(now, r.ID, r.StartTime); paused {
 			continue
 		}
-		out = append(out, Replica{ID: r.ID, Address: r.Address, Born: r.StartTime})
+		out = append(out, Replica{ID: r.ID, Address: r.Address, StartTime: r.StartTime})
 	}
 	return out
 }
 
-// Observe records reports that another instance has read; of returns false for replicas
+// RecordReports records reports that another instance has read; of returns false for replicas
 // without one.
-func (g *Gateway) Observe(of func(replica string) (pipeline.Report, bool)) {
+func (g *Gateway) RecordReports(of func(replica string) (pipeline.Report, bool)) {
 	g.markObserved()
 	now := time.Now()
 	for _, p := range g.modelPools() {
--- a/node/gateway/survey_test.go
+++ b/node/gateway/survey_test.go
@@ -28,7 +28,7 @@
 	c.n++
 	c.mu.Unlock()
 	time.Sleep(reportTime)
-	return Report{Pace: 1, HasLayers: true, From: 0, To: 4}, nil
+	return Report{StepTimeRatio: 1, HasLayers: true, From: 0, To: 4}, nil
 }
 
 func (c *countingControl) reset() int {
@@ -79,7 +79,7 @@
 				time.Sleep(reportTime)
 				for _, other := range all {
 					if other != g {
-						other.Observe(func(string) (pipeline.Report, bool) { return pipeline.Report{}, false })
+						other.RecordReports(func(string) (pipeline.Report, bool) { return pipeline.Report{}, false })
 					}
 				}
 			}
--- a/node/gateway/watch.go
+++ b/node/gateway/watch.go
@@ -79,7 +79,7 @@
 	}
 	w.unanswered = 0
 	if report.Leaving {
-		s.g.reportLeaving(Replica{ID: first.ID, Born: first.StartTime})
+		s.g.reportLeaving(Replica{ID: first.ID, StartTime: first.StartTime})
 	}
 	address, stalled := report.Stalled[s.ID]
 	if !stalled {
@@ -104,8 +104,8 @@
 func (s *stream) markUnresponsive(id, why string) {
 	s.excluded[id] = true
 	wasBlocked := s.pool.block(id, unresponsiveBlock, why)
-	if !wasBlocked && s.g.opts.OnSilent != nil {
-		s.g.opts.OnSilent(id)
+	if !wasBlocked && s.g.opts.OnUnresponsive != nil {
+		s.g.opts.OnUnresponsive(id)
 	}
 }
 
@@ -125,22 +125,22 @@
 		}
 		res, err := s.pool.control.Repath(ctx, Replica{ID: first.ID, Address: first.Address}, s.ID, choice.Path)
 		if res.Leaving {
-			s.g.reportLeaving(Replica{ID: first.ID, Born: first.StartTime})
+			s.g.reportLeaving(Replica{ID: first.ID, StartTime: first.StartTime})
 		}
 		s.g.log.Info("path changed", zap.String("request", s.ID), zap.String("first", first.ID),
-			zap.Stringer("result", res.Status), zap.String("part", res.Part), zap.Int("parts", len(choice.Path)),
+			zap.Stringer("result", res.Status), zap.String("part", res.Stage), zap.Int("parts", len(choice.Path)),
 			zap.Duration("silent", time.Since(s.lastProgress)), zap.Error(err))
 		switch {
 		case err != nil:
 			return false
-		case res.Status == OrderTaken:
+		case res.Status == OrderAccepted:
 			s.grant.switchPath(choice)
 			// The continuation on the new stages counts as another run.
 			s.beginRun(time.Now())
 			s.repaths++
 			return true
-		case res.Status == OrderConflict && res.Part != "":
-			id := s.pool.idAt(res.Part)
+		case res.Status == OrderConflict && res.Stage != "":
+			id := s.pool.idAt(res.Stage)
 			if id == "" || s.excluded[id] {
 				return false
 			}
--- a/node/mesh/evidence.go
+++ b/node/mesh/evidence.go
@@ -77,5 +77,5 @@
 
 // CrashEvidence implements peer.Handler.
 func (h *handler) CrashEvidence(_ string, m *peerpb.CrashEvidence) {
-	h.mesh.opts.Gateway.LearnEvidence(peer.DecodeEvidence(m, time.Now()))
+	h.mesh.opts.Gateway.MergeEvidence(peer.DecodeEvidence(m, time.Now()))
 }
--- a/node/mesh/loads.go
+++ b/node/mesh/loads.go
@@ -130,7 +130,7 @@
 	m.sums.Expire(now.Add(-staleAfter))
 	remote := m.sums.Remote(r.isRelay)
 	m.mu.Unlock()
-	m.opts.Gateway.SetForeign(
+	m.opts.Gateway.SetRemoteLoad(
 		func(replica string) pipeline.Load { return remote.Upstreams[replicaKey(replica)] },
 		func(link pipeline.Link) float64 { return remote.Links[linkKey(link)] },
 	)
--- a/node/mesh/mesh.go
+++ b/node/mesh/mesh.go
@@ -56,18 +56,18 @@
 	// Links returns the rates at which this instance's requests transfer data between
 	// zones, in prompt tokens per second.
 	Links() map[pipeline.Link]float64
-	// SetForeign sets the total load of all other instances by replica and by link.
-	SetForeign(of func(replica string) pipeline.Load, link func(pipeline.Link) float64)
-	// Rejected stops the use of a replica that has rejected count consecutive requests of
+	// SetRemoteLoad sets the total load of all other instances by replica and by link.
+	SetRemoteLoad(of func(replica string) pipeline.Load, link func(pipeline.Link) float64)
+	// ApplyPeerRejection stops the use of a replica that has rejected count consecutive requests of
 	// another instance.
-	Rejected(replica string, count int)
-	// Observe records the states of replicas that another instance has read.
-	Observe(of func(replica string) (pipeline.Report, bool))
-	// Suspect stops the use of a replica that another instance found unresponsive.
-	Suspect(replica string)
-	// LearnEvidence merges the evidence of another instance on requests that crash
+	ApplyPeerRejection(replica string, count int)
+	// RecordReports records the states of replicas that another instance has read.
+	RecordReports(of func(replica string) (pipeline.Report, bool))
+	// ApplyPeerUnresponsive stops the use of a replica that another instance found unresponsive.
+	ApplyPeerUnresponsive(replica string)
+	// MergeEvidence merges the evidence of another instance on requests that crash
 	// replicas.
-	LearnEvidence(poison.Evidence)
+	MergeEvidence(poison.Evidence)
 	// Evidence returns the evidence of this instance. EvidenceDigest returns a digest of
 	// it, which differs from that of an instance with other evidence.
 	Evidence() poison.Evidence
@@ -313,7 +313,7 @@
 			To:        int(s.GetLayersTo()),
 		}
 	}
-	h.mesh.opts.Gateway.Observe(func(replica string) (pipeline.Report, bool) {
+	h.mesh.opts.Gateway.RecordReports(func(replica string) (pipeline.Report, bool) {
 		o, ok := states[replicaKey(replica)]
 		return o, ok
 	})
@@ -321,7 +321,7 @@
 
 // Suspicion implements peer.Handler.
 func (h *handler) Suspicion(_ string, s *peerpb.Suspicion) {
-	h.mesh.opts.Gateway.Suspect(s.GetUpstream())
+	h.mesh.opts.Gateway.ApplyPeerUnresponsive(s.GetUpstream())
 	if h.mesh.opts.OnUnresponsive != nil {
 		h.mesh.opts.OnUnresponsive(s.GetUpstream())
 	}
@@ -329,7 +329,7 @@
 
 // Rejection implements peer.Handler.
 func (h *handler) Rejection(_ string, r *peerpb.Rejection) {
-	h.mesh.opts.Gateway.Rejected(r.GetUpstream(), int(r.GetCount()))
+	h.mesh.opts.Gateway.ApplyPeerRejection(r.GetUpstream(), int(r.GetCount()))
 }
 
 // ConfigState implements peer.Handler.
--- a/node/mesh/mesh_test.go
+++ b/node/mesh/mesh_test.go
@@ -48,19 +48,19 @@
 	return maps.Clone(f.links)
 }
 
-func (f *fakeGateway) SetForeign(of func(string) pipeline.Load, link func(pipeline.Link) float64) {
+func (f *fakeGateway) SetRemoteLoad(of func(string) pipeline.Load, link func(pipeline.Link) float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remoteLoad, f.remoteLink = of, link
 }
 
-func (f *fakeGateway) Rejected(id string, count int) {
+func (f *fakeGateway) ApplyPeerRejection(id string, count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rejections[id] = count
 }
 
-func (f *fakeGateway) Observe(of func(string) (pipeline.Report, bool)) {
+func (f *fakeGateway) RecordReports(of func(string) (pipeline.Report, bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range []string{"r1", "r2"} {
@@ -70,13 +70,13 @@
 	}
 }
 
-func (f *fakeGateway) Suspect(id string) {
+func (f *fakeGateway) ApplyPeerUnresponsive(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unresponsive[id] = true
 }
 
-func (f *fakeGateway) LearnEvidence(s poison.Evidence) {
+func (f *fakeGateway) MergeEvidence(s poison.Evidence) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.evidence.Merge(time.Now(), s)
