--- a/cmd/internal/adminclient/client.go
+++ b/cmd/internal/adminclient/client.go
@@ -65,15 +65,15 @@
 // Publish proposes a configuration. It returns a *StatusError with status 409 if
 // another proposal was accepted first, and with status 202 if the outcome is not
 // known yet.
-func (c *Client) Publish(ctx context.Context, p *admin.Publish) (*admin.Published, error) {
-	out := &admin.Published{}
+func (c *Client) Publish(ctx context.Context, p *admin.PublishRequest) (*admin.PublishResponse, error) {
+	out := &admin.PublishResponse{}
 	return out, c.send(ctx, http.MethodPost, "/admin/v1/config", p, out)
 }
 
 // Drain makes the instance and all peers that it can reach send no new work to an upstream.
-func (c *Client) Drain(ctx context.Context, upstream string) (*admin.Drained, error) {
-	out := &admin.Drained{}
-	return out, c.send(ctx, http.MethodPost, "/admin/v1/drain", admin.Drain{Upstream: upstream}, out)
+func (c *Client) Drain(ctx context.Context, upstream string) (*admin.DrainResponse, error) {
+	out := &admin.DrainResponse{}
+	return out, c.send(ctx, http.MethodPost, "/admin/v1/drain", admin.DrainRequest{Upstream: upstream}, out)
 }
 
 // ExplainRequest returns what the instance knows about a request that was sent to it.
--- a/cmd/internal/entry/entry.go
+++ b/cmd/internal/entry/entry.go
@@ -246,14 +246,14 @@
 	s := i.opts.Settings
 	var err error
 	i.clientServer, err = httpserver.Start(httpserver.Options{
-		Address:        s.CallersAddress,
-		MaxBodyBytes:   maxBodyBytes,
-		MaxConnections: max(minConnections, s.MaxDescriptors-reservedDescriptors),
-		MaxRequests:    maxRequests,
-		IdleTimeout:    idleTimeout,
-		WatchPeriod:    disconnectCheckInterval,
-		Handler:        i.gateway,
-		Malformed:      malformedBody,
+		Address:           s.CallersAddress,
+		MaxBodyBytes:      maxBodyBytes,
+		MaxConnections:    max(minConnections, s.MaxDescriptors-reservedDescriptors),
+		MaxRequests:       maxRequests,
+		IdleTimeout:       idleTimeout,
+		ClosedCheckPeriod: disconnectCheckInterval,
+		Handler:           i.gateway,
+		ServerErrorBody:   malformedBody,
 	})
 	if err != nil {
 		return trace.Wrap(err)
@@ -273,14 +273,14 @@
 // startAuxiliary starts a server with low limits for a listener that is not for clients.
 func (i *Instance) startAuxiliary(address string, h http.Handler) (*httpserver.Server, error) {
 	return httpserver.Start(httpserver.Options{
-		Address:        address,
-		MaxBodyBytes:   maxBodyBytes,
-		MaxConnections: auxiliaryLimit,
-		MaxRequests:    auxiliaryLimit,
-		IdleTimeout:    idleTimeout,
-		WatchPeriod:    auxiliaryCheckInterval,
-		Handler:        h,
-		Malformed:      malformedBody,
+		Address:           address,
+		MaxBodyBytes:      maxBodyBytes,
+		MaxConnections:    auxiliaryLimit,
+		MaxRequests:       auxiliaryLimit,
+		IdleTimeout:       idleTimeout,
+		ClosedCheckPeriod: auxiliaryCheckInterval,
+		Handler:           h,
+		ServerErrorBody:   malformedBody,
 	})
 }
 
--- a/cmd/internal/local/agreement_test.go
+++ b/cmd/internal/local/agreement_test.go
@@ -32,7 +32,7 @@
 func (c *Cluster) trialCluster(apps ...*app.App) *trial.Cluster {
 	out := &trial.Cluster{AdminKey: AdminKey, Key: APIKey, Control: c.Fleet.Addresses().Control}
 	for _, a := range apps {
-		out.Instances = append(out.Instances, trial.Instance{Caller: a.CallerAddr(), Admin: "http://" + a.AdminAddr()})
+		out.Instances = append(out.Instances, trial.Instance{Caller: a.ClientAddr(), Admin: "http://" + a.AdminAddr()})
 	}
 	return out
 }
@@ -68,7 +68,7 @@
 	want, _ := c.Apps[0].Config()
 	got, _ := added.Config()
 	require.Equal(t, want, got)
-	r := c.sendTo(t, added.CallerAddr(), http.MethodPost, "/v1/completions", `{"model":"dev","prompt":"p","max_tokens":3}`)
+	r := c.sendTo(t, added.ClientAddr(), http.MethodPost, "/v1/completions", `{"model":"dev","prompt":"p","max_tokens":3}`)
 	require.Equal(t, http.StatusOK, r.status, string(r.body))
 }
 
--- a/cmd/internal/local/loader_test.go
+++ b/cmd/internal/local/loader_test.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ldr := loader.New(loader.Options{
 		Engines: l.client, Keeper: leader, Targets: l.targets, MaxLoads: maxLoads, Period: period,
-		Wanted: func() map[string]config.ModelConfig {
+		Models: func() map[string]config.ModelConfig {
 			return map[string]config.ModelConfig{l.model.Name: {Layers: l.model.Layers, Version: l.version.Load().(string)}}
 		},
 	})
@@ -79,7 +79,7 @@
 	var out []loader.Engine
 	for _, e := range l.Engines() {
 		o := e.Options()
-		out = append(out, loader.Engine{Target: l.target(o.ID), Zone: o.Zone, Accelerator: o.Accelerator, Units: o.Slots})
+		out = append(out, loader.Engine{Target: l.target(o.ID), Zone: o.Zone, Accelerator: o.Accelerator, Sequences: o.Slots})
 	}
 	return out
 }
--- a/cmd/internal/local/local_test.go
+++ b/cmd/internal/local/local_test.go
@@ -43,7 +43,7 @@
 // send sends a request to the first instance. header holds names and values in turn.
 func (c *Cluster) send(t *testing.T, method, path, body string, header ...string) httpResponse {
 	t.Helper()
-	return c.sendTo(t, c.Apps[0].CallerAddr(), method, path, body, header...)
+	return c.sendTo(t, c.Apps[0].ClientAddr(), method, path, body, header...)
 }
 
 // sendTo sends a request to the given address.
@@ -176,7 +176,7 @@
 // The stream must continue with the next token on other replicas.
 func TestCrashMidStream(t *testing.T) {
 	c := startOne(t)
-	req, err := http.NewRequest(http.MethodPost, "http://"+c.Apps[0].CallerAddr()+"/v1/completions",
+	req, err := http.NewRequest(http.MethodPost, "http://"+c.Apps[0].ClientAddr()+"/v1/completions",
 		strings.NewReader(`{"model":"dev","prompt":"p","max_tokens":30,"stream":true}`))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+APIKey)
@@ -268,7 +268,7 @@
 	require.NoError(t, err)
 	defer c.Close(context.Background())
 	send := func(i int, key, body string) httpResponse {
-		return c.sendTo(t, c.Apps[i%2].CallerAddr(), http.MethodPost, "/services/orders/orders", body, "Idempotency-Key", key)
+		return c.sendTo(t, c.Apps[i%2].ClientAddr(), http.MethodPost, "/services/orders/orders", body, "Idempotency-Key", key)
 	}
 	first := send(0, "k1", `{"item":"timber"}`)
 	require.Equal(t, http.StatusCreated, first.status, string(first.body))
@@ -324,7 +324,7 @@
 	require.Equal(t, "poison_request", again.parse(t).Error.Code)
 	require.Equal(t, "not_run", again.header.Get("X-Masticbank-Execution"))
 	require.Eventually(t, func() bool {
-		r := c.sendTo(t, c.Apps[1].CallerAddr(), http.MethodPost, "/v1/completions", body, "X-Masticbank-Deadline", "1")
+		r := c.sendTo(t, c.Apps[1].ClientAddr(), http.MethodPost, "/v1/completions", body, "X-Masticbank-Deadline", "1")
 		return r.header.Get("X-Masticbank-Execution") == "not_run" && r.parse(t).Error.Code == "poison_request"
 	}, time.Minute, 50*time.Millisecond)
 
@@ -344,7 +344,7 @@
 		e, ok := c.Apps[0].ExplainPrompt("dev", prompt, 12)
 		require.True(t, ok)
 		for _, r := range e.Replicas {
-			if r.CachedPart > 0.5 {
+			if r.CachedFraction > 0.5 {
 				return true
 			}
 		}
@@ -364,7 +364,7 @@
 	engines := []string{"dev-0-3-l0", "dev-0-3-l1"}
 	served := func(app int) {
 		require.Eventually(t, func() bool {
-			r := c.sendTo(t, c.Apps[app].CallerAddr(), http.MethodPost, "/v1/completions",
+			r := c.sendTo(t, c.Apps[app].ClientAddr(), http.MethodPost, "/v1/completions",
 				`{"model":"dev","prompt":"innocent","max_tokens":2}`, "X-Masticbank-Deadline", "2")
 			return r.status == http.StatusOK
 		}, time.Minute, 50*time.Millisecond)
@@ -374,14 +374,14 @@
 		served(i)
 		require.NoError(t, c.Fleet.Inject(fault.Fault{Instance: engines[1-i], Kind: fault.Crash}))
 		require.NoError(t, c.Fleet.Inject(fault.Fault{Instance: engine, Kind: fault.Poison, Text: "poison"}))
-		r := c.sendTo(t, c.Apps[i].CallerAddr(), http.MethodPost, "/v1/completions", poisoned, "X-Masticbank-Deadline", "3")
+		r := c.sendTo(t, c.Apps[i].ClientAddr(), http.MethodPost, "/v1/completions", poisoned, "X-Masticbank-Deadline", "3")
 		require.NotEqual(t, "not_run", r.header.Get("X-Masticbank-Execution"))
 		for _, in := range engines {
 			require.NoError(t, c.Fleet.Inject(fault.Fault{Instance: in, Kind: fault.Restore}))
 		}
 	}
 	served(2)
-	r := c.sendTo(t, c.Apps[2].CallerAddr(), http.MethodPost, "/v1/completions", poisoned)
+	r := c.sendTo(t, c.Apps[2].ClientAddr(), http.MethodPost, "/v1/completions", poisoned)
 	require.Equal(t, "poison_request", r.parse(t).Error.Code, string(r.body))
 	require.Equal(t, "not_run", r.header.Get("X-Masticbank-Execution"))
 }
--- a/cmd/internal/report/smoke_test.go
+++ b/cmd/internal/report/smoke_test.go
@@ -32,7 +32,7 @@
 	})
 	var targets []string
 	for _, a := range cluster.Apps {
-		targets = append(targets, a.CallerAddr())
+		targets = append(targets, a.ClientAddr())
 	}
 	result, err := load.Run(t.Context(), load.Options{
 		Scenario: s, Targets: targets, Control: cluster.Fleet.Addresses().Control,
--- a/cmd/internal/trial/publish.go
+++ b/cmd/internal/trial/publish.go
@@ -87,12 +87,12 @@
 
 // newVariant returns a proposal based on current. The workspace weights depend on
 // k, so that the proposals of different operators differ.
-func newVariant(current *admin.Config, author string, k int) *admin.Publish {
+func newVariant(current *admin.Config, author string, k int) *admin.PublishRequest {
 	for name, workspace := range current.Config.Workspaces {
 		workspace.Weight = 1 + float64(k%1000)/1000
 		current.Config.Workspaces[name] = workspace
 	}
-	return &admin.Publish{Author: author, Base: current.Revision, Config: current.Config}
+	return &admin.PublishRequest{Author: author, Base: current.Revision, Config: current.Config}
 }
 
 // RaceResult is the result of Race.
@@ -196,7 +196,7 @@
 	return trace.Wrap(err)
 }
 
-func (c *Cluster) propose(ctx context.Context, i int, message *admin.Publish) proposalOutcome {
+func (c *Cluster) propose(ctx context.Context, i int, message *admin.PublishRequest) proposalOutcome {
 	p := proposalOutcome{author: message.Author}
 	published, err := c.admin(i).Publish(ctx, message)
 	if err == nil {
@@ -208,7 +208,7 @@
 	if !errors.As(err, &status) || status.Status != http.StatusConflict {
 		return p
 	}
-	var lost admin.Lost
+	var lost admin.PublishConflict
 	if json.Unmarshal(status.Body, &lost) == nil {
 		p.lost, p.winner = true, lost.Winner
 	}
--- a/cmd/masticctl/admin.go
+++ b/cmd/masticctl/admin.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := c.client().Publish(ctx, &admin.Publish{Author: c.author(), Base: base, Config: cfg})
+	p, err := c.client().Publish(ctx, &admin.PublishRequest{Author: c.author(), Base: base, Config: cfg})
 	if err != nil {
 		return publishError(err)
 	}
--- a/cmd/masticctl/dev.go
+++ b/cmd/masticctl/dev.go
@@ -48,12 +48,12 @@
 
 // printEndpoints prints the addresses of the cluster and two sample requests.
 func (c *devCmd) printEndpoints(cluster *local.Cluster) {
-	fmt.Printf("client API:     http://%s\n", cluster.Apps[0].CallerAddr())
+	fmt.Printf("client API:     http://%s\n", cluster.Apps[0].ClientAddr())
 	fmt.Printf("administration: http://%s (key %s)\n", cluster.Apps[0].AdminAddr(), local.AdminKey)
 	fmt.Printf("faults:         http://%s/faults\n\n", cluster.Fleet.Addresses().Control)
 	fmt.Printf("curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '%s'\n\n",
-		cluster.Apps[0].CallerAddr(), local.APIKey,
+		cluster.Apps[0].ClientAddr(), local.APIKey,
 		`{"model":"dev","stream":true,"max_tokens":16,"messages":[{"role":"user","content":"Price for a hutch with two doors?"}]}`)
 	fmt.Printf("curl http://%s/services/orders/orders -H 'Authorization: Bearer %s' -H 'Idempotency-Key: order-1' -d '%s'\n",
-		cluster.Apps[0].CallerAddr(), local.APIKey, `{"item":"timber"}`)
+		cluster.Apps[0].ClientAddr(), local.APIKey, `{"item":"timber"}`)
 }
--- a/cmd/masticctl/explain.go
+++ b/cmd/masticctl/explain.go
@@ -40,7 +40,7 @@
 
 func printRequest(e *admin.RequestExplanation) {
 	if e.State == "waiting" {
-		fmt.Printf("waiting in %s: position %d, %.0f tokens ahead, expected wait %.2f s\n", e.Pool, e.Place, e.TokensAhead, e.ExpectedWaitSeconds)
+		fmt.Printf("waiting in %s: position %d, %.0f tokens ahead, expected wait %.2f s\n", e.Pool, e.QueuePosition, e.TokensAhead, e.ExpectedWaitSeconds)
 		return
 	}
 	fmt.Printf("%s %s (execution %s) %s\n", e.State, e.Code, e.Execution, e.Message)
@@ -52,6 +52,6 @@
 	fmt.Printf("%s: %s, estimated %.3f s (lowest %.3f s)\n", e.Outcome, strings.Join(e.Route, " > "), e.EstimatedSeconds, e.LowestSeconds)
 	for _, r := range e.Replicas {
 		fmt.Printf("  %-28s layers %2d-%-2d %-12s weight %.2f held %d of %d cached %.2f cost %.4f s\n",
-			r.ID, r.FirstLayer, r.LastLayer, r.Standing, r.Weight, r.Occupancy, r.Limit, r.CachedPart, r.Seconds)
+			r.ID, r.FirstLayer, r.LastLayer, r.Status, r.Weight, r.Occupancy, r.Limit, r.CachedFraction, r.Seconds)
 	}
 }
--- a/node/admin/config.go
+++ b/node/admin/config.go
@@ -20,7 +20,7 @@
 // the same base revision was accepted first, and with 202 when the outcome of the
 // proposal is unknown.
 func (s *Server) publish(w http.ResponseWriter, r *http.Request) {
-	var body Publish
+	var body PublishRequest
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&body); err != nil || body.Config == nil {
@@ -36,14 +36,14 @@
 		writePublishError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, Published{Revision: revision})
+	writeJSON(w, http.StatusOK, PublishResponse{Revision: revision})
 }
 
 func writePublishError(w http.ResponseWriter, err error) {
 	var lost *follower.LostError
 	switch {
 	case errors.As(err, &lost):
-		writeJSON(w, http.StatusConflict, Lost{Error: lost.Error(), Revision: lost.Revision, Winner: lost.Winner.Author})
+		writeJSON(w, http.StatusConflict, PublishConflict{Error: lost.Error(), Revision: lost.Revision, Winner: lost.Winner.Author})
 	case errors.Is(err, follower.ErrUndecided):
 		writeError(w, http.StatusAccepted, err.Error())
 	case errors.Is(err, follower.ErrInvalid), trace.IsBadParameter(err):
@@ -56,7 +56,7 @@
 }
 
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
-	var body Drain
+	var body DrainRequest
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.Upstream == "" {
 		writeError(w, http.StatusBadRequest, "malformed JSON, or no upstream")
 		return
@@ -66,5 +66,5 @@
 		writeError(w, http.StatusNotFound, "no model or service in force has an upstream "+strconv.Quote(body.Upstream))
 		return
 	}
-	writeJSON(w, http.StatusOK, Drained{Instances: instances})
+	writeJSON(w, http.StatusOK, DrainResponse{Instances: instances})
 }
--- a/node/admin/explain.go
+++ b/node/admin/explain.go
@@ -13,7 +13,7 @@
 	Pool      string `json:"pool"`
 	// State is "waiting", "complete" or "failed".
 	State               string  `json:"state"`
-	Place               int     `json:"place,omitempty"`
+	QueuePosition       int     `json:"place,omitempty"`
 	TokensAhead         float64 `json:"tokens_ahead,omitempty"`
 	ExpectedWaitSeconds float64 `json:"expected_wait_seconds,omitempty"`
 
@@ -43,15 +43,15 @@
 // ReplicaExplanation holds the state and the estimate of one replica in a
 // RouteExplanation.
 type ReplicaExplanation struct {
-	ID         string  `json:"id"`
-	FirstLayer int     `json:"first_layer"`
-	LastLayer  int     `json:"last_layer"`
-	Standing   string  `json:"standing"`
-	Weight     float64 `json:"weight"`
-	Occupancy  int     `json:"occupancy"`
-	Limit      int     `json:"limit"`
-	CachedPart float64 `json:"cached_part"`
-	Seconds    float64 `json:"seconds"`
+	ID             string  `json:"id"`
+	FirstLayer     int     `json:"first_layer"`
+	LastLayer      int     `json:"last_layer"`
+	Status         string  `json:"standing"`
+	Weight         float64 `json:"weight"`
+	Occupancy      int     `json:"occupancy"`
+	Limit          int     `json:"limit"`
+	CachedFraction float64 `json:"cached_part"`
+	Seconds        float64 `json:"seconds"`
 }
 
 // explain explains the request with the given ID, or the route of a hypothetical
--- a/node/admin/message.go
+++ b/node/admin/message.go
@@ -50,8 +50,8 @@
 	Config   *config.Config `json:"config"`
 }
 
-// Publish is the body of a request that proposes a configuration.
-type Publish struct {
+// PublishRequest is the body of a request that proposes a configuration.
+type PublishRequest struct {
 	// Author is shown to operators whose proposal is rejected because this one was
 	// accepted first.
 	Author string `json:"author"`
@@ -60,26 +60,26 @@
 	Config *config.Config `json:"config"`
 }
 
-// Published is the response to an accepted proposal.
-type Published struct {
+// PublishResponse is the response to an accepted proposal.
+type PublishResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
-// Lost is the response to a proposal that was rejected because another one for the
+// PublishConflict is the response to a proposal that was rejected because another one for the
 // same base revision was accepted first. Winner is the author of that one.
-type Lost struct {
+type PublishConflict struct {
 	Error    string `json:"error"`
 	Revision uint64 `json:"revision"`
 	Winner   string `json:"winner"`
 }
 
-// Drain is the request body of /admin/v1/drain.
-type Drain struct {
+// DrainRequest is the request body of /admin/v1/drain.
+type DrainRequest struct {
 	Upstream string `json:"upstream"`
 }
 
-// Drained is the response body of /admin/v1/drain.
-type Drained struct {
+// DrainResponse is the response body of /admin/v1/drain.
+type DrainResponse struct {
 	// Instances is the number of instances that were sent the request, this one
 	// included.
 	Instances int `json:"instances"`
--- a/node/api/api.go
+++ b/node/api/api.go
@@ -185,10 +185,10 @@
 	}})
 }
 
-// Malformed returns the body of an error response that the HTTP server writes
+// ServerErrorBody returns the body of an error response that the HTTP server writes
 // without calling the handler: to a message that cannot be parsed, or to a request
 // that arrives during shutdown.
-func Malformed(status int) []byte {
+func ServerErrorBody(status int) []byte {
 	code := "malformed_request"
 	switch status {
 	case http.StatusRequestEntityTooLarge:
--- a/node/api/bench_test.go
+++ b/node/api/bench_test.go
@@ -98,7 +98,7 @@
 			Router: r, Logger: zap.NewNop(), MaxBodyBytes: 1 << 20,
 			Ready: func() (bool, string) { return true, "" },
 		}),
-		Malformed: api.Malformed,
+		ServerErrorBody: api.ServerErrorBody,
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/node/app/app.go
+++ b/node/app/app.go
@@ -130,7 +130,7 @@
 	if err := a.startServers(); err != nil {
 		return trace.Wrap(err)
 	}
-	a.logger.Info("serving", zap.String("callers", a.CallerAddr()), zap.String("admin", a.AdminAddr()),
+	a.logger.Info("serving", zap.String("callers", a.ClientAddr()), zap.String("admin", a.AdminAddr()),
 		zap.String("instance", a.opts.Settings.Instance.ID), zap.String("zone", a.opts.Settings.Instance.Zone))
 	return nil
 }
@@ -161,25 +161,25 @@
 	l := a.opts.Settings.Limits
 	var err error
 	a.clientServer, err = httpserver.Start(httpserver.Options{
-		Address:        a.opts.Settings.Listen.Clients,
-		MaxBodyBytes:   l.MaxBodyBytes,
-		MaxConnections: l.MaxConnections,
-		MaxRequests:    l.MaxRequests,
-		IdleTimeout:    l.IdleTimeout,
-		Handler:        api.New(api.Options{Router: a.router, Logger: a.logger, MaxBodyBytes: l.MaxBodyBytes, Ready: a.state.ready}),
-		Malformed:      api.Malformed,
+		Address:         a.opts.Settings.Listen.Clients,
+		MaxBodyBytes:    l.MaxBodyBytes,
+		MaxConnections:  l.MaxConnections,
+		MaxRequests:     l.MaxRequests,
+		IdleTimeout:     l.IdleTimeout,
+		Handler:         api.New(api.Options{Router: a.router, Logger: a.logger, MaxBodyBytes: l.MaxBodyBytes, Ready: a.state.ready}),
+		ServerErrorBody: api.ServerErrorBody,
 	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	a.adminServer, err = httpserver.Start(httpserver.Options{
-		Address:        a.opts.Settings.Listen.Admin,
-		MaxBodyBytes:   maxConfigBytes,
-		MaxConnections: maxAdminRequests,
-		MaxRequests:    maxAdminRequests,
-		IdleTimeout:    l.IdleTimeout,
-		Handler:        admin.New(admin.Options{Key: a.opts.Settings.Admin.Key, Level: a.opts.Level, Instance: a}),
-		Malformed:      api.Malformed,
+		Address:         a.opts.Settings.Listen.Admin,
+		MaxBodyBytes:    maxConfigBytes,
+		MaxConnections:  maxAdminRequests,
+		MaxRequests:     maxAdminRequests,
+		IdleTimeout:     l.IdleTimeout,
+		Handler:         admin.New(admin.Options{Key: a.opts.Settings.Admin.Key, Level: a.opts.Level, Instance: a}),
+		ServerErrorBody: api.ServerErrorBody,
 	})
 	return trace.Wrap(err)
 }
@@ -203,8 +203,8 @@
 	return a.peers.Addr().String()
 }
 
-// CallerAddr returns the address on which the instance listens for clients.
-func (a *App) CallerAddr() string { return a.clientServer.Addr() }
+// ClientAddr returns the address on which the instance listens for clients.
+func (a *App) ClientAddr() string { return a.clientServer.Addr() }
 
 // AdminAddr returns the address of the administration API.
 func (a *App) AdminAddr() string { return a.adminServer.Addr() }
--- a/node/app/explain.go
+++ b/node/app/explain.go
@@ -15,7 +15,7 @@
 	out := &admin.RequestExplanation{RequestID: id, Pool: e.Pool}
 	if e.Waiting != nil {
 		out.State = "waiting"
-		out.Place = e.Waiting.Place
+		out.QueuePosition = e.Waiting.Place
 		out.TokensAhead = e.Waiting.CostAhead
 		if e.Waiting.WaitKnown {
 			out.ExpectedWaitSeconds = e.Waiting.Wait.Seconds()
@@ -73,15 +73,15 @@
 	}
 	for _, v := range e.Replicas {
 		out.Replicas = append(out.Replicas, admin.ReplicaExplanation{
-			ID:         v.ID,
-			FirstLayer: v.First,
-			LastLayer:  v.Last,
-			Standing:   v.Status.String(),
-			Weight:     v.Weight,
-			Occupancy:  v.Occupancy,
-			Limit:      v.Limit,
-			CachedPart: v.CachedFraction,
-			Seconds:    v.Terms.Total(),
+			ID:             v.ID,
+			FirstLayer:     v.First,
+			LastLayer:      v.Last,
+			Status:         v.Status.String(),
+			Weight:         v.Weight,
+			Occupancy:      v.Occupancy,
+			Limit:          v.Limit,
+			CachedFraction: v.CachedFraction,
+			Seconds:        v.Terms.Total(),
 		})
 	}
 	return out
--- a/node/app/loader.go
+++ b/node/app/loader.go
@@ -15,7 +15,7 @@
 		Engines:  a.engines,
 		Keeper:   a.leaderTasks,
 		Targets:  a.loaderTargets,
-		Wanted:   a.wantedModels,
+		Models:   a.wantedModels,
 		Demand:   a.router.Demand,
 		MaxLoads: a.opts.Settings.Platform.MaxLoads,
 		Logger:   a.logger,
@@ -45,7 +45,7 @@
 			Accelerator: in.Accelerator,
 			Leaving:     in.Leaving,
 			Down:        known[in.ID].Ejected,
-			Units:       known[in.ID].Slots,
+			Sequences:   known[in.ID].Slots,
 		})
 	}
 	return out
--- a/node/app/log.go
+++ b/node/app/log.go
@@ -77,7 +77,7 @@
 	a.runInGroup(ctx, a.orders.Run)
 	a.runInGroup(ctx, a.leaderTasks.Run)
 	if a.opts.Settings.Platform.LoadModels {
-		a.leaderTasks.Want(loader.Duty, true)
+		a.leaderTasks.Want(loader.LeaderTask, true)
 		a.runInGroup(ctx, a.newLoader().Run)
 	}
 }
--- a/node/bounded/bounded.go
+++ b/node/bounded/bounded.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// HeadBytes is the maximum size of the header of an HTTP response, interim (1xx)
+// MaxHeaderBytes is the maximum size of the header of an HTTP response, interim (1xx)
 // responses included. Usual headers have some hundred bytes; web servers usually allow
 // 8 to 32 KiB.
-const HeadBytes = 32 << 10
+const MaxHeaderBytes = 32 << 10
 
 // ErrTooLarge means that the data exceeds the limit or the shared memory.
 var ErrTooLarge = errors.New("more bytes than allowed")
@@ -24,7 +24,7 @@
 
 func defaultTransport() *http.Transport {
 	tr := http.DefaultTransport.(*http.Transport).Clone()
-	tr.MaxResponseHeaderBytes = HeadBytes
+	tr.MaxResponseHeaderBytes = MaxHeaderBytes
 	return tr
 }
 
@@ -48,34 +48,34 @@
 	growthBytes = 256 << 10
 )
 
-// Memory is a limit on the total memory of the bodies held at the same time. It is
+// MemoryLimit is a limit on the total memory of the bodies held at the same time. It is
 // safe for concurrent use.
-type Memory struct {
+type MemoryLimit struct {
 	bytes *semaphore.Weighted
 }
 
-// NewMemory returns a limit of size bytes.
-func NewMemory(size int64) *Memory { return &Memory{bytes: semaphore.NewWeighted(size)} }
+// NewMemoryLimit returns a limit of size bytes.
+func NewMemoryLimit(size int64) *MemoryLimit { return &MemoryLimit{bytes: semaphore.NewWeighted(size)} }
 
-// Hold is the part of the memory limit that one request has reserved. It is not safe
+// Reservation is the part of the memory limit that one request has reserved. It is not safe
 // for concurrent use.
-type Hold struct {
-	memory   *Memory
+type Reservation struct {
+	memory   *MemoryLimit
 	reserved int64
 }
 
-// Hold returns an empty reservation.
-func (m *Memory) Hold() *Hold { return &Hold{memory: m} }
+// NewReservation returns an empty reservation.
+func (m *MemoryLimit) NewReservation() *Reservation { return &Reservation{memory: m} }
 
 // Release returns all reserved bytes.
-func (h *Hold) Release() {
+func (h *Reservation) Release() {
 	h.memory.bytes.Release(h.reserved)
 	h.reserved = 0
 }
 
 // ReadAll reads r to its end. It returns ErrTooLarge if there are more than limit bytes
 // or the memory is exhausted. What it reserves stays reserved until Release.
-func (h *Hold) ReadAll(r io.Reader, limit int64) ([]byte, error) {
+func (h *Reservation) ReadAll(r io.Reader, limit int64) ([]byte, error) {
 	data := make([]byte, 0, initialBytes)
 	for {
 		if len(data) == cap(data) {
@@ -99,7 +99,7 @@
 
 // grow enlarges the buffer of data: it doubles a small one, and reserves memory for a
 // larger one.
-func (h *Hold) grow(data []byte) ([]byte, error) {
+func (h *Reservation) grow(data []byte) ([]byte, error) {
 	if cap(data) < uncountedBytes {
 		return slices.Grow(data, cap(data)), nil
 	}
--- a/node/bounded/bounded_test.go
+++ b/node/bounded/bounded_test.go
@@ -26,8 +26,8 @@
 
 func TestMemoryLimitIsShared(t *testing.T) {
 	const size = 1 << 20
-	m := bounded.NewMemory(2 * size)
-	first, second, small := m.Hold(), m.Hold(), m.Hold()
+	m := bounded.NewMemoryLimit(2 * size)
+	first, second, small := m.NewReservation(), m.NewReservation(), m.NewReservation()
 	body := bytes.Repeat([]byte("a"), size)
 	data, err := first.ReadAll(bytes.NewReader(body), size)
 	require.NoError(t, err)
--- a/node/bounded/boundedtest/boundedtest.go
+++ b/node/bounded/boundedtest/boundedtest.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// Most is the number of bytes after which the server stops, as the client evidently has
+// MaxSentBytes is the number of bytes after which the server stops, as the client evidently has
 // no limit. It exceeds the sum of the largest limit, 64 MiB for the log, and the
 // buffers of a connection, which grow on Linux to 32 MiB at the receiver and 4 MiB at
 // the sender.
-const Most = 128 << 20
+const MaxSentBytes = 128 << 20
 
 // blockBytes is the size of one write.
 const blockBytes = 64 << 10
 
-// Heads are HTTP responses with an endless header. Each consists of a beginning and a
+// EndlessHeaders are HTTP responses with an endless header. Each consists of a beginning and a
 // part that is repeated.
-var Heads = map[string][2]string{
+var EndlessHeaders = map[string][2]string{
 	"header lines":     {"HTTP/1.1 200 OK\r\n", "X-Filler: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n"},
 	"one header line":  {"HTTP/1.1 200 OK\r\nX-Filler: ", "a"},
 	"status line":      {"HTTP/1.1 200 ", "a"},
@@ -29,8 +29,8 @@
 	"only line breaks": {"", "\r\n"},
 }
 
-// Bodies are HTTP responses with an endless body, in the same form.
-var Bodies = map[string][2]string{
+// EndlessBodies are HTTP responses with an endless body, in the same form.
+var EndlessBodies = map[string][2]string{
 	"until close":    {"HTTP/1.1 200 OK\r\n\r\n", "[1,"},
 	"chunks":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "40\r\n" + strings.Repeat("[1,2", 16) + "\r\n"},
 	"chunk size":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "0"},
@@ -102,7 +102,7 @@
 		return
 	}
 	next := first
-	for s.Sent() < Most {
+	for s.Sent() < MaxSentBytes {
 		n, err := c.Write([]byte(next))
 		s.mu.Lock()
 		s.sent += n
--- a/node/duty/duty.go
+++ b/node/duty/duty.go
@@ -202,5 +202,5 @@
 		}
 		encoded = append(encoded, data)
 	}
-	return k.opts.Appender.Start(ctx, encoded...)
+	return k.opts.Appender.AppendAsync(ctx, encoded...)
 }
--- a/node/duty/duty_test.go
+++ b/node/duty/duty_test.go
@@ -53,7 +53,7 @@
 		time.Sleep(terms.TTL + terms.Renew)
 		first, epoch := validHolders(keepers)
 		require.Len(t, first, 1)
-		log.LoseNext(2)
+		log.LoseResponses(2)
 		time.Sleep(3 * terms.TTL)
 		still, same := validHolders(keepers)
 		require.Equal(t, first, still)
--- a/node/engine/httpjson/client.go
+++ b/node/engine/httpjson/client.go
@@ -61,7 +61,7 @@
 
 // Probe implements engine.Client.
 func (c *Client) Probe(ctx context.Context, t engine.Target) error {
-	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true, MaxResponseHeaderBytes: bounded.HeadBytes}
+	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true, MaxResponseHeaderBytes: bounded.MaxHeaderBytes}
 	defer transport.CloseIdleConnections()
 	return c.call(ctx, transport, http.MethodGet, t, wire.PathProbe, nil, nil)
 }
@@ -112,7 +112,7 @@
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 
-			MaxResponseHeaderBytes: bounded.HeadBytes,
+			MaxResponseHeaderBytes: bounded.MaxHeaderBytes,
 		}
 		c.transports[t.Address] = tr
 	}
--- a/node/exchange/endless_test.go
+++ b/node/exchange/endless_test.go
@@ -15,14 +15,14 @@
 // TestEndlessHeadsAreErrors guards against reading an endless head forever. The call has
 // no deadline: only the size limit ends it.
 func TestEndlessHeadsAreErrors(t *testing.T) {
-	for name, response := range boundedtest.Heads {
+	for name, response := range boundedtest.EndlessHeaders {
 		t.Run(name, func(t *testing.T) {
 			s := boundedtest.Start(t, response)
 			_, err := newClient(t).Do(context.Background(), s.Address(), getRequest("/"))
 			var ee *exchange.Error
 			require.ErrorAs(t, err, &ee)
 			require.True(t, ee.Sent)
-			require.Less(t, s.Sent(), boundedtest.Most)
+			require.Less(t, s.Sent(), boundedtest.MaxSentBytes)
 		})
 	}
 }
@@ -31,16 +31,16 @@
 // complete one.
 func TestEndlessBodiesAreErrors(t *testing.T) {
 	const limit = 1 << 20
-	for name, response := range boundedtest.Bodies {
+	for name, response := range boundedtest.EndlessBodies {
 		t.Run(name, func(t *testing.T) {
 			s := boundedtest.Start(t, response)
 			resp, err := newClient(t).Do(context.Background(), s.Address(), getRequest("/"))
 			require.NoError(t, err)
 			defer resp.Close()
-			_, err = bounded.NewMemory(64<<20).Hold().ReadAll(resp.Body, limit)
+			_, err = bounded.NewMemoryLimit(64<<20).NewReservation().ReadAll(resp.Body, limit)
 			require.Error(t, err)
 			require.NotErrorIs(t, err, io.EOF)
-			require.Less(t, s.Sent(), boundedtest.Most)
+			require.Less(t, s.Sent(), boundedtest.MaxSentBytes)
 		})
 	}
 }
--- a/node/exchange/exchange.go
+++ b/node/exchange/exchange.go
@@ -143,7 +143,7 @@
 	if _, err := cn.Write(encode(r)); err != nil {
 		return nil, trace.Wrap(err, "sending request to %s", cn.address)
 	}
-	cn.limiter.setLimit(bounded.HeadBytes)
+	cn.limiter.setLimit(bounded.MaxHeaderBytes)
 	resp, err := readHead(cn.reader, r.Method)
 	if cn.limiter.exceeded {
 		return nil, trace.Wrap(ErrHeadTooLarge, "response from %s", cn.address)
--- a/node/follower/follower_test.go
+++ b/node/follower/follower_test.go
@@ -58,7 +58,7 @@
 			followers[i] = start(ctx, log, nil)
 		}
 		for round := range uint64(rounds) {
-			log.LoseNext(3)
+			log.LoseResponses(3)
 			synctest.Wait()
 			errs := make([]error, instances)
 			var wg sync.WaitGroup
--- a/node/follower/publish.go
+++ b/node/follower/publish.go
@@ -60,7 +60,7 @@
 	defer f.removeWaiter(id)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if _, err := f.opts.Appender.Start(ctx, data); err != nil {
+	if _, err := f.opts.Appender.AppendAsync(ctx, data); err != nil {
 		return 0, err
 	}
 	select {
--- a/node/follower/snapshot.go
+++ b/node/follower/snapshot.go
@@ -25,7 +25,7 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
-	done, err := f.opts.Appender.Start(ctx, data)
+	done, err := f.opts.Appender.AppendAsync(ctx, data)
 	if err != nil {
 		cancel()
 		f.finishSnapshot(err)
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -105,7 +105,7 @@
 	budgets map[string]*retry.Budget
 	crashes *crashGuard
 	// memory limits the large responses that are buffered at the same time.
-	memory *bounded.Memory
+	memory *bounded.MemoryLimit
 	// instances is the number of instances that share the retry budget; 0 while unknown.
 	instances int
 }
@@ -118,7 +118,7 @@
 		models:  map[string]*modelPool{},
 		plains:  map[string]*plainPool{},
 		budgets: map[string]*retry.Budget{},
-		memory:  bounded.NewMemory(max(o.ResponseBytes, minResponseMemory)),
+		memory:  bounded.NewMemoryLimit(max(o.ResponseBytes, minResponseMemory)),
 		crashes: newCrashGuard(o.Client, o.Metrics, o.Logger),
 		started: time.Now(),
 		ready:   make(chan struct{}),
@@ -152,7 +152,7 @@
 	// lostRuns counts the runs of this attempt that were lost.
 	lostRuns uint32
 	// memory accounts for the memory of the buffered response.
-	memory *bounded.Hold
+	memory *bounded.Reservation
 	// denialReason is why the last retry was denied, or "".
 	denialReason string
 }
@@ -162,7 +162,7 @@
 
 // ServeHTTP serves one client request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{Request: g.opts.Codec.Request(r.Header), http: r, writer: w, arrival: time.Now(), memory: g.memory.Hold()}
+	c := &call{Request: g.opts.Codec.Request(r.Header), http: r, writer: w, arrival: time.Now(), memory: g.memory.NewReservation()}
 	defer c.memory.Release()
 	g.opts.Metrics.RequestStarted()
 	defer g.opts.Metrics.RequestEnded()
--- a/node/httpserver/server.go
+++ b/node/httpserver/server.go
@@ -46,15 +46,15 @@
 	MaxRequests int
 	// IdleTimeout is the time after which a connection without a request is closed.
 	IdleTimeout time.Duration
-	// WatchPeriod is the interval between checks for connections that clients have
+	// ClosedCheckPeriod is the interval between checks for connections that clients have
 	// closed; 0 means 20 ms. Each check wakes the process.
-	WatchPeriod time.Duration
+	ClosedCheckPeriod time.Duration
 	// Handler handles the requests.
 	Handler http.Handler
-	// Malformed returns the body of a response that the server writes by itself: to a
+	// ServerErrorBody returns the body of a response that the server writes by itself: to a
 	// message that cannot be parsed, or to a request during shutdown. It must be safe
 	// for concurrent use.
-	Malformed func(status int) []byte
+	ServerErrorBody func(status int) []byte
 }
 
 // Server is a running HTTP server. It is safe for concurrent use.
@@ -87,8 +87,8 @@
 // Start starts a server, which runs until Shutdown.
 func Start(o Options) (*Server, error) {
 	logging.SetLevel(logging.LevelNone)
-	if o.WatchPeriod <= 0 {
-		o.WatchPeriod = defaultCheckPeriod
+	if o.ClosedCheckPeriod <= 0 {
+		o.ClosedCheckPeriod = defaultCheckPeriod
 	}
 	s := &Server{opts: o, requests: map[*nbio.Conn]context.CancelFunc{}, unflushed: map[*nbio.Conn]struct{}{}, watchDone: make(chan struct{})}
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
@@ -230,7 +230,7 @@
 	h.Set("Retry-After", "1")
 	h.Set("X-Masticbank-Execution", "not_run")
 	w.WriteHeader(http.StatusServiceUnavailable)
-	_, _ = w.Write(s.opts.Malformed(http.StatusServiceUnavailable))
+	_, _ = w.Write(s.opts.ServerErrorBody(http.StatusServiceUnavailable))
 }
 
 // connOf returns the connection of a response, or nil if it is unknown.
@@ -302,7 +302,7 @@
 // so only after the handler that should be canceled.
 func (s *Server) watchConnections(ctx context.Context) {
 	defer close(s.watchDone)
-	ticker := time.NewTicker(s.opts.WatchPeriod)
+	ticker := time.NewTicker(s.opts.ClosedCheckPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -357,7 +357,7 @@
 		status = http.StatusRequestEntityTooLarge
 	}
 	s.rejected.Store(c, struct{}{})
-	if _, err := c.Write(rawResponse(status, s.opts.Malformed(status))); err != nil {
+	if _, err := c.Write(rawResponse(status, s.opts.ServerErrorBody(status))); err != nil {
 		_ = c.CloseWithError(cause)
 	}
 	time.AfterFunc(rejectGracePeriod, func() {
--- a/node/httpserver/server_test.go
+++ b/node/httpserver/server_test.go
@@ -22,7 +22,7 @@
 	s, err := Start(Options{
 		Address: "127.0.0.1:0", MaxBodyBytes: 1024, MaxConnections: 10000, MaxRequests: 1000,
 		IdleTimeout: time.Minute, Handler: h,
-		Malformed: func(status int) []byte { return fmt.Appendf(nil, "%d", status) },
+		ServerErrorBody: func(status int) []byte { return fmt.Appendf(nil, "%d", status) },
 	})
 	require.NoError(t, err)
 	return s
--- a/node/instancelist/endless_test.go
+++ b/node/instancelist/endless_test.go
@@ -13,7 +13,7 @@
 // TestEndlessResponsesAreErrors checks that a size limit ends a call with an endless
 // response. The call has no deadline.
 func TestEndlessResponsesAreErrors(t *testing.T) {
-	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
+	for _, kind := range []map[string][2]string{boundedtest.EndlessHeaders, boundedtest.EndlessBodies} {
 		for name, response := range kind {
 			t.Run(name, func(t *testing.T) {
 				s := boundedtest.Start(t, response)
@@ -21,7 +21,7 @@
 				require.NoError(t, err)
 				_, err = h.List(context.Background())
 				require.Error(t, err)
-				require.Less(t, s.Sent(), boundedtest.Most)
+				require.Less(t, s.Sent(), boundedtest.MaxSentBytes)
 			})
 		}
 	}
--- a/node/loader/calls.go
+++ b/node/loader/calls.go
@@ -58,7 +58,7 @@
 // as the number of queries in a round allows.
 func (l *Loader) dueEngines(targets []Engine) []Engine {
 	now := time.Now()
-	maxQueries := l.opts.Reads
+	maxQueries := l.opts.QueriesPerPeriod
 	if l.active {
 		maxQueries = (maxQueries + activeRoundsPerPeriod - 1) / activeRoundsPerPeriod
 	}
@@ -132,7 +132,7 @@
 			ID: t.Target.ID, Zone: t.Zone, Accelerator: t.Accelerator, MaxLayers: t.MaxLayers,
 			Held: heldBy(last.state), Loading: last.state.Loading,
 			Fence: last.state.Fence, ChecksFence: last.state.Fencing,
-			Live: !down, Unresponsive: unresponsive, Leaving: t.Leaving, Units: t.Units,
+			Live: !down, Unresponsive: unresponsive, Leaving: t.Leaving, Units: t.Sequences,
 		})
 	}
 	l.observed = listed
@@ -185,7 +185,7 @@
 		Fence: o.Fence, Model: o.Target.Model, Version: o.Target.Version,
 		FirstLayer: o.Target.First, LastLayer: o.Target.Last,
 	}
-	if currentEpoch, ok := l.opts.Keeper.Valid(l.opts.Duty); !ok || currentEpoch != epoch {
+	if currentEpoch, ok := l.opts.Keeper.Valid(l.opts.LeaderTask); !ok || currentEpoch != epoch {
 		return resultNotSent
 	}
 	response, err := l.opts.Engines.AssignLayers(ctx, t, order)
--- a/node/loader/loader.go
+++ b/node/loader/loader.go
@@ -16,8 +16,8 @@
 	"masticbank.example/node/engine"
 )
 
-// Duty is the name of the leader task of ordering engines to load models.
-const Duty = "loading"
+// LeaderTask is the name of the leader task of ordering engines to load models.
+const LeaderTask = "loading"
 
 const (
 	defaultPeriod   = 5 * time.Second
@@ -57,8 +57,8 @@
 	Leaving bool
 	// Down is true when requests and probes have shown that the engine is down.
 	Down bool
-	// Units is the number of sequences that the engine serves concurrently; 0 means 1.
-	Units int
+	// Sequences is the number of sequences that the engine serves concurrently; 0 means 1.
+	Sequences int
 }
 
 // Options configures a Loader. Engines, Keeper, Targets and Wanted are required. Run
@@ -66,12 +66,12 @@
 type Options struct {
 	Engines engine.Client
 	Keeper  Keeper
-	// Duty is the name of the leader task; empty means the constant of the same name.
-	Duty string
+	// LeaderTask is the name of the leader task; empty means the constant of the same name.
+	LeaderTask string
 	// Targets returns the engines to manage.
 	Targets func() []Engine
-	// Wanted returns the configured models by name.
-	Wanted func() map[string]config.ModelConfig
+	// Models returns the configured models by name.
+	Models func() map[string]config.ModelConfig
 	// Demand returns the number of sequences that a model has to serve concurrently;
 	// nil means one for each model.
 	Demand func(model string) int
@@ -80,10 +80,10 @@
 	MaxLoads int
 	// Period is the interval between decisions; 0 means 5 s.
 	Period time.Duration
-	// Reads is the number of states queried in a period; 0 means 64. It does not limit
+	// QueriesPerPeriod is the number of states queried in a period; 0 means 64. It does not limit
 	// the queries of all engines when this instance becomes the leader, of changing
 	// engines in every round, and of unresponsive ones in every period.
-	Reads int
+	QueriesPerPeriod int
 	// Terms are the planner's margins; zero means the default ones.
 	Terms  placement.Margins
 	Logger *zap.Logger
@@ -91,13 +91,13 @@
 
 // Status is the state of a Loader after its last decision.
 type Status struct {
-	// Holding is true while this instance is the leader, in the given epoch.
-	Holding bool
-	Epoch   uint64
+	// Leader is true while this instance is the leader, in the given epoch.
+	Leader bool
+	Epoch  uint64
 	// Engines is the number of engines with a known state.
 	Engines int
-	// Silent is the number of these that are unresponsive or down.
-	Silent int
+	// Unresponsive is the number of these that are unresponsive or down.
+	Unresponsive int
 	// Loading is the number of these that are loading.
 	Loading int
 	// MaxLoads is the current limit on concurrent loads, as adapted to refusals of the
@@ -105,8 +105,8 @@
 	MaxLoads int
 	// Outdated is the number of engines with an old version of a configured model.
 	Outdated int
-	// Short lists the models whose demand the engines cannot serve in full.
-	Short []placement.Shortage
+	// Shortages lists the models whose demand the engines cannot serve in full.
+	Shortages []placement.Shortage
 	// Sent is the number of orders sent since the start.
 	Sent int
 	// Failed is the number of these that had no response or were refused.
@@ -136,14 +136,14 @@
 
 // New returns a Loader. It is active only while Run is running.
 func New(o Options) *Loader {
-	if o.Duty == "" {
-		o.Duty = Duty
+	if o.LeaderTask == "" {
+		o.LeaderTask = LeaderTask
 	}
 	if o.Period <= 0 {
 		o.Period = defaultPeriod
 	}
-	if o.Reads <= 0 {
-		o.Reads = defaultQueriesPerPeriod
+	if o.QueriesPerPeriod <= 0 {
+		o.QueriesPerPeriod = defaultQueriesPerPeriod
 	}
 	if o.MaxLoads <= 0 {
 		o.MaxLoads = defaultMaxLoads
@@ -196,7 +196,7 @@
 // round queries the engines and, if necessary, decides and sends the orders. The
 // effects of the orders are observed by the queries of the next rounds.
 func (l *Loader) round(ctx context.Context) {
-	epoch, ok := l.opts.Keeper.Valid(l.opts.Duty)
+	epoch, ok := l.opts.Keeper.Valid(l.opts.LeaderTask)
 	if !ok {
 		l.active = false
 		l.updateStatus(func(s *Status) { *s = Status{Sent: s.Sent, Failed: s.Failed} })
@@ -247,9 +247,9 @@
 	sent, failed := l.sendOrders(ctx, epoch, targets, plan)
 	l.updateStatus(func(s *Status) {
 		*s = Status{
-			Holding: true, Epoch: epoch,
-			Engines: len(engines), Silent: countUnresponsive(engines), Loading: plan.Loading,
-			MaxLoads: l.limit.Value(), Outdated: plan.Outdated, Short: plan.Shortages,
+			Leader: true, Epoch: epoch,
+			Engines: len(engines), Unresponsive: countUnresponsive(engines), Loading: plan.Loading,
+			MaxLoads: l.limit.Value(), Outdated: plan.Outdated, Shortages: plan.Shortages,
 			Sent: s.Sent + sent, Failed: s.Failed + failed,
 		}
 	})
@@ -265,7 +265,7 @@
 // planner.
 func (l *Loader) plannerModels() []placement.Model {
 	var models []placement.Model
-	for name, m := range l.opts.Wanted() {
+	for name, m := range l.opts.Models() {
 		demand := 0
 		if l.opts.Demand != nil {
 			demand = l.opts.Demand(name)
--- a/node/loader/loader_test.go
+++ b/node/loader/loader_test.go
@@ -142,7 +142,7 @@
 	l = New(Options{
 		Engines: e, Keeper: k, MaxLoads: maxLoads, Period: time.Second,
 		Targets: func() []Engine { return e.withDown(targets) },
-		Wanted: func() map[string]config.ModelConfig {
+		Models: func() map[string]config.ModelConfig {
 			return map[string]config.ModelConfig{"m": {Layers: 8, Version: "2"}}
 		},
 	})
@@ -165,7 +165,7 @@
 		require.ErrorIs(t, <-done, context.Canceled)
 		s := l.Status()
 		require.Zero(t, s.Outdated)
-		require.Empty(t, s.Short)
+		require.Empty(t, s.Shortages)
 		require.Equal(t, uint64(7), s.Epoch)
 		require.Equal(t, 1, e.peakLoads)
 		for id, state := range e.states {
@@ -213,7 +213,7 @@
 	x0, x1 := e.stopResponding("x0"), e.stopResponding("x1")
 	sent := l.Status().Sent
 	time.Sleep(2 * time.Second)
-	require.Equal(t, 2, l.Status().Silent)
+	require.Equal(t, 2, l.Status().Unresponsive)
 	require.Equal(t, sent, l.Status().Sent)
 	if down {
 		e.mu.Lock()
@@ -230,7 +230,7 @@
 	e.resumeResponding("x0", x0)
 	e.resumeResponding("x1", x1)
 	time.Sleep(stateExpiry)
-	require.Empty(t, l.Status().Short)
+	require.Empty(t, l.Status().Shortages)
 	cancel()
 	require.ErrorIs(t, <-done, context.Canceled)
 }
--- a/node/logstream/appender.go
+++ b/node/logstream/appender.go
@@ -84,11 +84,11 @@
 	return &Appender{log: log, stream: stream, opts: opts, wake: make(chan struct{}, 1)}
 }
 
-// Start queues records, which will share one append, and returns a channel that
+// AppendAsync queues records, which will share one append, and returns a channel that
 // receives one result: nil when the records are in the log, an error matching
 // ErrRejected if they never will be, or the error of ctx if the outcome is unknown. It
 // returns ErrQueueFull if the queue is full, and ErrStopped after Run has returned.
-func (a *Appender) Start(ctx context.Context, records ...[]byte) (<-chan error, error) {
+func (a *Appender) AppendAsync(ctx context.Context, records ...[]byte) (<-chan error, error) {
 	p := &pending{ctx: ctx, records: records, done: make(chan error, 1)}
 	for _, data := range records {
 		p.size += len(data)
@@ -119,7 +119,7 @@
 
 // Append queues one record and waits until the result of its append is known.
 func (a *Appender) Append(ctx context.Context, data []byte) error {
-	done, err := a.Start(ctx, data)
+	done, err := a.AppendAsync(ctx, data)
 	if err != nil {
 		return err
 	}
--- a/node/logstream/endless_test.go
+++ b/node/logstream/endless_test.go
@@ -14,7 +14,7 @@
 // TestEndlessResponsesAreErrors checks that a size limit ends a call with an endless
 // response. The timeout is too long to do so.
 func TestEndlessResponsesAreErrors(t *testing.T) {
-	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
+	for _, kind := range []map[string][2]string{boundedtest.EndlessHeaders, boundedtest.EndlessBodies} {
 		for name, response := range kind {
 			t.Run(name, func(t *testing.T) {
 				s := boundedtest.Start(t, response)
@@ -22,7 +22,7 @@
 				_, err := h.Read(context.Background(), "s", 0, 1, 0)
 				require.Error(t, err)
 				require.NotErrorIs(t, err, context.DeadlineExceeded)
-				require.Less(t, s.Sent(), boundedtest.Most)
+				require.Less(t, s.Sent(), boundedtest.MaxSentBytes)
 			})
 		}
 	}
--- a/node/logstream/logtest/logtest.go
+++ b/node/logstream/logtest/logtest.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// LoseNext makes the next n appends take effect but return ErrUnavailable, as if the
+// LoseResponses makes the next n appends take effect but return ErrUnavailable, as if the
 // response was lost.
-func (l *Log) LoseNext(n int) {
+func (l *Log) LoseResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.responsesToLose = n
--- a/node/orders/do.go
+++ b/node/orders/do.go
@@ -92,7 +92,7 @@
 	}
 	ctx, cancel := context.WithDeadline(a.claimCtx, e.Until)
 	context.AfterFunc(ctx, cancel)
-	_, err = a.coordinator.opts.Appender.Start(ctx, data)
+	_, err = a.coordinator.opts.Appender.AppendAsync(ctx, data)
 	return err == nil
 }
 
--- a/node/orders/orders_test.go
+++ b/node/orders/orders_test.go
@@ -76,7 +76,7 @@
 // response, although responses of the log are lost.
 func TestConcurrentCallsWithOneKeyRunOnce(t *testing.T) {
 	runPair(t, func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator) {
-		log.LoseNext(2)
+		log.LoseResponses(2)
 		s := &service{}
 		results := make([]order.Result, 6)
 		var wg sync.WaitGroup
--- a/node/peer/endless_test.go
+++ b/node/peer/endless_test.go
@@ -24,7 +24,7 @@
 			defer conn.Close()
 			_, err = newHandshake(optionsWith("a", []byte("0123456789abcdef")), 0).dial(context.Background(), conn)
 			require.Error(t, err)
-			require.Less(t, s.Sent(), boundedtest.Most)
+			require.Less(t, s.Sent(), boundedtest.MaxSentBytes)
 		})
 	}
 }
--- a/node/service/endless_test.go
+++ b/node/service/endless_test.go
@@ -15,7 +15,7 @@
 // An endless response header or body must end the call with an error. The call has no
 // deadline, so that only the size limit can end it.
 func TestEndlessResponsesAreErrors(t *testing.T) {
-	for _, kind := range []map[string][2]string{boundedtest.Heads, boundedtest.Bodies} {
+	for _, kind := range []map[string][2]string{boundedtest.EndlessHeaders, boundedtest.EndlessBodies} {
 		for name, response := range kind {
 			t.Run(name, func(t *testing.T) {
 				s := boundedtest.Start(t, response)
@@ -25,7 +25,7 @@
 				var failure *service.Error
 				require.ErrorAs(t, err, &failure)
 				require.Equal(t, execution.Unknown, failure.Execution, "%v", failure.Err)
-				require.Less(t, s.Sent(), boundedtest.Most)
+				require.Less(t, s.Sent(), boundedtest.MaxSentBytes)
 			})
 		}
 	}
--- a/node/service/service.go
+++ b/node/service/service.go
@@ -70,13 +70,13 @@
 			MaxIdleConnsPerHost:    idlePerHost,
 			IdleConnTimeout:        idleTimeout,
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: bounded.HeadBytes,
+			MaxResponseHeaderBytes: bounded.MaxHeaderBytes,
 		},
 		unpooled: &http.Transport{
 			DialContext:            d.DialContext,
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: bounded.HeadBytes,
+			MaxResponseHeaderBytes: bounded.MaxHeaderBytes,
 		},
 	}
 }
