--- a/cmd/internal/local/agreement_test.go
+++ b/cmd/internal/local/agreement_test.go
@@ -30,9 +30,9 @@
 
 // trialCluster returns the given instances of the cluster as targets of package trial.
 func (c *Cluster) trialCluster(apps ...*app.App) *trial.Cluster {
-	out := &trial.Cluster{AdminKey: AdminKey, Key: APIKey, Control: c.Fleet.Addresses().Control}
+	out := &trial.Cluster{AdminKey: AdminKey, APIKey: APIKey, Control: c.Fleet.Addresses().Control}
 	for _, a := range apps {
-		out.Instances = append(out.Instances, trial.Instance{Caller: a.ClientAddr(), Admin: "http://" + a.AdminAddr()})
+		out.Instances = append(out.Instances, trial.Instance{ClientAddress: a.ClientAddr(), Admin: "http://" + a.AdminAddr()})
 	}
 	return out
 }
@@ -84,7 +84,7 @@
 	result := make(chan *trial.LoadResult, 1)
 	go func() {
 		result <- c.trialCluster(c.Apps...).Load(ctx, trial.LoadOptions{
-			Model: "dev", Layers: 12, Tokens: 24, Callers: 8, KeepAlive: true,
+			Model: "dev", Layers: 12, Tokens: 24, Clients: 8, KeepAlive: true,
 		})
 	}()
 	leaving := c.Apps[0]
--- a/cmd/internal/trial/cluster.go
+++ b/cmd/internal/trial/cluster.go
@@ -28,8 +28,8 @@
 
 // Instance holds the addresses of one entry instance.
 type Instance struct {
-	// Caller is the address for client requests, host:port.
-	Caller string
+	// ClientAddress is the address for client requests, host:port.
+	ClientAddress string
 	// Admin is the base URL of the administration API.
 	Admin string
 }
@@ -39,8 +39,8 @@
 type Cluster struct {
 	Instances []Instance
 	AdminKey  string
-	// Key is the API key of a workspace.
-	Key string
+	// APIKey is the API key of a workspace.
+	APIKey string
 	// Control is the control address of the stand-ins, host:port.
 	Control string
 }
--- a/cmd/internal/trial/load.go
+++ b/cmd/internal/trial/load.go
@@ -33,8 +33,8 @@
 	Model  string
 	Layers int
 	Tokens int
-	// Callers is the number of clients. Each has one request in progress.
-	Callers int
+	// Clients is the number of clients. Each has one request in progress.
+	Clients int
 	// KeepAlive lets requests share connections. Without it each request opens its
 	// own connection, as behind a load balancer without connection reuse.
 	KeepAlive bool
@@ -132,7 +132,7 @@
 	for k := range uint64(len(b.instances)) {
 		i := (start + k) % uint64(len(b.instances))
 		if b.ready[i].Load() {
-			return b.instances[i].Caller
+			return b.instances[i].ClientAddress
 		}
 	}
 	return ""
@@ -156,10 +156,10 @@
 		cluster: c, options: o, result: &LoadResult{Codes: make(map[string]int)},
 		balancer: startBalancer(balancerCtx, &readinessChecks, c.Instances),
 		client: &http.Client{Timeout: responseTimeout, Transport: &http.Transport{
-			DisableKeepAlives: !o.KeepAlive, MaxIdleConnsPerHost: o.Callers,
+			DisableKeepAlives: !o.KeepAlive, MaxIdleConnsPerHost: o.Clients,
 		}},
 	}
-	for n := range o.Callers {
+	for n := range o.Clients {
 		clients.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
 				r.sendNext(ctx, fmt.Sprintf("caller %d asks %d", n, k))
@@ -207,7 +207,7 @@
 	if err != nil {
 		return failed, err.Error()
 	}
-	req.Header.Set("Authorization", "Bearer "+r.cluster.Key)
+	req.Header.Set("Authorization", "Bearer "+r.cluster.APIKey)
 	resp, err := r.client.Do(req)
 	if err != nil {
 		if classifyConnectionError(err) == outcomeNotConnected {
--- a/cmd/internal/trial/orders.go
+++ b/cmd/internal/trial/orders.go
@@ -32,11 +32,11 @@
 type OrderOptions struct {
 	// Path is the request path for orders.
 	Path string
-	// Callers is the number of concurrent clients.
-	Callers int
-	// Lasting is the duration in which clients start orders with new keys.
-	Lasting time.Duration
-	Seed    uint64
+	// Clients is the number of concurrent clients.
+	Clients int
+	// Duration is the duration in which clients start orders with new keys.
+	Duration time.Duration
+	Seed     uint64
 }
 
 // OrdersResult is the result of Orders.
@@ -101,10 +101,10 @@
 		cluster: c, options: o, client: &http.Client{Timeout: orderTimeout},
 		result: &OrdersResult{Answers: make(map[string]int)},
 	}
-	sendCtx, cancel := context.WithTimeout(ctx, o.Lasting)
+	sendCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
 	var group sync.WaitGroup
-	for n := range o.Callers {
+	for n := range o.Clients {
 		group.Go(func() { r.runClient(ctx, sendCtx, n) })
 	}
 	group.Wait()
@@ -178,12 +178,12 @@
 )
 
 func (r *orderRun) send(ctx context.Context, key string, first bool, i int) (outcome, body string) {
-	url := "http://" + r.cluster.Instances[i].Caller + r.options.Path
+	url := "http://" + r.cluster.Instances[i].ClientAddress + r.options.Path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(`{"item":"`+key+`"}`))
 	if err != nil {
 		return err.Error(), ""
 	}
-	req.Header.Set("Authorization", "Bearer "+r.cluster.Key)
+	req.Header.Set("Authorization", "Bearer "+r.cluster.APIKey)
 	req.Header.Set("Idempotency-Key", key)
 	if first {
 		req.Header.Set("X-Masticbank-First-Use", "true")
--- a/cmd/internal/trial/slots.go
+++ b/cmd/internal/trial/slots.go
@@ -89,9 +89,9 @@
 	return n
 }
 
-// KillOne loads all instances, kills the last one, whose process ID is pid, and
+// KillLastInstance loads all instances, kills the last one, whose process ID is pid, and
 // measures the time until the others use its slots.
-func (c *Cluster) KillOne(ctx context.Context, o LoadOptions, pid int) (*KillResult, error) {
+func (c *Cluster) KillLastInstance(ctx context.Context, o LoadOptions, pid int) (*KillResult, error) {
 	loadCtx, stop := context.WithCancel(ctx)
 	result := make(chan *LoadResult, 1)
 	go func() { result <- c.Load(loadCtx, o) }()
@@ -161,9 +161,9 @@
 // ticksPerSecond is the unit of CPU times in /proc (USER_HZ).
 const ticksPerSecond = 100
 
-// Use measures the resource usage of the instances, with the given process IDs,
+// MeasureUsage measures the resource usage of the instances, with the given process IDs,
 // over the given duration.
-func (c *Cluster) Use(ctx context.Context, pids []int, lasting time.Duration) (Usage, error) {
+func (c *Cluster) MeasureUsage(ctx context.Context, pids []int, lasting time.Duration) (Usage, error) {
 	start := time.Now()
 	before, err := c.usageTotals(ctx, pids)
 	if err != nil {
--- a/cmd/masticctl/trial.go
+++ b/cmd/masticctl/trial.go
@@ -36,9 +36,9 @@
 	if len(f.Target) != len(f.Admin) {
 		return nil, &command.UsageError{Err: fmt.Errorf("%d --target but %d --admin", len(f.Target), len(f.Admin))}
 	}
-	c := &trial.Cluster{AdminKey: f.Key, Key: f.APIKey, Control: f.Control}
+	c := &trial.Cluster{AdminKey: f.Key, APIKey: f.APIKey, Control: f.Control}
 	for i := range f.Target {
-		c.Instances = append(c.Instances, trial.Instance{Caller: f.Target[i], Admin: f.Admin[i]})
+		c.Instances = append(c.Instances, trial.Instance{ClientAddress: f.Target[i], Admin: f.Admin[i]})
 	}
 	return c, nil
 }
@@ -110,7 +110,7 @@
 		return err
 	}
 	out, err := c.Orders(context.Background(), trial.OrderOptions{
-		Path: t.Path, Callers: t.Clients, Lasting: t.Duration, Seed: t.Seed,
+		Path: t.Path, Clients: t.Clients, Duration: t.Duration, Seed: t.Seed,
 	})
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 }
 
 func (t *streamFlags) options() trial.LoadOptions {
-	return trial.LoadOptions{Model: t.Model, Layers: t.Layers, Tokens: t.Tokens, Callers: t.Clients, KeepAlive: t.KeepAlive}
+	return trial.LoadOptions{Model: t.Model, Layers: t.Layers, Tokens: t.Tokens, Clients: t.Clients, KeepAlive: t.KeepAlive}
 }
 
 type trialLoadCmd struct {
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	out, err := c.KillOne(context.Background(), t.options(), t.PID)
+	out, err := c.KillLastInstance(context.Background(), t.options(), t.PID)
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	out, err := c.Use(context.Background(), t.PID, t.Duration)
+	out, err := c.MeasureUsage(context.Background(), t.PID, t.Duration)
 	if err != nil {
 		return err
 	}
