--- a/cmd/internal/load/check.go
+++ b/cmd/internal/load/check.go
@@ -66,11 +66,11 @@
 
 // fetchCheck returns what the stand-ins have recorded so far; nil without a control
 // address.
-func (c *client) fetchCheck(ctx context.Context) (*fleet.Check, error) {
+func (c *client) fetchCheck(ctx context.Context) (*fleet.CheckResult, error) {
 	if c.scenario.Control == "" {
 		return nil, nil
 	}
-	check := new(fleet.Check)
+	check := new(fleet.CheckResult)
 	return check, c.callControl(ctx, http.MethodGet, fleet.PathCheck, nil, check)
 }
 
@@ -107,7 +107,7 @@
 
 // checkSince compares the records that the stand-ins made after before with the
 // responses to the samples.
-func (c *client) checkSince(ctx context.Context, before *fleet.Check, samples []sample) (*Checks, error) {
+func (c *client) checkSince(ctx context.Context, before *fleet.CheckResult, samples []sample) (*Checks, error) {
 	after, err := c.fetchCheck(ctx)
 	if err != nil || after == nil {
 		return nil, trace.Wrap(err)
--- a/cmd/internal/load/expected.go
+++ b/cmd/internal/load/expected.go
@@ -45,7 +45,7 @@
 		prompt = "user: " + prompt
 	}
 	var b strings.Builder
-	for _, token := range engine.Expected(e.model, e.layers, prompt, a.maxTokens) {
+	for _, token := range engine.ExpectedTokens(e.model, e.layers, prompt, a.maxTokens) {
 		b.WriteString(token.Text)
 	}
 	return b.String(), true
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -47,7 +47,7 @@
 
 func expectedText(body requestBody) string {
 	var b strings.Builder
-	for _, token := range engine.Expected("dev", 12, "user: "+body.Messages[0].Content, body.MaxTokens) {
+	for _, token := range engine.ExpectedTokens("dev", 12, "user: "+body.Messages[0].Content, body.MaxTokens) {
 		b.WriteString(token.Text)
 	}
 	return b.String()
--- a/cmd/internal/local/local_test.go
+++ b/cmd/internal/local/local_test.go
@@ -84,7 +84,7 @@
 // expectedText returns the text that model "dev" generates for the prompt.
 func (c *Cluster) expectedText(prompt string, n int) string {
 	var b strings.Builder
-	for _, tok := range c.Fleet.Expected("dev", prompt, n) {
+	for _, tok := range c.Fleet.ExpectedTokens("dev", prompt, n) {
 		b.WriteString(tok.Text)
 	}
 	return b.String()
--- a/cmd/internal/trial/load.go
+++ b/cmd/internal/trial/load.go
@@ -259,7 +259,7 @@
 
 func (r *loadRun) expected(prompt string) string {
 	var b strings.Builder
-	for _, token := range engine.Expected(r.options.Model, r.options.Layers, prompt, r.options.Tokens) {
+	for _, token := range engine.ExpectedTokens(r.options.Model, r.options.Layers, prompt, r.options.Tokens) {
 		b.WriteString(token.Text)
 	}
 	return b.String()
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -107,7 +107,7 @@
 				require.Empty(t, e.Violations())
 			}
 		}
-		require.Equal(t, Expected(testModel, testLayers, testPrompt, n), tokens)
+		require.Equal(t, ExpectedTokens(testModel, testLayers, testPrompt, n), tokens)
 		require.Empty(t, checker.Violations())
 	})
 }
@@ -115,7 +115,7 @@
 // TestOutputDependsOnEveryLayer checks that the output changes if a layer is skipped, run
 // twice or run out of order.
 func TestOutputDependsOnEveryLayer(t *testing.T) {
-	right := Expected(testModel, testLayers, testPrompt, 1)[0]
+	right := ExpectedTokens(testModel, testLayers, testPrompt, 1)[0]
 	run := func(layers ...int) wire.Token {
 		states := make([]layerState, testLayers)
 		hidden := embedPrompt(testModel, testPrompt)
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -73,10 +73,10 @@
 	return string(append(text, ' '))
 }
 
-// Expected returns the n tokens that a model with the given number of layers generates
+// ExpectedTokens returns the n tokens that a model with the given number of layers generates
 // for the prompt. They do not depend on the tiling of the layers or on where an attempt
 // was resumed. The last one has finish reason "length".
-func Expected(model string, layers int, prompt string, n int) []wire.Token {
+func ExpectedTokens(model string, layers int, prompt string, n int) []wire.Token {
 	states := make([]layerState, layers)
 	tokens := make([]wire.Token, 0, n)
 	input := embedPrompt(model, prompt)
--- a/standin/fleet/control.go
+++ b/standin/fleet/control.go
@@ -33,8 +33,8 @@
 	Ran map[string]bool `json:"ran"`
 }
 
-// Check summarizes what the stand-ins have recorded since their start.
-type Check struct {
+// CheckResult summarizes what the stand-ins have recorded since their start.
+type CheckResult struct {
 	// Violations holds every gap and repetition of model steps.
 	Violations []engine.Violation `json:"violations"`
 	// Orders is the number of orders recorded by all services.
@@ -44,8 +44,8 @@
 }
 
 // Check returns a summary of what the stand-ins have recorded.
-func (f *Fleet) Check() Check {
-	return Check{
+func (f *Fleet) Check() CheckResult {
+	return CheckResult{
 		Violations:   f.Violations(),
 		Orders:       f.Orders(),
 		RepeatedKeys: f.RepeatedOrders(),
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	require.Equal(t, f.Expected("dev", "hello", n), tokens)
+	require.Equal(t, f.ExpectedTokens("dev", "hello", n), tokens)
 	require.Empty(t, f.Violations())
 	records := f.Records(RecordsQuery{Requests: []string{"r", "other"}, Keys: []string{"none"}})
 	require.Equal(t, Records{Orders: map[string]int{}, Ran: map[string]bool{"r": true}}, records)
--- a/standin/fleet/query.go
+++ b/standin/fleet/query.go
@@ -31,12 +31,12 @@
 // ServiceRecords returns the records of a service, or nil if there is no such service.
 func (f *Fleet) ServiceRecords(name string) *service.Records { return f.serviceRecords[name] }
 
-// Expected returns the n tokens that a model of the fleet generates for the prompt, or
+// ExpectedTokens returns the n tokens that a model of the fleet generates for the prompt, or
 // nil if there is no such model.
-func (f *Fleet) Expected(model, prompt string, n int) []wire.Token {
+func (f *Fleet) ExpectedTokens(model, prompt string, n int) []wire.Token {
 	for _, m := range f.spec.Models {
 		if m.Name == model {
-			return engine.Expected(model, m.Layers, prompt, n)
+			return engine.ExpectedTokens(model, m.Layers, prompt, n)
 		}
 	}
 	return nil
