--- a/cmd/internal/entry/crash_test.go
+++ b/cmd/internal/entry/crash_test.go
@@ -40,7 +40,7 @@
 	for i := range replicas {
 		r := f.newReplica(fmt.Sprintf("i-%d", i))
 		f.replicas = append(f.replicas, r)
-		r.Set(platformtest.Behavior{CrashOn: crashBody})
+		r.SetBehavior(platformtest.Behavior{CrashOn: crashBody})
 		f.publishProcess(r, service, f.startTime, layers...)
 		r.OnCrash(func() { f.restartReplica(r, service, layers...) })
 	}
@@ -168,7 +168,7 @@
 			t.Parallel()
 			f := newFleet(t, c.service, 4, 2, c.layers...)
 			for _, r := range f.replicas {
-				r.Set(platformtest.Behavior{CrashOn: crashBody, CrashAfter: c.after})
+				r.SetBehavior(platformtest.Behavior{CrashOn: crashBody, CrashAfter: c.after})
 			}
 			last := f.sendCopies(8, c.method, c.path, crashBody)
 			require.LessOrEqual(t, f.crashes(), maxCrashes)
@@ -223,13 +223,13 @@
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 1)
 	for _, r := range f.replicas {
-		r.Set(platformtest.Behavior{Lose: true})
+		r.SetBehavior(platformtest.Behavior{DropResponse: true})
 	}
 	for range 6 {
 		require.Equal(t, 502, f.send("GET", "/look/1", "key1", "x").status)
 	}
 	for _, r := range f.replicas {
-		r.Set(platformtest.Behavior{Hang: true})
+		r.SetBehavior(platformtest.Behavior{Hang: true})
 	}
 	for range 2 {
 		f.send("GET", "/look/1", "key1", "x")
@@ -243,7 +243,7 @@
 	for _, r := range f.replicas[1:] {
 		r.Crash()
 	}
-	f.replicas[0].Set(platformtest.Behavior{})
+	f.replicas[0].SetBehavior(platformtest.Behavior{})
 	f.eventually(func() bool { return f.send("GET", "/look/1", "key1", "x").status == 200 }, "the request is served")
 }
 
@@ -256,7 +256,7 @@
 	f.sendCopies(5, "GET", "/look/1", crashBody)
 	require.Equal(t, 503, f.send("GET", "/look/1", "key1", crashBody).status)
 	for _, r := range f.replicas {
-		r.Set(platformtest.Behavior{})
+		r.SetBehavior(platformtest.Behavior{})
 	}
 	require.Equal(t, 503, f.send("GET", "/look/1", "key1", crashBody).status)
 	require.Equal(t, 200, f.send("GET", "/look/1", "key2", crashBody).status)
@@ -279,7 +279,7 @@
 	}
 	f.eventually(func() bool { return f.send("POST", "/chat/1", "key1", "x").status == 200 }, "a path is available")
 	crashed := make(chan string, 64)
-	first.Set(platformtest.Behavior{CrashStageOn: crashBody, OnStageCrash: func(address string) {
+	first.SetBehavior(platformtest.Behavior{CrashStageOn: crashBody, OnStageCrash: func(address string) {
 		crashed <- address
 		byAddress[address].Crash()
 	}})
--- a/cmd/internal/entry/endless_test.go
+++ b/cmd/internal/entry/endless_test.go
@@ -20,7 +20,7 @@
 	w.start()
 	for size, delivered := range map[int]bool{longest: true, longest + 1: false} {
 		for path, r := range map[string]*platformtest.Replica{"/order/1": a, "/chat/1": b} {
-			r.Set(platformtest.Behavior{Status: 500, BodyBytes: size})
+			r.SetBehavior(platformtest.Behavior{Status: 500, BodyBytes: size})
 			got := w.send("POST", path, "key1", "x")
 			if delivered {
 				require.Equal(t, 500, got.status, path)
--- a/cmd/internal/entry/entry_test.go
+++ b/cmd/internal/entry/entry_test.go
@@ -175,26 +175,26 @@
 	w.publishEntry(b, "plain", "ready")
 	w.start()
 
-	a.Set(platformtest.Behavior{Lose: true})
-	b.Set(platformtest.Behavior{Lose: true})
+	a.SetBehavior(platformtest.Behavior{DropResponse: true})
+	b.SetBehavior(platformtest.Behavior{DropResponse: true})
 	got := w.send("POST", "/order/1", "key1", "x")
 	require.Equal(t, 502, got.status, "the order may have run")
 	require.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 
-	a.Set(platformtest.Behavior{Reject: true})
-	b.Set(platformtest.Behavior{})
+	a.SetBehavior(platformtest.Behavior{Reject: true})
+	b.SetBehavior(platformtest.Behavior{})
 	require.Equal(t, 200, w.send("POST", "/order/2", "key1", "x").status, "a rejected order is sent to another replica")
 
-	b.Set(platformtest.Behavior{Reject: true})
+	b.SetBehavior(platformtest.Behavior{Reject: true})
 	got = w.send("POST", "/order/3", "key1", "x")
 	require.Equal(t, 503, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 
-	a.Set(platformtest.Behavior{OtherID: true})
+	a.SetBehavior(platformtest.Behavior{OtherID: true})
 	got = w.send("POST", "/order/4", "key1", "x")
 	require.Equal(t, 502, got.status, "a response to another request is not accepted")
 
-	a.Set(platformtest.Behavior{Unsigned: true})
+	a.SetBehavior(platformtest.Behavior{Unsigned: true})
 	got = w.send("POST", "/order/5", "key1", "x")
 	require.Equal(t, 502, got.status, "a success without a signature is not accepted")
 
@@ -211,12 +211,12 @@
 	w.publishEntry(a, "plain", "ready")
 	w.publishEntry(b, "plain", "ready")
 	w.start()
-	a.Set(platformtest.Behavior{Lose: true})
+	a.SetBehavior(platformtest.Behavior{DropResponse: true})
 	for range 4 {
 		require.Equal(t, 200, w.send("GET", "/look/1", "key1", "").status)
 	}
-	a.Set(platformtest.Behavior{Status: 500})
-	b.Set(platformtest.Behavior{Status: 500})
+	a.SetBehavior(platformtest.Behavior{Status: 500})
+	b.SetBehavior(platformtest.Behavior{Status: 500})
 	got := w.send("GET", "/look/1", "key1", "")
 	require.Equal(t, 500, got.status, "the replica's own error is forwarded")
 	require.NotEmpty(t, platformtest.Signature(got.header))
@@ -245,17 +245,17 @@
 	w.publishEntry(a, "llm", "ready", 0, 4)
 	w.publishEntry(b, "llm", "ready", 0, 4)
 	w.start()
-	for i, set := range []platformtest.Behavior{{BreakAfter: 3}, {Lose: true}, {Reject: true}} {
-		a.Set(set)
-		b.Set(platformtest.Behavior{})
+	for i, set := range []platformtest.Behavior{{BreakAfter: 3}, {DropResponse: true}, {Reject: true}} {
+		a.SetBehavior(set)
+		b.SetBehavior(platformtest.Behavior{})
 		for range 3 {
 			got := w.send("POST", "/chat/1", "key1", "prompt")
 			require.NoError(t, got.err, "case %d", i)
 			require.Equal(t, completeStream(), got.body, "case %d", i)
 		}
 	}
-	a.Set(platformtest.Behavior{BreakAfter: 2})
-	b.Set(platformtest.Behavior{BreakAfter: 2})
+	a.SetBehavior(platformtest.Behavior{BreakAfter: 2})
+	b.SetBehavior(platformtest.Behavior{BreakAfter: 2})
 	got := w.send("POST", "/chat/1", "key1", "prompt")
 	require.Error(t, got.err, "a stream that cannot be resumed must not look complete")
 }
@@ -282,7 +282,7 @@
 		return w.send("POST", "/chat/1", "key1", "prompt").status == 200 && w.store.Calls("/-/log-read") > 3
 	}, "the entry of the spare replica is read")
 	b.StallAfter, b.UnresponsiveStage = 2, dead.Address()
-	first.Set(b)
+	first.SetBehavior(b)
 	got := w.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
 	require.Equal(t, completeStream(), strings.ReplaceAll(got.body, ": still here\n\n", ""))
@@ -302,7 +302,7 @@
 	a := w.newReplica("i-1")
 	w.publishEntry(a, "llm", "ready", 0, 4)
 	w.start()
-	a.Set(platformtest.Behavior{EventPause: time.Second})
+	a.SetBehavior(platformtest.Behavior{EventPause: time.Second})
 	got := w.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
 	require.Equal(t, completeStream(), got.body)
@@ -378,7 +378,7 @@
 	a := w.newReplica("i-a")
 	w.publishEntry(a, "llm", "ready", 0, 4)
 	w.start()
-	a.Set(platformtest.Behavior{StallAfter: 2, UnresponsiveStage: "127.0.0.1:9"})
+	a.SetBehavior(platformtest.Behavior{StallAfter: 2, UnresponsiveStage: "127.0.0.1:9"})
 	req, err := platformtest.NewRequest(w.instance.ClientAddr(), "POST", "/chat/1", "stopping", "key1", "prompt")
 	require.NoError(t, err)
 	resp, err := w.client.Do(req)
--- a/cmd/internal/entry/replica_status_test.go
+++ b/cmd/internal/entry/replica_status_test.go
@@ -38,7 +38,7 @@
 	w.publishEntry(a, "plain", "ready")
 	w.publishEntry(b, "plain", "ready")
 	w.start()
-	a.Set(platformtest.Behavior{Leaving: true})
+	a.SetBehavior(platformtest.Behavior{Leaving: true})
 	before := len(a.Runs())
 	w.eventually(func() bool {
 		w.send("GET", "/look/1", "key1", "")
@@ -61,7 +61,7 @@
 	require.Zero(t, arrivedAfter(a, stated))
 
 	w.startTime++
-	a.Set(platformtest.Behavior{})
+	a.SetBehavior(platformtest.Behavior{})
 	w.publishEntry(a, "plain", "ready")
 	w.eventually(func() bool {
 		w.send("GET", "/look/1", "key1", "")
@@ -78,15 +78,15 @@
 		f.send("POST", "/chat/1", "key1", "x")
 		return len(a.Runs()) > 0
 	}, "the replica is used")
-	a.Set(platformtest.Behavior{Leaving: true})
-	b.Set(platformtest.Behavior{Reject: true})
+	a.SetBehavior(platformtest.Behavior{Leaving: true})
+	b.SetBehavior(platformtest.Behavior{Reject: true})
 	before := len(a.Runs())
 	f.eventually(func() bool {
 		got := f.send("POST", "/chat/1", "key1", "x")
 		return got.status == http.StatusOK && len(a.Runs()) > before
 	}, "a stream completes on the leaving replica")
 	stated := time.Now()
-	b.Set(platformtest.Behavior{})
+	b.SetBehavior(platformtest.Behavior{})
 	time.Sleep(500 * time.Millisecond)
 	for k := range 20 {
 		f.instance = f.instances[k%2]
@@ -104,8 +104,8 @@
 	w.publishEntry(a, "plain", "ready")
 	w.publishEntry(b, "plain", "ready")
 	w.start()
-	asks := platformtest.Behavior{Reject: true, Pause: fmt.Sprint(pauseSeconds)}
-	a.Set(asks)
+	asks := platformtest.Behavior{Reject: true, RetryAfter: fmt.Sprint(pauseSeconds)}
+	a.SetBehavior(asks)
 	w.eventually(func() bool {
 		w.send("GET", "/look/1", "key1", "")
 		return len(a.Arrivals()) > 0
@@ -118,7 +118,7 @@
 	require.Len(t, a.Arrivals(), 1)
 
 	// All replicas ask for a pause: the client gets the shortest remaining time at once.
-	b.Set(asks)
+	b.SetBehavior(asks)
 	w.send("GET", "/look/1", "key1", "")
 	began := time.Now()
 	got := w.send("GET", "/look/1", "key1", "")
@@ -140,7 +140,7 @@
 	w.publishEntry(other, "llm", "ready", 0, 4)
 	w.publishEntry(stage, "llm", "ready", 2, 4)
 	w.start()
-	first.Set(platformtest.Behavior{Reject: true, RejectStage: stage.Address(), Pause: fmt.Sprint(pauseSeconds)})
+	first.SetBehavior(platformtest.Behavior{Reject: true, RejectStage: stage.Address(), RetryAfter: fmt.Sprint(pauseSeconds)})
 	w.eventually(func() bool {
 		w.send("POST", "/chat/1", "key1", "x")
 		return len(first.Arrivals()) > 0
--- a/cmd/internal/soak/environment.go
+++ b/cmd/internal/soak/environment.go
@@ -122,7 +122,7 @@
 	if r.model {
 		entry = r.ModelEntry("llm", "z", "ready", r.startTime, r.heartbeat, 0, modelLayers)
 	}
-	env.store.PutJSON(platform.ReplicaTopic, r.ID, platformtest.At(entry, r.proxy.Address()))
+	env.store.PutJSON(platform.ReplicaTopic, r.ID, platformtest.WithAddress(entry, r.proxy.Address()))
 }
 
 // writeHeartbeats writes the entries of all replicas periodically until ctx ends.
@@ -148,7 +148,7 @@
 	r.mu.Unlock()
 	r.Crash()
 	time.Sleep(down)
-	r.Set(platformtest.Behavior{})
+	r.SetBehavior(platformtest.Behavior{})
 	r.mu.Lock()
 	r.heartbeatsPaused, r.startTime, r.heartbeat, r.restartTimes = false, r.startTime+1, 0, append(r.restartTimes, time.Now())
 	r.mu.Unlock()
--- a/cmd/internal/soak/fault.go
+++ b/cmd/internal/soak/fault.go
@@ -46,9 +46,9 @@
 // random time.
 func temporaryBehavior(behavior func(random *rand.Rand) platformtest.Behavior) func(*environment, *Recorder, *rand.Rand) {
 	return replicaFault(func(_ *environment, r *replica, _ *Recorder, random *rand.Rand) {
-		r.Set(behavior(random))
+		r.SetBehavior(behavior(random))
 		time.Sleep(randomDuration(random, 300*time.Millisecond, 1500*time.Millisecond))
-		r.Set(platformtest.Behavior{})
+		r.SetBehavior(platformtest.Behavior{})
 	})
 }
 
@@ -97,8 +97,8 @@
 			time.Sleep(randomDuration(random, 300*time.Millisecond, 3*time.Second))
 			env.store.Fail(0)
 		}},
-		{"store loses answers", false, func(env *environment, _ *Recorder, random *rand.Rand) { env.store.LoseAnswers(1 + random.IntN(8)) }},
-		{"store forgets history", false, func(env *environment, _ *Recorder, _ *rand.Rand) { env.store.Forget(platform.ReplicaTopic) }},
+		{"store loses answers", false, func(env *environment, _ *Recorder, random *rand.Rand) { env.store.DropResponses(1 + random.IntN(8)) }},
+		{"store forgets history", false, func(env *environment, _ *Recorder, _ *rand.Rand) { env.store.DeleteHistory(platform.ReplicaTopic) }},
 	}
 }
 
@@ -108,7 +108,7 @@
 			restartReplica(env, r, rec, randomDuration(random, 200*time.Millisecond, 2*time.Second))
 		})},
 		{"replica leaves", false, replicaFault(func(env *environment, r *replica, rec *Recorder, random *rand.Rand) {
-			r.Set(platformtest.Behavior{Leaving: true})
+			r.SetBehavior(platformtest.Behavior{Leaving: true})
 			time.Sleep(randomDuration(random, 2500*time.Millisecond, 4*time.Second))
 			restartReplica(env, r, rec, 200*time.Millisecond)
 		})},
@@ -119,9 +119,9 @@
 		})},
 		{"replica rejects", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Reject: true} })},
 		{"replica asks for a pause", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior {
-			return platformtest.Behavior{Reject: true, Pause: "0.7"}
+			return platformtest.Behavior{Reject: true, RetryAfter: "0.7"}
 		})},
-		{"answers lost", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Lose: true} })},
+		{"answers lost", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{DropResponse: true} })},
 		{"answers of other requests", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{OtherID: true} })},
 		{"answers unsigned", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Unsigned: true} })},
 		{"streams broken off", false, temporaryBehavior(func(random *rand.Rand) platformtest.Behavior {
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -295,7 +295,7 @@
 // mean that the request did not run.
 func (g *Gateway) sendRefusal(c *call, status int, reason string, retryAfter time.Duration, extra ...zap.Field) {
 	h := c.writer.Header()
-	for k, v := range g.opts.Codec.Refusal(c.ID, retryAfter) {
+	for k, v := range g.opts.Codec.RouterError(c.ID, retryAfter) {
 		h[k] = v
 	}
 	c.writer.WriteHeader(status)
--- a/node/gateway/port.go
+++ b/node/gateway/port.go
@@ -77,8 +77,8 @@
 	Response(status int, h http.Header) Response
 	// ToClient returns the headers that the client receives with a replica's response.
 	ToClient(http.Header) http.Header
-	// Refusal returns the headers of a response that the router makes itself.
-	Refusal(id string, retryAfter time.Duration) http.Header
+	// RouterError returns the headers of a response that the router makes itself.
+	RouterError(id string, retryAfter time.Duration) http.Header
 }
 
 // Replica identifies a replica and, if its start time is set, one process of it.
