--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -59,11 +59,11 @@
 const (
 	// ReasonNone is the reason of effects other than Refuse.
 	ReasonNone Reason = iota
-	// ReasonUnmeetableDeadline means that, on arrival, the request could not have met its
-	// deadline at the current service rate.
+	// ReasonUnmeetableDeadline means that, on arrival, the request could not have met
+	// its deadline at the current service rate.
 	ReasonUnmeetableDeadline
-	// ReasonDeadlineWhileQueued means that the request could no longer meet its deadline while it
-	// waited.
+	// ReasonDeadlineWhileQueued means that the request could no longer meet its
+	// deadline while it waited.
 	ReasonDeadlineWhileQueued
 	// ReasonWorkspaceFull means that the workspace exceeded its limit of waiting
 	// requests and that this was the newest request in its least urgent rank.
--- a/core/admission/ahead.go
+++ b/core/admission/ahead.go
@@ -28,12 +28,12 @@
 // timeToServe returns the seconds until the work has been served at rate tokens per
 // second: the smallest t with rate*t = cost + min(rate_d*t, max_d) + min(rate_i*t,
 // max_i), where d stands for drained and i for idle.
-func (l workAhead) timeToServe(rate float64) float64 {
+func (w workAhead) timeToServe(rate float64) float64 {
 	earliest := math.Inf(1)
-	for _, drained := range l.drained.bounds() {
-		for _, idle := range l.idle.bounds() {
+	for _, drained := range w.drained.bounds() {
+		for _, idle := range w.idle.bounds() {
 			if left := rate - drained.rate - idle.rate; left > 0 {
-				earliest = min(earliest, (l.cost+drained.maxCost+idle.maxCost)/left)
+				earliest = min(earliest, (w.cost+drained.maxCost+idle.maxCost)/left)
 			}
 		}
 	}
@@ -51,23 +51,23 @@
 	}
 	started, drained, all := r.byStart.upTo(tag), r.byDrain.upTo(tag), r.byDrain.total()
 	cost := tag*(started.weight-drained.weight) - (started.weightedKey - drained.weightedKey) + started.headCost - drained.headCost
-	l := workAhead{
+	work := workAhead{
 		drained: laterArrivals{rate: drained.demand, maxCost: tag*drained.weight - drained.weightedKey},
 		idle:    laterArrivals{rate: r.demand.rate(now) - all.demand, maxCost: (r.weight - all.weight) * max(tag-r.virtualTime, 0)},
 	}
 	switch {
 	case !f.byStart.linked:
 		cost += costAhead
-		l.idle.rate -= f.demand.rate(now)
+		work.idle.rate -= f.demand.rate(now)
 	case tag < f.byDrain.key:
 		cost -= f.head().cost
 	default:
-		l.drained.rate -= f.byDrain.own.demand
+		work.drained.rate -= f.byDrain.own.demand
 	}
-	l.cost = max(cost, costAhead)
-	l.drained = laterArrivals{rate: max(l.drained.rate, 0), maxCost: max(l.drained.maxCost, 0)}
-	l.idle = laterArrivals{rate: max(l.idle.rate, 0), maxCost: max(l.idle.maxCost, 0)}
-	return l
+	work.cost = max(cost, costAhead)
+	work.drained = laterArrivals{rate: max(work.drained.rate, 0), maxCost: max(work.drained.maxCost, 0)}
+	work.idle = laterArrivals{rate: max(work.idle.rate, 0), maxCost: max(work.idle.maxCost, 0)}
+	return work
 }
 
 // ahead returns the number and the cost of the flow's requests ahead of r.
--- a/core/admission/deadline.go
+++ b/core/admission/deadline.go
@@ -15,8 +15,8 @@
 
 // missesDeadline reports whether a new request could not meet its deadline at the
 // current service rate, and when to retry it. A request that would be dispatched
-// immediately passes until its deadline, because an outdated rate must not keep an idle
-// pool idle.
+// immediately is accepted at any time before its deadline, because an outdated rate must
+// not keep an idle pool idle.
 func (q *Queue) missesDeadline(now time.Time, f *flow, cost float64, deadline time.Time) (time.Duration, bool) {
 	if deadline.IsZero() {
 		return 0, false
--- a/core/admission/deadline_test.go
+++ b/core/admission/deadline_test.go
@@ -188,7 +188,8 @@
 			d.arrive(workspace, 1, 100, 0)
 		}
 	}
-	// The workspaces with running requests arrive at 100 tokens per second and have none queued.
+	// The workspaces with running requests send 100 tokens per second and have none
+	// queued.
 	check("later arrivals of idle workspaces", 2100*time.Millisecond*10/9, func(d *driver) {
 		queue(d, "w", 20)
 	}, "w")
--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -34,49 +34,49 @@
 }
 
 // observe records a completion in a pool with the given number of slots.
-func (p *serviceRate) observe(estimate float64, elapsed time.Duration, slots int) {
+func (r *serviceRate) observe(estimate float64, elapsed time.Duration, slots int) {
 	if elapsed <= 0 {
 		return
 	}
 	keep := 1 - 1/float64(max(minRateSamples, rateSamplesPerSlot*slots))
-	p.cost = p.cost*keep + estimate
-	p.seconds = p.seconds*keep + elapsed.Seconds()
-	ratio := elapsed.Seconds() / p.serviceTime(estimate)
-	p.weights = p.weights*keep + 1
-	p.ratioSum = p.ratioSum*keep + ratio
-	p.squareSum = p.squareSum*keep + ratio*ratio
+	r.cost = r.cost*keep + estimate
+	r.seconds = r.seconds*keep + elapsed.Seconds()
+	ratio := elapsed.Seconds() / r.serviceTime(estimate)
+	r.weights = r.weights*keep + 1
+	r.ratioSum = r.ratioSum*keep + ratio
+	r.squareSum = r.squareSum*keep + ratio*ratio
 }
 
 // perSlot returns the tokens per second of one slot, 0 before any completion.
-func (p *serviceRate) perSlot() float64 {
-	if p.seconds <= 0 {
+func (r *serviceRate) perSlot() float64 {
+	if r.seconds <= 0 {
 		return 0
 	}
-	return p.cost / p.seconds
+	return r.cost / r.seconds
 }
 
 // serviceTime returns the expected seconds to serve cost, 0 while unknown.
-func (p *serviceRate) serviceTime(cost float64) float64 {
-	if p.cost <= 0 {
+func (r *serviceRate) serviceTime(cost float64) float64 {
+	if r.cost <= 0 {
 		return 0
 	}
-	return cost * p.seconds / p.cost
+	return cost * r.seconds / r.cost
 }
 
 // variation returns the coefficient of variation of the service time.
-func (p *serviceRate) variation() float64 {
-	if p.weights == 0 || p.ratioSum == 0 {
+func (r *serviceRate) variation() float64 {
+	if r.weights == 0 || r.ratioSum == 0 {
 		return 0
 	}
-	mean := p.ratioSum / p.weights
-	return math.Sqrt(max(p.squareSum/p.weights-mean*mean, 0)) / mean
+	mean := r.ratioSum / r.weights
+	return math.Sqrt(max(r.squareSum/r.weights-mean*mean, 0)) / mean
 }
 
 // maxWait returns the longest wait in seconds after which a request with left seconds
 // until its deadline is still likely to complete in time. Variable service times
 // shorten it, but never below (left-serviceTime)/(1+variation).
-func (p *serviceRate) maxWait(cost, left float64) float64 {
-	service, variation := p.serviceTime(cost), p.variation()
+func (r *serviceRate) maxWait(cost, left float64) float64 {
+	service, variation := r.serviceTime(cost), r.variation()
 	return max(left-service*(1+serviceDeviations*variation), (left-service)/(1+variation))
 }
 
--- a/core/admission/fairness_test.go
+++ b/core/admission/fairness_test.go
@@ -18,9 +18,9 @@
 	low, high, maxDrop float64 // maxDrop is the largest drop below an earlier value
 }
 
-func (s *valueRange) add(v float64) {
-	s.low, s.high = min(s.low, v), max(s.high, v)
-	s.maxDrop = max(s.maxDrop, s.high-v)
+func (r *valueRange) add(v float64) {
+	r.low, r.high = min(r.low, v), max(r.high, v)
+	r.maxDrop = max(r.maxDrop, r.high-v)
 }
 
 // For any two workspaces that are backlogged throughout an interval, the services they
--- a/core/admission/lifecycle_test.go
+++ b/core/admission/lifecycle_test.go
@@ -15,14 +15,14 @@
 	q *Queue
 	// dispatches and requeues count the dispatches and requeues by request ID.
 	dispatches, requeues map[string]int
-	lastFirst            map[string]int // by flow, number of the newest request that was dispatched
+	newestDispatched     map[string]int // by flow, number of the newest request that was dispatched
 }
 
 func newLifecycle(t *rapid.T, c Config) *lifecycle {
 	q := New(c)
 	l := &lifecycle{
 		driver: newDriver(q), q: q,
-		dispatches: map[string]int{}, requeues: map[string]int{}, lastFirst: map[string]int{},
+		dispatches: map[string]int{}, requeues: map[string]int{}, newestDispatched: map[string]int{},
 	}
 	l.observe = func(r Request) {
 		require.True(t, r.Deadline.IsZero() || r.Deadline.After(l.now), "dispatched after its deadline")
@@ -33,8 +33,8 @@
 		var number int
 		_, _ = fmt.Sscanf(r.ID, "r%d", &number)
 		flow := fmt.Sprint(r.Workspace, "/", r.Rank)
-		require.GreaterOrEqual(t, number, l.lastFirst[flow], "order within %s", flow)
-		l.lastFirst[flow] = number
+		require.GreaterOrEqual(t, number, l.newestDispatched[flow], "order within %s", flow)
+		l.newestDispatched[flow] = number
 	}
 	return l
 }
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -82,7 +82,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 			n.beginEvent(now)
 			event := rapid.SampledFrom([]string{
-				"arrive", "arrive", "arrive", "arrive", "done", "done", "capacity", "leave", "requeue", "configure", "tick",
+				"arrive", "arrive", "arrive", "arrive", "done", "done", "capacity", "cancel", "requeue", "configure", "tick",
 			}).Draw(t, "event")
 			var got []Effect
 			switch event {
@@ -101,7 +101,7 @@
 				n.slots = rapid.IntRange(0, 9).Draw(t, "slots")
 				n.fillSlots()
 				got = q.SetSlots(now, n.slots)
-			case "leave":
+			case "cancel":
 				if r := drawHeld(t, n, false); r != nil {
 					n.remove(r)
 					n.fillSlots()
--- a/core/admission/reserve.go
+++ b/core/admission/reserve.go
@@ -47,8 +47,8 @@
 // its whole next request, may use: enough for the recent load of rank 0, at most the
 // configured fraction of the slots.
 func (q *Queue) reserved() int {
-	most := math.Floor(q.cfg.UrgentReserve * float64(q.slots))
+	maxReserved := math.Floor(q.cfg.UrgentReserve * float64(q.slots))
 	mean := q.urgentLoad.mean()
 	needed := math.Round(mean + reserveDeviations*math.Sqrt(mean))
-	return int(max(min(most, needed, float64(q.slots-1)), 0))
+	return int(max(min(maxReserved, needed, float64(q.slots-1)), 0))
 }
--- a/core/admission/tree.go
+++ b/core/admission/tree.go
@@ -21,11 +21,11 @@
 	demand      float64 // sum of the flows' arrival rates, tokens per second
 }
 
-func (s *aggregate) add(o aggregate) {
-	s.weight += o.weight
-	s.weightedKey += o.weightedKey
-	s.headCost += o.headCost
-	s.demand += o.demand
+func (a *aggregate) add(o aggregate) {
+	a.weight += o.weight
+	a.weightedKey += o.weightedKey
+	a.headCost += o.headCost
+	a.demand += o.demand
 }
 
 func (n *node) less(o *node) bool {
@@ -112,19 +112,19 @@
 
 // upTo returns the aggregate of the entries whose key is at most key.
 func (t *tree) upTo(key float64) aggregate {
-	var s aggregate
+	var sum aggregate
 	for n := t.root; n != nil; {
 		if n.key > key {
 			n = n.left
 			continue
 		}
-		s.add(n.own)
+		sum.add(n.own)
 		if n.left != nil {
-			s.add(n.left.total)
+			sum.add(n.left.total)
 		}
 		n = n.right
 	}
-	return s
+	return sum
 }
 
 // split divides t into the entries ordered before at and the others.
--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -78,7 +78,7 @@
 	}
 	m.started = true
 	m.addEffect(Route{Attempt: 1})
-	return m.takeEffects()
+	return m.drainEffects()
 }
 
 // Step applies one event and returns the effects, to be carried out in order. Events
@@ -86,10 +86,10 @@
 // discarded.
 func (m *Machine) Step(e Event) []Effect {
 	if m.finished {
-		if a, ok := e.(Responded); ok {
-			m.addEffect(Discard{Reason: DiscardLate, Step: a.Step})
+		if r, ok := e.(Responded); ok {
+			m.addEffect(Discard{Reason: DiscardLate, Step: r.Step})
 		}
-		return m.takeEffects()
+		return m.drainEffects()
 	}
 	switch e := e.(type) {
 	case Routed:
@@ -111,7 +111,7 @@
 	case Expired:
 		m.finish(false, ReasonDeadline)
 	}
-	return m.takeEffects()
+	return m.drainEffects()
 }
 
 // Execution returns whether the request ran, as far as is known so far.
@@ -304,7 +304,7 @@
 	m.effects = append(m.effects, e)
 }
 
-func (m *Machine) takeEffects() []Effect {
+func (m *Machine) drainEffects() []Effect {
 	out := m.effects
 	m.effects = nil
 	return out
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -34,13 +34,13 @@
 // validResponse returns the expected response to a step on a path with the given number
 // of stages. Token IDs are the position plus 100.
 func validResponse(s Send, stages int) Responded {
-	a := Responded{Step: s.Step, Reported: s.Step}
+	r := Responded{Step: s.Step, Reported: s.Step}
 	if s.Step.Stage == stages-1 {
-		a.Token = &Token{ID: 100 + s.Step.Position}
-		return a
+		r.Token = &Token{ID: 100 + s.Step.Position}
+		return r
 	}
-	a.Hidden = []byte{1}
-	return a
+	r.Hidden = []byte{1}
+	return r
 }
 
 func TestFailuresAndRefusalsAreCountedSeparately(t *testing.T) {
@@ -113,9 +113,9 @@
 				}
 			case "mismatched":
 				if open != nil {
-					a := validResponse(*open, stages)
-					a.Reported.RequestID = "other"
-					ev = a
+					r := validResponse(*open, stages)
+					r.Reported.RequestID = "other"
+					ev = r
 					mayHaveRun = true
 				}
 			case "malformed":
@@ -210,9 +210,9 @@
 	require.True(t, resumed.Prefill)
 	require.Equal(t, []int{100}, resumed.Tokens)
 	late := m.Step(validResponse(second, 1))
-	drop, ok := findEffect[Discard](late)
+	discarded, ok := findEffect[Discard](late)
 	require.True(t, ok)
-	require.Equal(t, DiscardLate, drop.Reason)
+	require.Equal(t, DiscardLate, discarded.Reason)
 }
 
 func TestRefusedEverywhereIsNotRun(t *testing.T) {
--- a/core/attempt/message.go
+++ b/core/attempt/message.go
@@ -151,7 +151,8 @@
 const (
 	// DiscardLate is a response to a step that is no longer open.
 	DiscardLate DiscardReason = iota
-	// DiscardMismatched is a response that reports another identity than that of its step.
+	// DiscardMismatched is a response whose reported identity differs from that of its
+	// step.
 	DiscardMismatched
 	// DiscardMalformed is a response that lacks the output of its stage or has the output
 	// of another one.
@@ -159,8 +160,8 @@
 )
 
 // String returns the value used in logs and metrics.
-func (k DiscardReason) String() string {
-	switch k {
+func (r DiscardReason) String() string {
+	switch r {
 	case DiscardLate:
 		return "late"
 	case DiscardMismatched:
--- a/core/execution/execution.go
+++ b/core/execution/execution.go
@@ -1,4 +1,5 @@
-// Package execution defines what is known about whether a request ran on an upstream.
+// Package execution defines the status values that state whether a request ran on an
+// upstream.
 package execution
 
 // Status states whether a request ran.
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -1,6 +1,6 @@
 // Package forward decides what follows the outcome of sending a request to a replica:
 // deliver the response, retry on another replica, or give up, and whether the client is
-// told that the request did not run or that it may have run.
+// informed that the request did not run or that it may have run.
 package forward
 
 // Outcome is the result of sending a request to one replica.
@@ -27,7 +27,7 @@
 	return [...]string{"answered", "failed", "rejected", "unsent", "lost"}[o]
 }
 
-// Decision is the decision that follows an outcome.
+// Decision is what to do after an outcome.
 type Decision int
 
 // Decisions.
@@ -36,15 +36,15 @@
 	Deliver Decision = iota
 	// Retry sends the request to another replica.
 	Retry
-	// Refuse tells the client that the request did not run.
+	// Refuse informs the client that the request did not run.
 	Refuse
-	// GiveUp tells the client that the request may have run.
+	// GiveUp informs the client that the request may have run.
 	GiveUp
 )
 
 // String returns the name used in logs.
-func (n Decision) String() string {
-	return [...]string{"deliver", "retry", "refuse", "give_up"}[n]
+func (d Decision) String() string {
+	return [...]string{"deliver", "retry", "refuse", "give_up"}[d]
 }
 
 // MaxSends is the maximum number of replicas that one request is sent to, including
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -20,7 +20,7 @@
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := forward.History{
-			Idempotent: rapid.Bool().Draw(t, "repeatable"),
+			Idempotent: rapid.Bool().Draw(t, "idempotent"),
 			MaxRuns:    rapid.IntRange(1, 3).Draw(t, "max runs"),
 		}
 		ran := 0
@@ -29,20 +29,20 @@
 			if o == forward.Responded || o == forward.Failed || o == forward.Lost {
 				ran++
 			}
-			next := h.Step(o, alwaysAllowed)
+			decision := h.Step(o, alwaysAllowed)
 			limit := 1
 			if h.Idempotent {
 				limit = h.MaxRuns
 			}
 			require.LessOrEqual(t, ran, max(1, limit))
 			require.LessOrEqual(t, h.Sends, forward.MaxSends)
-			if next == forward.Refuse {
+			if decision == forward.Refuse {
 				require.Zero(t, ran)
 			}
-			if next == forward.Deliver {
+			if decision == forward.Deliver {
 				require.Contains(t, []forward.Outcome{forward.Responded, forward.Failed}, o)
 			}
-			if next != forward.Retry {
+			if decision != forward.Retry {
 				return
 			}
 		}
@@ -52,7 +52,7 @@
 func TestDecisions(t *testing.T) {
 	cases := []struct {
 		name       string
-		repeatable bool
+		idempotent bool
 		outcome    forward.Outcome
 		budget     func() bool
 		want       forward.Decision
@@ -69,7 +69,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := forward.History{Idempotent: c.repeatable, MaxRuns: 2}
+			h := forward.History{Idempotent: c.idempotent, MaxRuns: 2}
 			require.Equal(t, c.want, h.Step(c.outcome, c.budget))
 		})
 	}
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -75,11 +75,12 @@
 // Progress reports that an expected response arrived on a connection.
 type Progress struct{ Connection uint64 }
 
-// Unresponsive reports that a connection made no progress within its ProgressTimeout.
+// Unresponsive reports that a connection made no progress within its
+// ProgressTimeout.
 type Unresponsive struct{ Connection uint64 }
 
-// ConnectionFailed reports that a connection was refused, reset or closed by the remote
-// end.
+// ConnectionFailed reports that a connection was refused, reset or closed by
+// the remote end.
 type ConnectionFailed struct{ Connection uint64 }
 
 // ProbeSucceeded reports that the upstream responded to the probe with this
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -313,16 +313,16 @@
 			before := g.Ejected()
 			checkStep(t, u, now, drawEvent(t, u))
 			ejections += max(g.Ejected()-before, 0)
-			members, out := 0, 0
+			members, ejectedCount := 0, 0
 			for _, u := range upstreams {
 				if u.phase >= active && u.phase <= ejected {
 					members++
 				}
 				if u.phase == ejected {
-					out++
+					ejectedCount++
 				}
 			}
-			require.Equal(t, []int{members, out}, []int{g.Members(), g.Ejected()})
+			require.Equal(t, []int{members, ejectedCount}, []int{g.Members(), g.Ejected()})
 		}
 	})
 	require.Greater(t, ejections, 100)
--- a/core/health/pace.go
+++ b/core/health/timeout.go
@@ -24,9 +24,9 @@
 	maxDoublings = 3
 )
 
-// TimeoutEstimator estimates the timeout of the steps of one stage from their durations,
-// separately for prefill and decode. The zero value is ready for use. It is not
-// safe for concurrent use.
+// TimeoutEstimator estimates the timeout of the steps of one stage from their
+// durations, separately for prefill and decode. The zero value is ready for use.
+// It is not safe for concurrent use.
 type TimeoutEstimator struct {
 	decode  durationEstimate
 	prefill durationEstimate
@@ -57,22 +57,22 @@
 }
 
 // ObserveDecode adds the duration of one decode step.
-func (p *TimeoutEstimator) ObserveDecode(d time.Duration) {
-	p.decode.addSample(d.Seconds())
-	p.doublings = 0
+func (e *TimeoutEstimator) ObserveDecode(d time.Duration) {
+	e.decode.addSample(d.Seconds())
+	e.doublings = 0
 }
 
 // ObservePrefill adds the duration of a prefill of the given number of tokens.
-func (p *TimeoutEstimator) ObservePrefill(tokens int, d time.Duration) {
-	p.prefill.addSample(d.Seconds() / float64(max(tokens, 1)))
-	p.doublings = 0
+func (e *TimeoutEstimator) ObservePrefill(tokens int, d time.Duration) {
+	e.prefill.addSample(d.Seconds() / float64(max(tokens, 1)))
+	e.doublings = 0
 }
 
 // RecordTimeout records that a step exceeded its timeout. Timeouts double until a
-// step is observed again, so that a stage that became slower is not repeatedly
-// taken for unresponsive.
-func (p *TimeoutEstimator) RecordTimeout() {
-	p.doublings = min(p.doublings+1, maxDoublings)
+// step is observed again, so that a stage that became slower does not repeatedly
+// count as unresponsive.
+func (e *TimeoutEstimator) RecordTimeout() {
+	e.doublings = min(e.doublings+1, maxDoublings)
 }
 
 // ProgressTimeout returns how long a step may go without a response before its
@@ -81,13 +81,13 @@
 //
 // The formula is that of TCP's retransmission timeout (RFC 6298), the mean plus
 // four mean deviations, times timeoutFactor.
-func (p *TimeoutEstimator) ProgressTimeout(prefillTokens int, initial time.Duration) time.Duration {
+func (e *TimeoutEstimator) ProgressTimeout(prefillTokens int, initial time.Duration) time.Duration {
 	if prefillTokens > 0 {
-		perToken := p.prefill
+		perToken := e.prefill
 		perToken.scale(float64(prefillTokens))
-		return perToken.timeout(initial, MinPrefillTimeout, p.doublings)
+		return perToken.timeout(initial, MinPrefillTimeout, e.doublings)
 	}
-	return p.decode.timeout(initial, MinProgressTimeout, p.doublings)
+	return e.decode.timeout(initial, MinProgressTimeout, e.doublings)
 }
 
 func (d *durationEstimate) scale(factor float64) {
--- a/core/health/pace_test.go
+++ b/core/health/timeout_test.go
@@ -15,22 +15,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const initial = 10 * time.Second
 		step := time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
-		var p TimeoutEstimator
-		require.Equal(t, initial, p.ProgressTimeout(0, initial))
+		var e TimeoutEstimator
+		require.Equal(t, initial, e.ProgressTimeout(0, initial))
 		for range 60 {
 			took := time.Duration(rapid.Float64Range(0.5, 1.5).Draw(t, "jitter") * float64(step))
-			require.Greater(t, p.ProgressTimeout(0, initial), took)
-			require.Greater(t, p.ProgressTimeout(100, initial), took)
-			p.ObserveDecode(took)
-			p.ObservePrefill(100, took)
+			require.Greater(t, e.ProgressTimeout(0, initial), took)
+			require.Greater(t, e.ProgressTimeout(100, initial), took)
+			e.ObserveDecode(took)
+			e.ObservePrefill(100, took)
 		}
-		timeout := p.ProgressTimeout(0, initial)
+		timeout := e.ProgressTimeout(0, initial)
 		require.Less(t, timeout, max(MinProgressTimeout+1, 12*step))
-		require.GreaterOrEqual(t, p.ProgressTimeout(200, initial), p.ProgressTimeout(100, initial))
-		p.RecordTimeout()
-		require.Equal(t, min(2*timeout, MaxProgressTimeout), p.ProgressTimeout(0, initial))
-		p.ObserveDecode(step)
-		require.Less(t, p.ProgressTimeout(0, initial), max(2*MinProgressTimeout, 2*timeout))
+		require.GreaterOrEqual(t, e.ProgressTimeout(200, initial), e.ProgressTimeout(100, initial))
+		e.RecordTimeout()
+		require.Equal(t, min(2*timeout, MaxProgressTimeout), e.ProgressTimeout(0, initial))
+		e.ObserveDecode(step)
+		require.Less(t, e.ProgressTimeout(0, initial), max(2*MinProgressTimeout, 2*timeout))
 	})
 }
 
@@ -38,13 +38,13 @@
 // as long at every fifth step does not exceed its timeout.
 func TestProgressTimeoutCoversDeviation(t *testing.T) {
 	const initial = 10 * time.Second
-	var p TimeoutEstimator
+	var e TimeoutEstimator
 	for i := range 100 {
 		took := time.Second
 		if i%5 == 0 {
 			took = 8 * time.Second
 		}
-		require.Greater(t, p.ProgressTimeout(0, initial), took, "step %d", i)
-		p.ObserveDecode(took)
+		require.Greater(t, e.ProgressTimeout(0, initial), took, "step %d", i)
+		e.ObserveDecode(took)
 	}
 }
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -24,9 +24,9 @@
 	// reportMaxAge is the age of the last report up to which a window stays open for
 	// the next report.
 	reportMaxAge = 5 * time.Second
-	// maxSlowdown is the increase of step times, relative to the fastest window, that a
-	// busy replica explains without congestion: a step waits for the current batch,
-	// which doubles its time, and fuller batches double it again.
+	// maxSlowdown is the largest ratio of step times to those of the fastest window that
+	// does not count as congestion. On a busy replica, a step waits for the current
+	// batch, which doubles its time, and fuller batches double it again.
 	maxSlowdown = 4
 	// maxIneffectiveWindows is the number of consecutive windows in which lowering the
 	// limit did not make steps faster. After it, the step time of the replica itself is
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -76,7 +76,8 @@
 	step := e.stepTimeRatio * (0.8 + 0.4*e.random.Float64()) * (1 + 0.25*min(fill, 1))
 	l.Observe(e.now, Decode, held, time.Duration(step*20e6))
 	if e.slowsPrefill {
-		// The prefill of an excess sequence waits for another sequence of some hundred steps to end.
+		// The prefill of an excess sequence waits until another sequence, of a few
+		// hundred steps, ends.
 		step *= 1 + 20*max(fill-1, 0)
 	}
 	l.Observe(e.now, Prefill, held, time.Duration(step*1e5))
--- a/core/order/attempt_test.go
+++ b/core/order/attempt_test.go
@@ -12,7 +12,7 @@
 )
 
 // An attempt that was paused before its claim was appended must not send its call if a
-// later call with the same key was answered not_run in the meantime.
+// later call with the same key got the result not_run in the meantime.
 func TestReleaseInvalidatesEarlierAttempts(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	table := order.NewTable(policy)
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -41,8 +41,8 @@
 	// repeated. The zero value means unknown: the client then guarantees not to repeat the
 	// key after the acceptance window. A UUIDv7 key contains its date.
 	Date time.Time
-	// FirstUse is set if the client asserts that it has not sent this key before. Without it a
-	// refusal is NotRun only if the log proves it.
+	// FirstUse is set if the client asserts that it has not sent this key before. Without
+	// it a refusal is NotRun only if the log proves it.
 	FirstUse bool
 	// Deadline is when the client stops waiting. It is required.
 	Deadline time.Time
@@ -99,7 +99,8 @@
 	AcceptanceWindow time.Duration
 	// Retention is the minimum time for which the log retains a record.
 	Retention time.Duration
-	// DispatchWindow is how long after the append of a claim its claimant may send the call.
+	// DispatchWindow is how long after the append of a claim its claimant may send the
+	// call.
 	DispatchWindow time.Duration
 	// ClockSkew bounds the difference between the clocks of clients and instances.
 	ClockSkew time.Duration
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -84,101 +84,101 @@
 	names          int
 }
 
-func newWorld(t *rapid.T) *simulation {
+func newSimulation(t *rapid.T) *simulation {
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "schedule"), 0))
-	w := &simulation{rng: rng, now: time.UnixMilli(1_000_000), names: keys}
+	s := &simulation{rng: rng, now: time.UnixMilli(1_000_000), names: keys}
 	for range instances {
-		w.instances = append(w.instances, w.newInstance(t))
+		s.instances = append(s.instances, s.newInstance(t))
 	}
 	for i := range keys {
-		dated := w.rng.IntN(2) == 0
-		w.keys = append(w.keys, &key{name: strconv.Itoa(i), dated: dated})
+		dated := s.rng.IntN(2) == 0
+		s.keys = append(s.keys, &key{name: strconv.Itoa(i), dated: dated})
 	}
-	return w
+	return s
 }
 
-func (w *simulation) newInstance(t *rapid.T) *instance {
-	skew := time.Duration(w.rng.Int64N(2*int64(maxClockSkew))) - maxClockSkew
+func (s *simulation) newInstance(t *rapid.T) *instance {
+	skew := time.Duration(s.rng.Int64N(2*int64(maxClockSkew))) - maxClockSkew
 	return &instance{table: order.NewTable(policy), skew: skew}
 }
 
 func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
 
-func (w *simulation) time(i *instance) time.Time { return w.now.Add(i.skew) }
+func (s *simulation) time(i *instance) time.Time { return s.now.Add(i.skew) }
 
-func (w *simulation) read(i *instance, limit int) {
-	if w.logUnavailable {
+func (s *simulation) read(i *instance, limit int) {
+	if s.logUnavailable {
 		i.table.SetUnavailable(true)
 		return
 	}
-	from := max(int(i.table.Next()), w.first)
-	b := record.Batch{First: uint64(w.first)}
-	for o := from; o < len(w.log) && o < from+limit; o++ {
-		b.Entries = append(b.Entries, record.Entry{Offset: uint64(o), Data: w.log[o].data})
+	from := max(int(i.table.Next()), s.first)
+	b := record.Batch{First: uint64(s.first)}
+	for o := from; o < len(s.log) && o < from+limit; o++ {
+		b.Entries = append(b.Entries, record.Entry{Offset: uint64(o), Data: s.log[o].data})
 	}
 	b.Next = uint64(from + len(b.Entries))
-	i.table.Apply(w.time(i), b)
+	i.table.Apply(s.time(i), b)
 }
 
-func (w *simulation) truncate() {
-	for w.first < len(w.log) && w.now.Sub(w.log[w.first].at) > policy.Retention {
-		w.first++
+func (s *simulation) truncate() {
+	for s.first < len(s.log) && s.now.Sub(s.log[s.first].at) > policy.Retention {
+		s.first++
 	}
 }
 
 // send makes the client's first call with a key, or a repeat that abandons the previous
 // call.
-func (w *simulation) send(t *rapid.T, k *key) *call {
+func (s *simulation) send(t *rapid.T, k *key) *call {
 	if k.calls == 0 {
-		k.createdAt = w.now
+		k.createdAt = s.now
 	}
-	w.serial++
+	s.serial++
 	k.calls++
-	i := pick(w.rng, w.instances)
+	i := pick(s.rng, s.instances)
 	c := order.Call{
 		Workspace: "w", Service: "s", Key: k.name, Fingerprint: "f",
 		FirstUse: k.calls == 1,
-		Deadline: w.time(i).Add(callTimeout),
+		Deadline: s.time(i).Add(callTimeout),
 	}
 	if k.dated {
 		c.Date = k.createdAt
 	}
-	claim := record.ID(fmt.Sprint("claim", w.serial))
-	sent := &call{key: k, instance: i, attempt: order.NewAttempt(i.table, c, claim, "i"), serial: w.serial}
-	sent.effects = sent.attempt.Begin(w.time(i))
+	claim := record.ID(fmt.Sprint("claim", s.serial))
+	sent := &call{key: k, instance: i, attempt: order.NewAttempt(i.table, c, claim, "i"), serial: s.serial}
+	sent.effects = sent.attempt.Begin(s.time(i))
 	k.waiting = sent
-	w.calls = append(w.calls, sent)
+	s.calls = append(s.calls, sent)
 	return sent
 }
 
 // run performs the next effect of c. A Wait effect continues with Wake.
-func (w *simulation) run(t *rapid.T, c *call) {
+func (s *simulation) run(t *rapid.T, c *call) {
 	next := c.effects[0]
 	switch e := next.(type) {
 	case order.AppendClaim:
-		c.claimed = w.now
-		w.inFlight = append(w.inFlight, e.Record)
+		c.claimed = s.now
+		s.inFlight = append(s.inFlight, e.Record)
 		c.effects = c.effects[1:]
 	case order.Append:
-		w.inFlight = append(w.inFlight, e.Record)
+		s.inFlight = append(s.inFlight, e.Record)
 		c.effects = c.effects[1:]
 	case order.Wait:
-		c.effects = c.attempt.Step(w.time(c.instance), order.Wake)
+		c.effects = c.attempt.Step(s.time(c.instance), order.Wake)
 	case order.Confirm:
-		c.effects = c.attempt.Step(w.time(c.instance), order.ConfirmSend)
+		c.effects = c.attempt.Step(s.time(c.instance), order.ConfirmSend)
 		if _, ok := c.effects[0].(order.Send); ok {
-			require.Less(t, w.now.Sub(c.claimed), policy.DispatchWindow, "sent after the dispatch window")
+			require.Less(t, s.now.Sub(c.claimed), policy.DispatchWindow, "sent after the dispatch window")
 		}
 	case order.Send:
-		c.effects = c.attempt.HandleResponse(w.serve(t, c))
+		c.effects = c.attempt.HandleResponse(s.serve(t, c))
 	case order.Reply:
-		w.handleReply(t, c, e.Result)
+		s.handleReply(t, c, e.Result)
 		c.effects = nil
 	}
 }
 
-func (w *simulation) serve(t *rapid.T, c *call) order.Response {
-	outcome := pick(w.rng, []string{"ran", "ran", "lost answer", "lost call", "refused"})
+func (s *simulation) serve(t *rapid.T, c *call) order.Response {
+	outcome := pick(s.rng, []string{"ran", "ran", "lost response", "lost call", "refused"})
 	if outcome == "refused" {
 		return order.Response{Status: 503, Execution: execution.NotRun}
 	}
@@ -186,16 +186,16 @@
 		return order.Response{Execution: execution.Unknown}
 	}
 	c.key.recorded++
-	c.key.body = fmt.Sprint("answer", c.serial)
+	c.key.body = fmt.Sprint("response", c.serial)
 	require.Equal(t, 1, c.key.recorded, "key %s recorded twice", c.key.name)
 	require.Greater(t, c.serial, c.key.notRun, "key %s recorded after not_run", c.key.name)
-	if outcome == "lost answer" {
+	if outcome == "lost response" {
 		return order.Response{Execution: execution.Unknown}
 	}
 	return order.Response{Status: 200, Body: []byte(c.key.body), Execution: execution.Ran}
 }
 
-func (w *simulation) handleReply(t *rapid.T, c *call, r order.Result) {
+func (s *simulation) handleReply(t *rapid.T, c *call, r order.Result) {
 	k := c.key
 	if k.waiting != c {
 		return
@@ -204,7 +204,7 @@
 	switch r.Execution {
 	case execution.NotRun:
 		require.Zero(t, k.recorded, "not_run returned for recorded key %s: %s", k.name, r.Reason)
-		k.notRun = w.serial
+		k.notRun = s.serial
 	case execution.Ran:
 		require.Equal(t, 1, k.recorded)
 		require.Equal(t, k.body, string(r.Response.Body))
@@ -212,98 +212,98 @@
 	}
 }
 
-func (w *simulation) removeCall(c *call) {
-	for i, other := range w.calls {
+func (s *simulation) removeCall(c *call) {
+	for i, other := range s.calls {
 		if other == c {
-			w.calls = append(w.calls[:i], w.calls[i+1:]...)
+			s.calls = append(s.calls[:i], s.calls[i+1:]...)
 			return
 		}
 	}
 }
 
-func (w *simulation) crash(t *rapid.T) {
-	i := w.rng.IntN(len(w.instances))
-	for _, c := range append([]*call(nil), w.calls...) {
-		if c.instance == w.instances[i] {
-			w.removeCall(c)
+func (s *simulation) crash(t *rapid.T) {
+	i := s.rng.IntN(len(s.instances))
+	for _, c := range append([]*call(nil), s.calls...) {
+		if c.instance == s.instances[i] {
+			s.removeCall(c)
 		}
 	}
-	w.instances[i] = w.newInstance(t)
+	s.instances[i] = s.newInstance(t)
 }
 
-func (w *simulation) deliver(t *rapid.T) {
-	i := w.rng.IntN(len(w.inFlight))
-	r := w.inFlight[i]
+func (s *simulation) deliver(t *rapid.T) {
+	i := s.rng.IntN(len(s.inFlight))
+	r := s.inFlight[i]
 	data, err := record.Encode(r)
 	require.NoError(t, err)
-	w.log = append(w.log, logRecord{at: w.now, data: data})
-	repeated := w.rng.IntN(4) == 0
+	s.log = append(s.log, logRecord{at: s.now, data: data})
+	repeated := s.rng.IntN(4) == 0
 	if !repeated {
-		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
+		s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
 	}
 }
 
-func (w *simulation) step(t *rapid.T) {
-	if len(w.calls) == 0 {
+func (s *simulation) step(t *rapid.T) {
+	if len(s.calls) == 0 {
 		return
 	}
-	c := pick(w.rng, w.calls)
-	for range 1 + w.rng.IntN(3) {
+	c := pick(s.rng, s.calls)
+	for range 1 + s.rng.IntN(3) {
 		if len(c.effects) > 0 {
-			w.run(t, c)
+			s.run(t, c)
 		}
 	}
 	if len(c.effects) == 0 {
-		w.removeCall(c)
+		s.removeCall(c)
 	}
 }
 
 // act performs one random action. Numbers whose condition does not hold change nothing.
-func (w *simulation) act(t *rapid.T) {
-	switch n := w.rng.IntN(40); {
+func (s *simulation) act(t *rapid.T) {
+	switch n := s.rng.IntN(40); {
 	case n < 14:
-		w.step(t)
-	case n < 20 && len(w.inFlight) > 0 && !w.logUnavailable:
-		w.deliver(t)
+		s.step(t)
+	case n < 20 && len(s.inFlight) > 0 && !s.logUnavailable:
+		s.deliver(t)
 	case n < 28:
-		w.read(pick(w.rng, w.instances), 1+w.rng.IntN(8))
+		s.read(pick(s.rng, s.instances), 1+s.rng.IntN(8))
 	case n < 31:
-		w.repeat(t)
+		s.repeat(t)
 	case n < 35:
-		w.now = w.now.Add(time.Duration(pick(w.rng, []int{1, 1, 5, 5, 10, 20, 60, 200})) * time.Millisecond)
-	case n == 35 && w.rng.IntN(3) == 0:
-		w.now = w.now.Add(policy.Retention + policy.AcceptanceWindow*time.Duration(w.rng.IntN(2)))
+		s.now = s.now.Add(time.Duration(pick(s.rng, []int{1, 1, 5, 5, 10, 20, 60, 200})) * time.Millisecond)
+	case n == 35 && s.rng.IntN(3) == 0:
+		s.now = s.now.Add(policy.Retention + policy.AcceptanceWindow*time.Duration(s.rng.IntN(2)))
 	case n == 36:
-		w.logUnavailable = !w.logUnavailable && w.rng.IntN(6) == 0
+		s.logUnavailable = !s.logUnavailable && s.rng.IntN(6) == 0
 	case n == 37:
-		w.truncate()
-	case n == 38 && w.rng.IntN(4) == 0:
-		w.crash(t)
+		s.truncate()
+	case n == 38 && s.rng.IntN(4) == 0:
+		s.crash(t)
 	case n == 39:
-		w.clientGone(t)
+		s.clientGone(t)
 	}
 }
 
 // repeat sends a key again or replaces it by a new one.
-func (w *simulation) repeat(t *rapid.T) {
-	i := w.rng.IntN(len(w.keys))
-	k := w.keys[i]
-	promised := k.dated || k.calls == 0 || w.now.Sub(k.createdAt) <= policy.AcceptanceWindow
-	replaced := w.now.Sub(k.createdAt) > policy.AcceptanceWindow && w.rng.IntN(3) == 0
+func (s *simulation) repeat(t *rapid.T) {
+	i := s.rng.IntN(len(s.keys))
+	k := s.keys[i]
+	promised := k.dated || k.calls == 0 || s.now.Sub(k.createdAt) <= policy.AcceptanceWindow
+	replaced := s.now.Sub(k.createdAt) > policy.AcceptanceWindow && s.rng.IntN(3) == 0
 	if promised && (k.calls == 0 || !replaced) {
-		w.send(t, k)
+		s.send(t, k)
 		return
 	}
-	w.names++
-	w.keys[i] = &key{name: strconv.Itoa(w.names), dated: w.rng.IntN(2) == 0}
+	s.names++
+	s.keys[i] = &key{name: strconv.Itoa(s.names), dated: s.rng.IntN(2) == 0}
 }
 
-func (w *simulation) clientGone(t *rapid.T) {
-	c := pick(w.rng, w.keys).waiting
+func (s *simulation) clientGone(t *rapid.T) {
+	c := pick(s.rng, s.keys).waiting
 	if c == nil {
 		return
 	}
-	if effects := c.attempt.Step(w.time(c.instance), order.ClientGone); len(effects) > 0 {
+	if effects := c.attempt.Step(s.time(c.instance), order.ClientGone); len(effects) > 0 {
 		c.effects = effects
 	}
 }
@@ -313,44 +313,44 @@
 // recorded, and a recorded response is replayed.
 func TestOrdersAreRecordedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 		for range maxSteps {
-			w.act(t)
+			s.act(t)
 		}
-		w.settle(t)
+		s.settle(t)
 	})
 }
 
 // settle completes all attempts and repeats each key whose outcome is in the log.
-func (w *simulation) settle(t *rapid.T) {
-	w.logUnavailable = false
-	for len(w.calls) > 0 {
-		w.now = w.now.Add(policy.DispatchWindow)
-		w.step(t)
-		for _, i := range w.instances {
-			w.read(i, len(w.log))
+func (s *simulation) settle(t *rapid.T) {
+	s.logUnavailable = false
+	for len(s.calls) > 0 {
+		s.now = s.now.Add(policy.DispatchWindow)
+		s.step(t)
+		for _, i := range s.instances {
+			s.read(i, len(s.log))
 		}
 	}
 	ended := map[string]bool{}
-	for _, s := range w.log[w.first:] {
-		r, err := record.Decode(s.data)
+	for _, stored := range s.log[s.first:] {
+		r, err := record.Decode(stored.data)
 		require.NoError(t, err)
 		if r.Outcome != nil && r.Outcome.Known {
 			ended[r.Outcome.Key.Key] = true
 		}
 	}
-	for _, i := range w.instances {
-		w.read(i, len(w.log))
+	for _, i := range s.instances {
+		s.read(i, len(s.log))
 	}
-	for _, k := range w.keys {
-		tooOld := w.now.Sub(k.createdAt) > policy.AcceptanceWindow-policy.ClockSkew
+	for _, k := range s.keys {
+		tooOld := s.now.Sub(k.createdAt) > policy.AcceptanceWindow-policy.ClockSkew
 		if !ended[k.name] || tooOld {
 			continue
 		}
-		c := w.send(t, k)
+		c := s.send(t, k)
 		reply, ok := c.effects[0].(order.Reply)
 		require.True(t, ok)
 		require.True(t, reply.Result.Replayed)
-		w.handleReply(t, c, reply.Result)
+		s.handleReply(t, c, reply.Result)
 	}
 }
--- a/core/pause/pause_test.go
+++ b/core/pause/pause_test.go
@@ -16,9 +16,9 @@
 func TestMatchesNaiveList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type pauseRequest struct {
-			replica string
-			born    int64
-			end     time.Time
+			replica   string
+			startTime int64
+			end       time.Time
 		}
 		var all []pauseRequest
 		l := pause.New()
@@ -42,7 +42,7 @@
 			for _, id := range []string{"a", "b"} {
 				var want time.Time
 				for _, x := range all {
-					if x.replica == id && x.born == latest[id] && x.end.After(now) && x.end.After(want) {
+					if x.replica == id && x.startTime == latest[id] && x.end.After(now) && x.end.After(want) {
 						want = x.end
 					}
 				}
--- a/core/poison/bench_test.go
+++ b/core/poison/bench_test.go
@@ -12,7 +12,7 @@
 	candidates := make([]Fingerprint, 16)
 	for i := range 100 {
 		for j := range candidates {
-			candidates[j] = print(fmt.Sprint(i, j))
+			candidates[j] = fingerprint(fmt.Sprint(i, j))
 		}
 		tr.RecordCrash(start, fmt.Sprint(i), candidates...)
 	}
@@ -21,7 +21,7 @@
 
 func BenchmarkBlocked(b *testing.B) {
 	tr, candidates := outage()
-	for name, f := range map[string]Fingerprint{"unknown": print("x"), "candidate": candidates[0]} {
+	for name, f := range map[string]Fingerprint{"unknown": fingerprint("x"), "candidate": candidates[0]} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -46,12 +46,12 @@
 	At          time.Time
 }
 
-// Evidence holds crashes and successes that instances exchange. Merging is commutative and
-// idempotent.
+// Evidence holds the crashes and clearances that instances exchange. Merging is commutative
+// and idempotent.
 type Evidence struct {
 	Crashes    []Crash
 	Clearances []Clearance
 }
 
 // Empty reports whether there is nothing to send.
-func (s Evidence) Empty() bool { return len(s.Crashes) == 0 && len(s.Clearances) == 0 }
+func (e Evidence) Empty() bool { return len(e.Crashes) == 0 && len(e.Clearances) == 0 }
--- a/core/poison/evidence.go
+++ b/core/poison/evidence.go
@@ -23,13 +23,13 @@
 // returns true. Crashes older than the retention period at the time of f's last crash are
 // ignored.
 func (t *Tracker) countReplicas(f Fingerprint, accept func(*crash) bool) int {
-	s, ok := t.candidates[f]
+	cand, ok := t.candidates[f]
 	if !ok {
 		return 0
 	}
 	replicas := make([]string, 0, certainReplicas)
-	last := s.last()
-	for _, c := range s.crashes {
+	last := cand.last()
+	for _, c := range cand.crashes {
 		if last.Sub(c.at) >= t.retention {
 			continue
 		}
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -62,8 +62,8 @@
 	// explainedBy maps crashed processes to the blocked request that caused the crash.
 	explainedBy map[Process]Fingerprint
 	successes   *successes
-	// clears are sent to other instances; successes are not.
-	clears map[Fingerprint]time.Time
+	// clearances are sent to other instances; successes are not.
+	clearances map[Fingerprint]time.Time
 	// updates holds evidence that was not sent yet.
 	updates Evidence
 	// digest is cached until the evidence changes.
@@ -97,17 +97,17 @@
 		tracked:     map[Fingerprint]*crashHistory{},
 		explainedBy: map[Process]Fingerprint{},
 		successes:   newSuccesses(),
-		clears:      map[Fingerprint]time.Time{},
+		clearances:  map[Fingerprint]time.Time{},
 	}
 }
 
-// RecordLostRun records a run that ended without a complete response. It returns the crashes that
-// are already proven by it.
+// RecordLostRun records a run that ended without a complete response. It returns the
+// crashes that are proven at once, because the end of a process on the path is known.
 func (l *Ledger) RecordLostRun(now time.Time, run LostRun) []Crash {
 	l.expireLostRuns(now)
-	for _, part := range run.Processes {
-		if at, ok := l.recentEnd(now, part); ok && !at.Before(run.SentAt) {
-			return l.recordCrash(now, run, part)
+	for _, process := range run.Processes {
+		if at, ok := l.recentEnd(now, process); ok && !at.Before(run.SentAt) {
+			return l.recordCrash(now, run, process)
 		}
 	}
 	if len(l.lostRuns) >= maxLostRuns {
@@ -121,10 +121,10 @@
 // Process returns the process that a run was sent to, provided that the replica accepted
 // the run. If the listed process is known to have ended before the run, the run went to a
 // later process that is not listed yet.
-func (l *Ledger) Process(listed Process, began time.Time) Process {
+func (l *Ledger) Process(listed Process, sentAt time.Time) Process {
 	for {
 		at, ok := l.ended[listed]
-		if !ok || !at.Before(began) {
+		if !ok || !at.Before(sentAt) {
 			return listed
 		}
 		listed.StartTime++
@@ -138,8 +138,8 @@
 	return at, ok && now.Sub(at) <= matchWindow
 }
 
-// RecordEnd records that a replica process ended unexpectedly. It returns the crashes that this
-// proves. Runs that are reported lost later are matched as well.
+// RecordEnd records that a replica process ended unexpectedly. It returns the crashes that
+// this proves. Runs that are reported lost later are matched as well.
 func (l *Ledger) RecordEnd(now time.Time, r Process) []Crash {
 	return l.recordEnd(now, r, now)
 }
@@ -156,9 +156,9 @@
 	return l.RecordRemoval(now, r)
 }
 
-// RecordRemoval records that a replica process is no longer listed. This proves crashes only for
-// runs that were lost before, since a replica that shuts down is removed from the list
-// first.
+// RecordRemoval records that a replica process is no longer listed. This proves crashes
+// only for runs that were lost before, since a replica that shuts down is removed from the
+// list first.
 func (l *Ledger) RecordRemoval(now time.Time, r Process) []Crash {
 	l.expireLostRuns(now)
 	var out []Crash
@@ -214,25 +214,25 @@
 	return true
 }
 
-// clear records a success, queues it for other instances and applies it.
+// clear records a clearance, queues it for other instances and applies it.
 func (l *Ledger) clear(c Clearance) {
-	if !c.At.After(l.clears[c.Fingerprint]) {
+	if !c.At.After(l.clearances[c.Fingerprint]) {
 		return
 	}
-	l.clears[c.Fingerprint] = c.At
-	evictExcess(l.clears)
-	l.queueClear(c)
-	l.applyClear(c)
+	l.clearances[c.Fingerprint] = c.At
+	evictExcess(l.clearances)
+	l.queueClearance(c)
+	l.applyClearance(c)
 }
 
-func (l *Ledger) queueClear(c Clearance) {
+func (l *Ledger) queueClearance(c Clearance) {
 	if len(l.updates.Clearances) < maxTracked {
 		l.updates.Clearances = append(l.updates.Clearances, c)
 	}
 }
 
-// applyClear removes the crashes that a success disproves.
-func (l *Ledger) applyClear(c Clearance) {
+// applyClearance removes the crashes that a success disproves.
+func (l *Ledger) applyClearance(c Clearance) {
 	l.digestValid = false
 	r := l.tracked[c.Fingerprint]
 	if r == nil {
@@ -247,9 +247,9 @@
 	if now.Sub(c.At) >= l.retention {
 		return false
 	}
-	if at, ok := l.clears[c.Fingerprint]; ok && !c.At.After(at.Add(clearedDuration)) {
+	if at, ok := l.clearances[c.Fingerprint]; ok && !c.At.After(at.Add(clearedDuration)) {
 		// The sender of the crash has not received the success yet.
-		l.queueClear(Clearance{Fingerprint: c.Fingerprint, At: at})
+		l.queueClearance(Clearance{Fingerprint: c.Fingerprint, At: at})
 		return false
 	}
 	if at, ok := l.successes.last(c.Fingerprint); ok && !c.At.After(at.Add(clearedDuration)) {
@@ -310,9 +310,9 @@
 	}
 	if r.blocked && len(incidents(r.crashes)) < int(blockThreshold) {
 		r.blocked = false
-		for i, by := range l.explainedBy {
+		for process, by := range l.explainedBy {
 			if by == f {
-				delete(l.explainedBy, i)
+				delete(l.explainedBy, process)
 			}
 		}
 		return
@@ -332,8 +332,8 @@
 	}
 }
 
-// Expire discards fingerprints without a crash in the retention period, and old ends and
-// clears. It scans all entries and should be called periodically.
+// Expire discards fingerprints without a crash in the retention period, and old process
+// ends and clearances. It scans all entries and should be called periodically.
 func (l *Ledger) Expire(now time.Time) {
 	l.expireLostRuns(now)
 	for r, at := range l.ended {
@@ -346,10 +346,10 @@
 			l.discard(f)
 		}
 	}
-	for f, at := range l.clears {
+	for f, at := range l.clearances {
 		if now.Sub(at) >= l.retention {
 			l.digestValid = false
-			delete(l.clears, f)
+			delete(l.clearances, f)
 		}
 	}
 }
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -17,9 +17,9 @@
 // runNumber gives each run a different attempt.
 var runNumber uint64
 
-func lostRun(f Fingerprint, began time.Time, parts ...Process) LostRun {
+func lostRun(f Fingerprint, sentAt time.Time, processes ...Process) LostRun {
 	runNumber++
-	return LostRun{Fingerprint: f, Run: Run{Attempt: runNumber}, Processes: parts, SentAt: began}
+	return LostRun{Fingerprint: f, Run: Run{Attempt: runNumber}, Processes: processes, SentAt: sentAt}
 }
 
 // crashOnce reports a lost run on a replica process that then ends.
@@ -28,7 +28,7 @@
 	l.RecordEnd(now, r)
 }
 
-func crashTimes(l *Ledger, now time.Time, f Fingerprint, from, n int) {
+func crashRepeatedly(l *Ledger, now time.Time, f Fingerprint, from, n int) {
 	for i := range n {
 		crashOnce(l, now, f, process(fmt.Sprint("r", from+i), 1))
 	}
@@ -36,17 +36,17 @@
 
 func TestThreeIndependentCrashesBlock(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
-	crashTimes(l, start, f, 0, 2)
+	f := fingerprint("a")
+	crashRepeatedly(l, start, f, 0, 2)
 	require.Nil(t, l.Admit(start, f, 1))
 	require.True(t, l.MayRetry(f, 1))
-	crashTimes(l, start, f, 2, 1)
+	crashRepeatedly(l, start, f, 2, 1)
 	refusal := l.Admit(start, f, 1)
 	require.NotNil(t, refusal)
 	require.Len(t, refusal.Crashes, 3)
 	require.Equal(t, trialDelay, refusal.RetryAfter)
 	require.False(t, l.MayRetry(f, 1))
-	require.Nil(t, l.Admit(start, print("b"), 1))
+	require.Nil(t, l.Admit(start, fingerprint("b"), 1))
 	l.Expire(start.Add(retention))
 	require.Nil(t, l.Admit(start.Add(retention), f, 1))
 }
@@ -55,7 +55,7 @@
 // listed yet.
 func TestARestartedReplicaCountsAgain(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
+	f := fingerprint("a")
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := l.Process(process("r", 1), now)
@@ -68,7 +68,7 @@
 // down is removed from the list before it ends.
 func TestLostRunsWithoutEndedProcessAreNoEvidence(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
+	f := fingerprint("a")
 	for i := range 20 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := process(fmt.Sprint(i), 1)
@@ -85,7 +85,7 @@
 func TestEndMayBeDetectedBeforeLoss(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		l := NewLedger(retention)
-		f := print("a")
+		f := fingerprint("a")
 		r := process("r", 1)
 		run := lostRun(f, start, process("other", 1), r)
 		if first {
@@ -104,7 +104,7 @@
 // A zone failure ends many copies of one request and every process on their paths at once.
 func TestZoneFailureIsOneIncident(t *testing.T) {
 	l := NewLedger(retention)
-	hot := print("hot")
+	hot := fingerprint("hot")
 	var zone []Process
 	for i := range 12 {
 		zone = append(zone, process(fmt.Sprint(i), 1))
@@ -121,8 +121,8 @@
 
 func TestSuccessClearsEverywhere(t *testing.T) {
 	a, b := NewLedger(retention), NewLedger(retention)
-	f := print("a")
-	crashTimes(a, start, f, 0, 3)
+	f := fingerprint("a")
+	crashRepeatedly(a, start, f, 0, 3)
 	b.Merge(start, a.DrainUpdates())
 	require.True(t, b.IsBlocked(f))
 	require.True(t, b.RecordSuccess(start, f))
@@ -131,19 +131,19 @@
 	require.False(t, a.IsBlocked(f))
 	require.Equal(t, a.Digest(), b.Digest())
 
-	crashTimes(a, start.Add(time.Second), f, 5, 3)
+	crashRepeatedly(a, start.Add(time.Second), f, 5, 3)
 	require.False(t, a.IsBlocked(f), "a success disproves crashes soon after it")
-	crashTimes(a, start.Add(2*clearedDuration), f, 10, 3)
+	crashRepeatedly(a, start.Add(2*clearedDuration), f, 10, 3)
 	require.True(t, a.IsBlocked(f))
 }
 
 // A success on one instance disproves crashes observed by another.
 func TestEarlierSuccessElsewhereClears(t *testing.T) {
 	a, b := NewLedger(retention), NewLedger(retention)
-	f := print("a")
+	f := fingerprint("a")
 	b.RecordSuccess(start, f)
 	require.True(t, b.DrainUpdates().Empty(), "a success without crashes is not sent")
-	crashTimes(a, start.Add(time.Second), f, 0, 3)
+	crashRepeatedly(a, start.Add(time.Second), f, 0, 3)
 	b.Merge(start.Add(time.Second), a.DrainUpdates())
 	a.Merge(start.Add(time.Second), b.DrainUpdates())
 	require.False(t, a.IsBlocked(f))
@@ -153,7 +153,7 @@
 // unblocked.
 func TestBlockedRequestExplainsCrashesOfOthers(t *testing.T) {
 	l := NewLedger(retention)
-	bad, harmless := print("bad"), print("innocent")
+	bad, harmless := fingerprint("bad"), fingerprint("harmless")
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := process(fmt.Sprint(i), 1)
@@ -165,16 +165,16 @@
 	}
 	require.True(t, l.IsBlocked(bad))
 	require.False(t, l.IsBlocked(harmless))
-	crashTimes(l, start.Add(4*time.Second), harmless, 10, 2)
+	crashRepeatedly(l, start.Add(4*time.Second), harmless, 10, 2)
 	require.False(t, l.IsBlocked(harmless), "three crashes are explained by the blocked request")
-	crashTimes(l, start.Add(5*time.Second), harmless, 20, 1)
+	crashRepeatedly(l, start.Add(5*time.Second), harmless, 20, 1)
 	require.True(t, l.IsBlocked(harmless))
 }
 
 func TestRunsOfOneAttemptCountBeforeTheyAreProved(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
-	crashTimes(l, start, f, 0, 2)
+	f := fingerprint("a")
+	crashRepeatedly(l, start, f, 0, 2)
 	run := lostRun(f, start, process("x", 1))
 	l.RecordLostRun(start, run)
 	require.False(t, l.MayRetry(f, run.Run.Attempt))
@@ -183,15 +183,15 @@
 	require.NotNil(t, refusal)
 	require.Equal(t, proofTimeout, refusal.RetryAfter)
 	require.Nil(t, l.Admit(start.Add(proofTimeout), f, run.Run.Attempt+1))
-	require.True(t, l.MayRetry(print("b"), run.Run.Attempt), "without other evidence a lost run does not count")
+	require.True(t, l.MayRetry(fingerprint("b"), run.Run.Attempt), "without other evidence a lost run does not count")
 }
 
 // A blocked request gets up to three trial runs, only on the instance that observed its
 // last crash.
 func TestTrials(t *testing.T) {
 	here, there := NewLedger(retention), NewLedger(retention)
-	f := print("a")
-	crashTimes(here, start, f, 0, 3)
+	f := fingerprint("a")
+	crashRepeatedly(here, start, f, 0, 3)
 	there.Merge(start, here.DrainUpdates())
 	now := start
 	for i := range maxTrials {
@@ -202,7 +202,7 @@
 		require.Nil(t, here.Admit(now, f, 7), "the attempt of the trial may continue")
 		require.NotNil(t, here.Admit(now, f, 8), "one trial at a time")
 		require.NotNil(t, there.Admit(now, f, 9), "the other instance did not observe the crash")
-		crashTimes(here, now, f, 10+i, 1)
+		crashRepeatedly(here, now, f, 10+i, 1)
 		there.Merge(now, here.DrainUpdates())
 	}
 	require.NotNil(t, here.Admit(now.Add(retention-1), f, 10), "no further trial")
@@ -212,16 +212,16 @@
 // a blocked request.
 func TestFloodOfRequestsIsBounded(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
-	crashTimes(l, start, f, 0, 3)
+	f := fingerprint("a")
+	crashRepeatedly(l, start, f, 0, 3)
 	for i := range 3 * maxTracked {
-		crashOnce(l, start, print(fmt.Sprint("flood", i)), process(fmt.Sprint("f", i), 1))
+		crashOnce(l, start, fingerprint(fmt.Sprint("flood", i)), process(fmt.Sprint("f", i), 1))
 	}
 	for i := range 3 * maxLostRuns {
-		l.RecordLostRun(start, lostRun(print(fmt.Sprint("lost", i)), start, process("x", 1)))
+		l.RecordLostRun(start, lostRun(fingerprint(fmt.Sprint("lost", i)), start, process("x", 1)))
 	}
 	for i := range 3 * maxSuccesses {
-		l.RecordSuccess(start, print(fmt.Sprint("good", i)))
+		l.RecordSuccess(start, fingerprint(fmt.Sprint("good", i)))
 	}
 	for range 100 {
 		crashOnce(l, start, f, process(fmt.Sprint("m", runNumber), 1))
@@ -264,7 +264,7 @@
 				if crashes >= int(blockThreshold) {
 					inFlight++
 				}
-				harmless := print(fmt.Sprint("innocent", i))
+				harmless := fingerprint(fmt.Sprint("harmless", i))
 				r := l.Process(process(id, startTimes[id]), now)
 				l.RecordLostRun(now, lostRun(harmless, now, r))
 				crashOnce(l, now, poison, r)
@@ -272,13 +272,13 @@
 				crashes++
 				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].RecordSuccess(now, harmless)
 			case 1: // a replica fails independently while it runs a harmless request
-				innocent := print(fmt.Sprint("alone", i))
-				crashOnce(l, now, innocent, process(id, startTimes[id]))
+				harmless := fingerprint(fmt.Sprint("alone", i))
+				crashOnce(l, now, harmless, process(id, startTimes[id]))
 				startTimes[id] += 10
 			case 2:
 				updates := l.DrainUpdates()
 				for _, other := range ledgers {
-					if other != l && rapid.Bool().Draw(t, "heard") {
+					if other != l && rapid.Bool().Draw(t, "received") {
 						other.Merge(now, updates)
 					}
 				}
@@ -337,9 +337,9 @@
 func BenchmarkAdmitUnknown(b *testing.B) {
 	l := NewLedger(retention)
 	for i := range maxTracked {
-		crashOnce(l, start, print(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
+		crashOnce(l, start, fingerprint(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
 	}
-	f := print("stranger")
+	f := fingerprint("unknown")
 	for b.Loop() {
 		l.Admit(start, f, 1)
 	}
@@ -355,7 +355,7 @@
 func BenchmarkDigest(b *testing.B) {
 	l := NewLedger(retention)
 	for i := range maxTracked {
-		crashOnce(l, start, print(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
+		crashOnce(l, start, fingerprint(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
 	}
 	for b.Loop() {
 		l.digestValid = false
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -28,8 +28,8 @@
 	// certainReplicas is the number of crashed replicas from which a candidate is stopped
 	// even if the crashes have other possible explanations.
 	certainReplicas = 3
-	// unrelatedCrashThreshold is the number of crashes within the retention period from which a
-	// replica is assumed to fail independently of the requests that it runs.
+	// unrelatedCrashThreshold is the number of crashes within the retention period from
+	// which a replica is assumed to fail independently of the requests that it runs.
 	unrelatedCrashThreshold = 3
 	// burstReplicas is the number of other replicas that crash within burstWindow without
 	// having run a candidate from which a common cause is assumed.
@@ -61,8 +61,8 @@
 )
 
 // String returns the name used in logs.
-func (v Decision) String() string {
-	if v == Stop {
+func (d Decision) String() string {
+	if d == Stop {
 		return "stop"
 	}
 	return "retry"
@@ -82,8 +82,8 @@
 }
 
 func (c *crash) has(f Fingerprint) bool {
-	for _, s := range c.candidates {
-		if s == f {
+	for _, cand := range c.candidates {
+		if cand == f {
 			return true
 		}
 	}
@@ -91,8 +91,8 @@
 }
 
 func (c *crash) remove(f Fingerprint) {
-	for i, s := range c.candidates {
-		if s == f {
+	for i, cand := range c.candidates {
+		if cand == f {
 			c.candidates = append(c.candidates[:i], c.candidates[i+1:]...)
 			return
 		}
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func print(name string) Fingerprint { return FingerprintOf("m", name) }
+func fingerprint(name string) Fingerprint { return FingerprintOf("m", name) }
 
 func TestFingerprintSeparatesFields(t *testing.T) {
 	require.Equal(t, FingerprintOf("m", "p", "1"), FingerprintOf("m", "p", "1"))
@@ -49,7 +49,7 @@
 	firstReplicas = 5
 )
 
-var poison = print("poison")
+var poison = fingerprint("poison")
 
 // run places a request on a random replica that it need not avoid.
 func (w *fleet) run(f Fingerprint, exclude ...string) {
@@ -119,7 +119,7 @@
 					w.complete(rapid.SampledFrom(w.harmless).Draw(t, "done"))
 				}
 			default:
-				f := print(fmt.Sprint(i))
+				f := fingerprint(fmt.Sprint(i))
 				w.harmless = append(w.harmless, f)
 				w.run(f)
 			}
@@ -147,7 +147,7 @@
 
 func TestTwoReplicasStopAndBlock(t *testing.T) {
 	tr := NewTracker(retention)
-	a, b := print("a"), print("b")
+	a, b := fingerprint("a"), fingerprint("b")
 	require.Equal(t, []Decision{Retry, Retry}, tr.RecordCrash(start, "x", a, b))
 	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start.Add(time.Second), "x", a), "the same crash")
 	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start.Add(time.Minute), "x", a), "the same replica")
@@ -166,7 +166,7 @@
 // stopped and neither is blocked until one of them completes or a third replica crashes.
 func TestSharedCrashesAreUndecided(t *testing.T) {
 	tr := NewTracker(retention)
-	a, b := print("a"), print("b")
+	a, b := fingerprint("a"), fingerprint("b")
 	tr.RecordCrash(start, "x", a, b)
 	require.Equal(t, []Decision{Stop, Stop}, tr.RecordCrash(start.Add(time.Second), "y", a, b))
 	require.False(t, tr.IsBlocked(start.Add(time.Second), a))
@@ -182,17 +182,17 @@
 // Copies of one request that crash many replicas at once must not pass for a common cause.
 func TestConcurrentCopiesAreNoCommonCause(t *testing.T) {
 	tr := NewTracker(retention)
-	a := print("a")
+	a := fingerprint("a")
 	for i := range 2 * burstReplicas {
-		tr.RecordCrash(start, fmt.Sprint(i), a, print(fmt.Sprint(i)))
+		tr.RecordCrash(start, fmt.Sprint(i), a, fingerprint(fmt.Sprint(i)))
 	}
 	require.True(t, tr.IsBlocked(start, a))
-	require.False(t, tr.IsBlocked(start, print("0")))
+	require.False(t, tr.IsBlocked(start, fingerprint("0")))
 }
 
 func TestCandidatesRunOnDifferentReplicas(t *testing.T) {
 	tr := NewTracker(retention)
-	a, b := print("a"), print("b")
+	a, b := fingerprint("a"), fingerprint("b")
 	tr.SetPlacement(a, []string{"x"})
 	require.Empty(t, tr.ReplicasToAvoid(a))
 	tr.RecordCrash(start, "x", a, b)
@@ -208,15 +208,15 @@
 func TestBurstBlocksNoRequest(t *testing.T) {
 	tr := NewTracker(retention)
 	for i := range burstReplicas {
-		tr.RecordCrash(start, fmt.Sprintf("rack-%d", i), print(fmt.Sprint(i)))
+		tr.RecordCrash(start, fmt.Sprintf("rack-%d", i), fingerprint(fmt.Sprint(i)))
 	}
-	a := print("a")
+	a := fingerprint("a")
 	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start, "x", a))
 	require.Equal(t, []Decision{Retry}, tr.RecordCrash(start.Add(time.Second), "y", a))
 	require.False(t, tr.IsBlocked(start.Add(time.Second), a))
 	require.Equal(t, []Decision{Stop}, tr.RecordCrash(start.Add(2*time.Second), "z", a))
 	require.False(t, tr.IsBlocked(start.Add(2*time.Second), a))
-	b, after := print("b"), start.Add(2*time.Second+burstWindow+1)
+	b, after := fingerprint("b"), start.Add(2*time.Second+burstWindow+1)
 	tr.RecordCrash(after, "x", b)
 	require.Equal(t, []Decision{Stop}, tr.RecordCrash(after, "y", b), "long after the others")
 }
@@ -227,18 +227,18 @@
 	for i := range unrelatedCrashThreshold {
 		require.False(t, tr.FailsIndependently(now, "x"))
 		now = now.Add(time.Minute)
-		tr.RecordCrash(now, "x", print(fmt.Sprint(i)))
+		tr.RecordCrash(now, "x", fingerprint(fmt.Sprint(i)))
 	}
 	require.True(t, tr.FailsIndependently(now, "x"))
-	require.Equal(t, []Decision{Retry}, tr.RecordCrash(now, "y", print("0")))
+	require.Equal(t, []Decision{Retry}, tr.RecordCrash(now, "y", fingerprint("0")))
 	require.False(t, tr.FailsIndependently(now.Add(retention), "x"))
 }
 
-// A block from a peer holds until its expiry, at most the retention period, and does not
+// A block from a peer lasts until its expiry, at most the retention period, and does not
 // apply to a request that completed here.
 func TestBlockOfPeer(t *testing.T) {
 	tr := NewTracker(retention)
-	a, b := print("a"), print("b")
+	a, b := fingerprint("a"), fingerprint("b")
 	tr.AddPeerBlock(start, a, start)
 	require.False(t, tr.IsBlocked(start, a))
 	tr.AddPeerBlock(start, a, start.Add(24*time.Hour))
@@ -256,11 +256,11 @@
 func TestMemoryIsBounded(t *testing.T) {
 	tr := NewTracker(retention)
 	for i := range 3 * maxBlocks {
-		f := print(fmt.Sprint(i))
+		f := fingerprint(fmt.Sprint(i))
 		tr.RecordCrash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
 		tr.AddPeerBlock(start, f, start.Add(retention))
 		tr.RecordCompletion(start, f)
-		tr.AddPeerBlock(start, print(fmt.Sprint("peer", i)), start.Add(retention))
+		tr.AddPeerBlock(start, fingerprint(fmt.Sprint("peer", i)), start.Add(retention))
 		tr.RecordCrash(start.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i%(2*maxCrashes)), f)
 	}
 	require.LessOrEqual(t, len(tr.crashes), maxCrashes)
@@ -278,7 +278,7 @@
 // candidates that their reports of one crash have in common.
 func TestEvidenceOfAnotherInstanceCounts(t *testing.T) {
 	here, there := NewTracker(retention), NewTracker(retention)
-	a, b, c := print("a"), print("b"), print("c")
+	a, b, c := fingerprint("a"), fingerprint("b"), fingerprint("c")
 	here.RecordCrash(start, "x", a, b)
 	there.RecordCrash(start.Add(time.Second), "x", c)
 	there.Merge(start.Add(time.Second), here.DrainUpdates())
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -8,26 +8,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxState is the maximum number of crashes, and of clears, that are sent at once.
+// MaxState is the maximum number of crashes, and of clearances, that are sent at once.
 const MaxState = 256
 
 // Merge adds evidence of other instances. It returns the crashes of runs lost on this
 // instance that the evidence proves.
-func (l *Ledger) Merge(now time.Time, s Evidence) []Crash {
-	for _, c := range s.Clearances {
+func (l *Ledger) Merge(now time.Time, evidence Evidence) []Crash {
+	for _, c := range evidence.Clearances {
 		if c.At.After(now) {
 			c.At = now
 		}
-		if now.Sub(c.At) >= l.retention || !c.At.After(l.clears[c.Fingerprint]) {
+		if now.Sub(c.At) >= l.retention || !c.At.After(l.clearances[c.Fingerprint]) {
 			continue
 		}
-		l.clears[c.Fingerprint] = c.At
-		l.applyClear(c)
+		l.clearances[c.Fingerprint] = c.At
+		l.applyClearance(c)
 	}
-	evictExcess(l.clears)
+	evictExcess(l.clearances)
 	l.digestValid = false
 	var proved []Crash
-	for _, c := range s.Crashes {
+	for _, c := range evidence.Crashes {
 		if c.At.After(now) {
 			c.At = now
 		}
@@ -46,29 +46,30 @@
 	return updates
 }
 
-// Evidence returns the evidence to send to an instance that may lack some of it. Requests with
-// the most crashes come first, among them those with the latest crash.
+// Evidence returns the evidence to send to an instance that may lack some of it, within
+// MaxState. Requests with the most crashes come first, among them those with the latest
+// crash.
 func (l *Ledger) Evidence() Evidence {
 	order := make([]Fingerprint, 0, len(l.tracked))
 	for f := range l.tracked {
 		order = append(order, f)
 	}
 	slices.SortFunc(order, func(a, b Fingerprint) int { return l.compare(b, a) })
-	var s Evidence
+	var evidence Evidence
 	for _, f := range order {
 		crashes := l.tracked[f].crashes
-		if len(s.Crashes)+len(crashes) > MaxState {
+		if len(evidence.Crashes)+len(crashes) > MaxState {
 			break
 		}
-		s.Crashes = append(s.Crashes, crashes...)
+		evidence.Crashes = append(evidence.Crashes, crashes...)
 	}
-	for f, at := range l.clears {
-		if len(s.Clearances) == MaxState {
+	for f, at := range l.clearances {
+		if len(evidence.Clearances) == MaxState {
 			break
 		}
-		s.Clearances = append(s.Clearances, Clearance{Fingerprint: f, At: at})
+		evidence.Clearances = append(evidence.Clearances, Clearance{Fingerprint: f, At: at})
 	}
-	return s
+	return evidence
 }
 
 // compare orders fingerprints by their number of crashes, then by the time of the last
@@ -106,7 +107,7 @@
 			sum ^= c.hash()
 		}
 	}
-	for f := range l.clears {
+	for f := range l.clearances {
 		sum ^= xxhash.Sum64(f[:])
 	}
 	return sum
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -31,9 +31,9 @@
 }
 
 // last returns the time of the last crash.
-func (s *candidate) last() time.Time {
-	last := s.crashes[0].at
-	for _, c := range s.crashes {
+func (cand *candidate) last() time.Time {
+	last := cand.crashes[0].at
+	for _, c := range cand.crashes {
 		last = later(last, c.at)
 	}
 	return last
@@ -83,20 +83,20 @@
 }
 
 // Merge adds the observations of another instance.
-func (t *Tracker) Merge(now time.Time, s Evidence) {
+func (t *Tracker) Merge(now time.Time, evidence Evidence) {
 	t.expireCrashes(now)
-	for _, c := range s.Crashes {
+	for _, c := range evidence.Crashes {
 		if now.Sub(c.At) < t.retention {
 			t.addCandidate(t.crashOf(c.At, c.Replica.Replica), c.Fingerprint)
 		}
 	}
-	for _, c := range s.Clearances {
+	for _, c := range evidence.Clearances {
 		t.clear(now, c.Fingerprint)
 	}
 }
 
-// RecordCompletion records that a request completed, which proves that its fingerprint is not the
-// cause of earlier crashes.
+// RecordCompletion records that a request completed, which proves that its fingerprint is
+// not the cause of earlier crashes.
 func (t *Tracker) RecordCompletion(now time.Time, f Fingerprint) {
 	if t.clear(now, f) && len(t.updates.Clearances) < MaxState {
 		t.updates.Clearances = append(t.updates.Clearances, Clearance{Fingerprint: f, At: now})
@@ -111,11 +111,11 @@
 	}
 	_, blockedByPeer := t.peerBlocks[f]
 	delete(t.peerBlocks, f)
-	s, ok := t.candidates[f]
+	cand, ok := t.candidates[f]
 	if !ok {
 		return blockedByPeer
 	}
-	for _, c := range s.crashes {
+	for _, c := range cand.crashes {
 		c.remove(f)
 	}
 	delete(t.candidates, f)
@@ -130,8 +130,8 @@
 	return t.isProvenCause(now, f)
 }
 
-// AddPeerBlock records a block that a peer reported. The expiry is limited to the tracker's own
-// retention period.
+// AddPeerBlock records a block that a peer reported. The block lasts at most for the
+// tracker's own retention period.
 func (t *Tracker) AddPeerBlock(now time.Time, f Fingerprint, expiry time.Time) {
 	if t.cleared[f].After(now) || !expiry.After(now) {
 		return
@@ -143,8 +143,8 @@
 	evictExcess(t.peerBlocks)
 }
 
-// BlocksToShare returns at most MaxShared blocks to send to peers, in order of expiry, latest
-// first.
+// BlocksToShare returns at most MaxShared blocks to send to peers, in order of expiry,
+// latest first.
 func (t *Tracker) BlocksToShare(now time.Time) []Block {
 	t.expireCrashes(now)
 	expireMap(now, t.peerBlocks)
@@ -153,34 +153,34 @@
 	for f, expiry := range t.peerBlocks {
 		blocks = append(blocks, Block{Fingerprint: f, Expiry: expiry})
 	}
-	for f, s := range t.candidates {
-		if _, ok := t.peerBlocks[f]; ok || now.Sub(s.last()) < shareDelay || !t.isProvenCause(now, f) {
+	for f, cand := range t.candidates {
+		if _, ok := t.peerBlocks[f]; ok || now.Sub(cand.last()) < shareDelay || !t.isProvenCause(now, f) {
 			continue
 		}
-		blocks = append(blocks, Block{Fingerprint: f, Expiry: s.last().Add(t.retention)})
+		blocks = append(blocks, Block{Fingerprint: f, Expiry: cand.last().Add(t.retention)})
 	}
 	slices.SortFunc(blocks, compareBlocks)
 	return blocks[:min(len(blocks), MaxShared)]
 }
 
-// SetPlacement records on which replicas a fingerprint now runs. It is ignored for fingerprints
-// that are not candidates.
+// SetPlacement records on which replicas a fingerprint now runs. It is ignored for
+// fingerprints that are not candidates.
 func (t *Tracker) SetPlacement(f Fingerprint, replicas []string) {
-	if s, ok := t.candidates[f]; ok {
-		s.placedOn = slices.Clone(replicas)
+	if cand, ok := t.candidates[f]; ok {
+		cand.placedOn = slices.Clone(replicas)
 	}
 }
 
-// ReplicasToAvoid returns the replicas that crashed while running the fingerprint, and those that now
-// run other candidates of the same crashes. If a candidate that runs apart from the others
-// crashes another replica, it can be identified as the cause.
+// ReplicasToAvoid returns the replicas that crashed while running the fingerprint, and
+// those that now run other candidates of the same crashes. If a candidate that runs apart
+// from the others crashes another replica, it can be identified as the cause.
 func (t *Tracker) ReplicasToAvoid(f Fingerprint) []string {
-	s, ok := t.candidates[f]
+	cand, ok := t.candidates[f]
 	if !ok {
 		return nil
 	}
 	var replicas []string
-	for _, c := range s.crashes {
+	for _, c := range cand.crashes {
 		replicas = append(replicas, c.replica)
 		for _, other := range c.candidates {
 			if other != f {
@@ -192,8 +192,8 @@
 	return slices.Compact(replicas)
 }
 
-// FailsIndependently reports whether a replica crashes so often, with different requests, that the
-// requests do not explain it.
+// FailsIndependently reports whether a replica crashes so often, with different requests,
+// that the requests do not explain it.
 func (t *Tracker) FailsIndependently(now time.Time, replica string) bool {
 	return t.failsIndependently(replica, now)
 }
@@ -208,8 +208,8 @@
 
 // isProvenCause reports whether the crashes recorded here prove that f must be refused.
 func (t *Tracker) isProvenCause(now time.Time, f Fingerprint) bool {
-	s, ok := t.candidates[f]
-	if !ok || now.Sub(s.last()) >= t.retention {
+	cand, ok := t.candidates[f]
+	if !ok || now.Sub(cand.last()) >= t.retention {
 		return false
 	}
 	return t.attributedReplicas(f, true) >= stopReplicas || t.attributedReplicas(f, false) >= certainReplicas
@@ -238,13 +238,13 @@
 		return false
 	}
 	c.candidates = append(c.candidates, f)
-	s, ok := t.candidates[f]
+	cand, ok := t.candidates[f]
 	if !ok {
-		s = &candidate{}
-		t.candidates[f] = s
+		cand = &candidate{}
+		t.candidates[f] = cand
 	}
-	s.placedOn = nil
-	s.crashes = append(s.crashes, c)
+	cand.placedOn = nil
+	cand.crashes = append(cand.crashes, c)
 	return true
 }
 
@@ -259,9 +259,9 @@
 	c := t.crashes[0]
 	t.crashes = slices.Delete(t.crashes, 0, 1)
 	for _, f := range c.candidates {
-		s := t.candidates[f]
-		s.crashes = slices.DeleteFunc(s.crashes, func(x *crash) bool { return x == c })
-		if len(s.crashes) == 0 {
+		cand := t.candidates[f]
+		cand.crashes = slices.DeleteFunc(cand.crashes, func(x *crash) bool { return x == c })
+		if len(cand.crashes) == 0 {
 			delete(t.candidates, f)
 		}
 	}
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -13,8 +13,8 @@
 	// MinPerSecond is the rate at which retries are added regardless of first attempts,
 	// so that an idle group can retry too.
 	MinPerSecond float64
-	// Burst is the burst: the maximum number of retries that the budget can hold. The
-	// budget starts full.
+	// Burst is the maximum number of retries that the budget can hold. The budget starts
+	// full.
 	Burst float64
 	// Window, if positive, raises the maximum by the retries earned by the first
 	// attempts of the last window. Failures come in bursts, for example when a replica
@@ -53,8 +53,8 @@
 	b.refill(now, b.cfg.Ratio)
 }
 
-// TrySpend spends one retry. It returns false if the budget is exhausted; the failure must
-// then be reported to the client instead of being retried.
+// TrySpend spends one retry. It returns false if the budget is exhausted; the failure
+// must then be reported to the client instead of being retried.
 func (b *Budget) TrySpend(now time.Time) bool {
 	b.refill(now, 0)
 	if b.available < 1 {
@@ -79,9 +79,9 @@
 		}
 		b.last = now
 	}
-	most := b.cfg.Burst
+	maxAvailable := b.cfg.Burst
 	if b.cfg.Window > 0 {
-		most += b.cfg.Ratio * b.firsts.sum(b.last, b.cfg.Window)
+		maxAvailable += b.cfg.Ratio * b.firsts.sum(b.last, b.cfg.Window)
 	}
-	b.available = min(b.available+retries, most)
+	b.available = min(b.available+retries, maxAvailable)
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -21,7 +21,7 @@
 	return BudgetConfig{
 		Ratio:        rapid.Float64Range(0, 1).Draw(t, "ratio"),
 		MinPerSecond: rapid.Float64Range(0, 2).Draw(t, "minimum rate"),
-		Burst:        rapid.Float64Range(0, 20).Draw(t, "bank"),
+		Burst:        rapid.Float64Range(0, 20).Draw(t, "burst"),
 	}
 }
 
@@ -43,9 +43,9 @@
 				b.RecordFirst(now.Add(min(pause, 0)))
 				balance += c.Ratio
 			} else {
-				saved := b.Available(now)
-				require.Equal(t, saved >= 1, b.TrySpend(now))
-				if saved >= 1 {
+				available := b.Available(now)
+				require.Equal(t, available >= 1, b.TrySpend(now))
+				if available >= 1 {
 					balance--
 				}
 			}
@@ -127,7 +127,7 @@
 		cfg := BudgetConfig{
 			Ratio:        rapid.Float64Range(0, 0.5).Draw(t, "ratio"),
 			MinPerSecond: rapid.Float64Range(0, 1).Draw(t, "rate"),
-			Burst:        rapid.Float64Range(1, 8).Draw(t, "bank"),
+			Burst:        rapid.Float64Range(1, 8).Draw(t, "burst"),
 			Window:       window,
 		}
 		b := NewBudget(cfg)
@@ -157,14 +157,14 @@
 		}
 		for _, at := range retries {
 			end := at.Add(window)
-			paid := cfg.Burst + cfg.Ratio*within(firsts, at.Add(-window), end) + cfg.MinPerSecond*window.Seconds()
-			require.LessOrEqual(t, within(retries, at, end), paid+1e-6)
+			allowed := cfg.Burst + cfg.Ratio*within(firsts, at.Add(-window), end) + cfg.MinPerSecond*window.Seconds()
+			require.LessOrEqual(t, within(retries, at, end), allowed+1e-6)
 		}
 	})
 }
 
-// TestBudgetCoversReplicaLoss replays one of 95 instances: four requests per second,
-// and after a while a replica crashes with five of its streams, which all may be
+// TestBudgetCoversReplicaLoss models one of 95 instances with four requests per second.
+// After 20 s a replica crashes with five of the instance's streams, all of which may be
 // retried.
 func TestBudgetCoversReplicaLoss(t *testing.T) {
 	const instances = 95
--- a/core/retry/recent.go
+++ b/core/retry/windowcounter.go
@@ -15,23 +15,23 @@
 	newest int
 }
 
-func (r *windowCounter) add(now time.Time, window time.Duration) {
+func (c *windowCounter) add(now time.Time, window time.Duration) {
 	if window <= 0 {
 		return
 	}
-	if bucket := window / windowBuckets; r.starts[r.newest].IsZero() || now.Sub(r.starts[r.newest]) >= bucket {
-		r.newest = (r.newest + 1) % windowBuckets
-		r.counts[r.newest], r.starts[r.newest] = 0, now
+	if bucket := window / windowBuckets; c.starts[c.newest].IsZero() || now.Sub(c.starts[c.newest]) >= bucket {
+		c.newest = (c.newest + 1) % windowBuckets
+		c.counts[c.newest], c.starts[c.newest] = 0, now
 	}
-	r.counts[r.newest]++
+	c.counts[c.newest]++
 }
 
 // sum returns the first attempts of the window. It leaves out buckets that started
 // before the window.
-func (r *windowCounter) sum(now time.Time, window time.Duration) float64 {
+func (c *windowCounter) sum(now time.Time, window time.Duration) float64 {
 	total := 0.0
-	for i, n := range r.counts {
-		if !r.starts[i].IsZero() && now.Sub(r.starts[i]) < window {
+	for i, n := range c.counts {
+		if !c.starts[i].IsZero() && now.Sub(c.starts[i]) < window {
 			total += n
 		}
 	}
--- a/core/roster/departed.go
+++ b/core/roster/departed.go
@@ -8,37 +8,38 @@
 // departures remembers the processes that are leaving for good or have left, so that an
 // outdated entry does not list them again. The oldest are evicted first.
 type departures struct {
-	born map[string]int64
+	// startTimes maps the IDs to the start times of their last departed processes.
+	startTimes map[string]int64
 	// order holds the IDs in the order in which they were added.
 	order []string
 }
 
-func newDepartures() departures { return departures{born: map[string]int64{}} }
+func newDepartures() departures { return departures{startTimes: map[string]int64{}} }
 
 func (d *departures) add(p Process) {
-	born, known := d.born[p.ID]
+	startTime, known := d.startTimes[p.ID]
 	if known {
-		d.born[p.ID] = max(born, p.StartTime)
+		d.startTimes[p.ID] = max(startTime, p.StartTime)
 		return
 	}
 	if len(d.order) == maxDeparted {
-		delete(d.born, d.order[0])
+		delete(d.startTimes, d.order[0])
 		d.order = d.order[1:]
 	}
-	d.born[p.ID] = p.StartTime
+	d.startTimes[p.ID] = p.StartTime
 	d.order = append(d.order, p.ID)
 }
 
 // contains reports whether the process or a later one of the same replica was added.
 func (d *departures) contains(p Process) bool {
-	born, known := d.born[p.ID]
-	return known && born >= p.StartTime
+	startTime, known := d.startTimes[p.ID]
+	return known && startTime >= p.StartTime
 }
 
 func (d *departures) list() []Process {
 	out := make([]Process, 0, len(d.order))
 	for _, id := range d.order {
-		out = append(out, Process{ID: id, StartTime: d.born[id]})
+		out = append(out, Process{ID: id, StartTime: d.startTimes[id]})
 	}
 	return out
 }
--- a/core/roster/feed.go
+++ b/core/roster/feed.go
@@ -25,10 +25,10 @@
 // Next returns the offset to read from, and false if the whole list must be read.
 func (f *Feed) Next() (int64, bool) { return f.next, f.initialized }
 
-// ApplyRead records updates that this instance read and returns the new ones, to be forwarded.
-// It returns false if there is a gap between the updates and the last known offset. Updates
-// that another instance forwarded during the read are left out, and the returned range
-// starts after them: an instance that lacks them must recognize the gap.
+// ApplyRead records updates that this instance read and returns the new ones, to be
+// forwarded. It returns false if there is a gap between the updates and the last known
+// offset. Updates that another instance forwarded during the read are left out, and the
+// returned range starts after them: an instance that lacks them must recognize the gap.
 func (f *Feed) ApplyRead(u Updates) (Updates, bool) {
 	if !f.initialized || u.From > f.next {
 		return Updates{}, false
@@ -38,9 +38,9 @@
 	return Updates{From: from, To: f.next, List: added}, true
 }
 
-// ApplyForwarded records updates that another instance read and forwarded, and returns the new
-// ones. Updates after a gap and those of a sender that is behind are ignored: this instance
-// then reads by itself.
+// ApplyForwarded records updates that another instance read and forwarded, and returns the
+// new ones. Updates after a gap and those of a sender that is behind are ignored: this
+// instance then reads by itself.
 func (f *Feed) ApplyForwarded(now time.Time, u Updates) []Update {
 	if !f.initialized || u.From > f.next || u.To < f.next {
 		return nil
@@ -60,8 +60,8 @@
 	return added
 }
 
-// ReadDelay returns how long this instance may still rely on the forwarding instance before it
-// must read by itself: until timeout has passed since updates, or an empty set of them,
+// ReadDelay returns how long this instance may still rely on the forwarding instance before
+// it must read by itself: until timeout has passed since updates, or an empty set of them,
 // were last forwarded.
 func (f *Feed) ReadDelay(now time.Time, timeout time.Duration) time.Duration {
 	if !f.initialized || f.forwardedAt.IsZero() {
--- a/core/roster/feed_test.go
+++ b/core/roster/feed_test.go
@@ -74,7 +74,7 @@
 			from := rapid.Int64Range(0, 50).Draw(t, "from")
 			u := updates(from, from+rapid.Int64Range(0, 10).Draw(t, "n"))
 			var got []roster.Update
-			if rapid.Bool().Draw(t, "passed") {
+			if rapid.Bool().Draw(t, "forwarded") {
 				got = f.ApplyForwarded(start, u)
 			} else {
 				read, _ := f.ApplyRead(u)
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -35,8 +35,8 @@
 	Kind  string
 	Slots int
 	State State
-	// StartTime is the start time of the replica in Unix milliseconds. It distinguishes restarts
-	// under the same ID.
+	// StartTime is the start time of the process in Unix milliseconds. It distinguishes
+	// restarts under the same ID.
 	StartTime int64
 	// Layers is nil while the replica holds no layers.
 	Layers *Layers
@@ -83,7 +83,7 @@
 	StartTime int64
 }
 
-// EndedProcess is a process of a replica that ended without having announced it.
+// EndedProcess is a process of a replica that ended unannounced.
 type EndedProcess struct {
 	ID        string
 	StartTime int64
@@ -300,9 +300,9 @@
 	return expired
 }
 
-// MarkLeaving records a process's own announcement that it is leaving for good. Later entries of
-// that process, from the store or another instance, have no effect. It reports whether a
-// replica that accepted new work no longer does.
+// MarkLeaving records a process's own announcement that it is leaving for good. Later
+// entries of that process, from the store or another instance, have no effect. It reports
+// whether a replica that accepted new work no longer does.
 func (r *Roster) MarkLeaving(p Process) bool {
 	old := r.entries[p.ID]
 	if old != nil && old.StartTime > p.StartTime {
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -165,12 +165,12 @@
 // removal of their entry.
 func TestUnannouncedEnds(t *testing.T) {
 	now := time.Unix(0, 0)
-	entry := func(id, address string, born int64, state roster.State) roster.Entry {
-		return roster.Entry{ID: id, Service: "s", Address: address, StartTime: born, State: state}
+	entry := func(id, address string, startTime int64, state roster.State) roster.Entry {
+		return roster.Entry{ID: id, Service: "s", Address: address, StartTime: startTime, State: state}
 	}
 	r := roster.New()
 	for _, e := range []roster.Entry{
-		entry("restarts", "a", 1, roster.Ready), entry("replaced", "b", 1, roster.Ready), entry("lapses", "c", 1, roster.Ready),
+		entry("restarts", "a", 1, roster.Ready), entry("replaced", "b", 1, roster.Ready), entry("expires", "c", 1, roster.Ready),
 		entry("leaves", "d", 1, roster.Draining), entry("leaves-and-restarts", "e", 1, roster.Draining),
 	} {
 		r.Put(e)
@@ -178,14 +178,14 @@
 	require.Empty(t, r.DrainEnded())
 	r.Put(entry("restarts", "a", 2, roster.Ready))
 	r.Put(entry("other", "b", 2, roster.Ready))
-	r.Remove(now, "lapses")
+	r.Remove(now, "expires")
 	r.Remove(now, "leaves")
 	r.Put(entry("after", "d", 2, roster.Ready))
 	r.Put(entry("leaves-and-restarts", "e", 2, roster.Ready))
 	require.Equal(t, []roster.EndedProcess{
 		{ID: "restarts", StartTime: 1, Restarted: true},
 		{ID: "replaced", StartTime: 1, Restarted: true},
-		{ID: "lapses", StartTime: 1},
+		{ID: "expires", StartTime: 1},
 	}, r.DrainEnded())
 	require.Empty(t, r.DrainEnded())
 }
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -154,9 +154,9 @@
 		}
 		table.choiceRate = choiceRate{count: float64(each), updatedAt: start.UnixNano()}
 		for range each {
-			c := table.Choose(start, req, random.Uint64()).Path
-			paths = append(paths, c)
-			for _, stage := range c.Stages {
+			path := table.Choose(start, req, random.Uint64()).Path
+			paths = append(paths, path)
+			for _, stage := range path.Stages {
 				table.RecordDispatch(stage.ReplicaID, req.PromptTokens)
 				truth.RecordDispatch(stage.ReplicaID, req.PromptTokens)
 			}
@@ -165,8 +165,8 @@
 	truth.beginChoice(start.UnixNano(), &req)
 	for _, c := range paths {
 		total := 0.0
-		for _, hop := range c.Stages {
-			r := truth.replicas[hop.ReplicaID]
+		for _, stage := range c.Stages {
+			r := truth.replicas[stage.ReplicaID]
 			total += truth.costTerms(start.UnixNano(), &req, r, truth.cachedFraction(r)).Total()
 			most = max(most, r.inFlight)
 		}
--- a/core/route/explain.go
+++ b/core/route/explain.go
@@ -58,8 +58,8 @@
 	Decision Decision
 	// Lowest is the lowest expected time of all paths; 0 if there is no path.
 	Lowest time.Duration
-	// Tolerance is how far above Lowest, relative to it, the expected time of a
-	// path may be for PolicyCost to pick it.
+	// Tolerance bounds the paths that PolicyCost may pick: their expected time is at
+	// most 1+Tolerance times Lowest.
 	Tolerance float64
 	// Replicas are sorted by first layer, last layer and ID.
 	Replicas []ReplicaView
--- a/core/route/policy_cost.go
+++ b/core/route/policy_cost.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// MinTolerance is how far above the lowest expected time, relative to it,
-	// the expected time of a path picked by PolicyCost may be while the other
-	// instances are idle.
+	// MinTolerance is the tolerance while the other instances are idle. The
+	// expected time of a path picked by PolicyCost is at most 1+tolerance times
+	// the lowest.
 	MinTolerance = 0.1
 	// MaxTolerance is the upper bound of the tolerance, reached when the other
 	// instances choose often.
--- a/core/route/replica.go
+++ b/core/route/replica.go
@@ -28,8 +28,8 @@
 	position int
 	// inFlightDelta is the change of inFlight since the last load report.
 	inFlightDelta int
-	// unreportedTokens is the number of prompt tokens dispatched since the last load
-	// report.
+	// unreportedTokens is the number of prompt tokens dispatched since the last
+	// load report.
 	unreportedTokens int
 
 	load       Load
@@ -48,8 +48,8 @@
 	// that excluded the replica and of the last one that set cachedFraction.
 	excludedStamp uint64
 	cachedStamp   uint64
-	// cachedFraction is the fraction of the prompt, 0 to 1, expected in the prefix
-	// cache.
+	// cachedFraction is the fraction of the prompt, 0 to 1, expected in the
+	// prefix cache.
 	cachedFraction float64
 }
 
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -48,7 +48,7 @@
 			Step:    time.Duration(rapid.IntRange(0, 40).Draw(t, "step")) * time.Millisecond,
 		})
 	}
-	for range rapid.IntRange(0, 3).Draw(t, "begun") {
+	for range rapid.IntRange(0, 3).Draw(t, "dispatched") {
 		table.RecordDispatch(id, 100)
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "observed") {
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -143,23 +143,23 @@
 	}
 }
 
-// SetLatency sets the one-way network latency to a replica. Every step crosses the
-// link twice.
+// SetLatency sets the one-way network latency to a replica. Every step crosses
+// the link twice.
 func (t *Table) SetLatency(id string, d time.Duration) {
 	if r, ok := t.replicas[id]; ok {
 		r.latency = max(d, 0).Seconds()
 	}
 }
 
-// RecordDispatch records that this instance dispatched a request with the given number
-// of prompt tokens to a replica.
+// RecordDispatch records that this instance dispatched a request with the given
+// number of prompt tokens to a replica.
 func (t *Table) RecordDispatch(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
 		r.recordDispatch(tokens)
 	}
 }
 
-// RecordEnd records the end of a request that was recorded as dispatched.
+// RecordEnd records the end of a request that RecordDispatch has recorded.
 func (t *Table) RecordEnd(id string, tokens int) {
 	if r, ok := t.replicas[id]; ok {
 		r.recordEnd(tokens)
@@ -174,9 +174,9 @@
 	}
 }
 
-// RecordSteps records the measured duration, including the network, of steps that
-// ran the given numbers of tokens on a replica. Prefill tokens served from the
-// prefix cache must not be included.
+// RecordSteps records the measured duration, including the network, of steps
+// that ran the given numbers of tokens on a replica. Prefill tokens served from
+// the prefix cache must not be included.
 func (t *Table) RecordSteps(id string, prefillTokens, decodeTokens int, d time.Duration) {
 	if r, ok := t.replicas[id]; ok {
 		r.recordSteps(prefillTokens, decodeTokens, d.Seconds())
@@ -230,10 +230,10 @@
 }
 
 func (t *Table) timesOf(accelerator string) *tokenTimes {
-	p, ok := t.acceleratorTimes[accelerator]
+	times, ok := t.acceleratorTimes[accelerator]
 	if !ok {
-		p = &tokenTimes{}
-		t.acceleratorTimes[accelerator] = p
+		times = &tokenTimes{}
+		t.acceleratorTimes[accelerator] = times
 	}
-	return p
+	return times
 }
--- a/core/routing/config.go
+++ b/core/routing/config.go
@@ -53,8 +53,8 @@
 	// Timeout is the maximum time until the client gets a response; 0 means no
 	// limit.
 	Timeout time.Duration
-	// LatencyObjective is the longest time to the response, or to the first event of a
-	// stream, that still gets full credit.
+	// LatencyObjective is the longest time to the response, or to the first
+	// event of a stream, that still gets full credit.
 	LatencyObjective time.Duration
 	// EventGapObjective is the longest time between two events of a stream that
 	// still gets full credit.
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -49,8 +49,8 @@
 // Limits returns the bounds of what clients may send.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// RequiresAPIKeys reports whether requests to routes that are not public require an
-// API key.
+// RequiresAPIKeys reports whether requests to routes that are not public require
+// an API key.
 func (t *Table) RequiresAPIKeys() bool { return len(t.config.Workspaces) > 0 }
 
 // Services returns all services.
@@ -81,8 +81,8 @@
 	return strings.ToLower(host)
 }
 
-// PickService returns the service of a target chosen by weight. draw is a random
-// number from 0 to 1. It returns "" if no target has a weight above 0.
+// PickService returns the service of a target chosen by weight, or "" if no
+// target has a weight above 0. draw is a random number in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
