--- a/core/health/group.go
+++ b/core/health/group.go
@@ -39,8 +39,8 @@
 	g.members--
 }
 
-// eject counts one more ejected member. It returns false, and changes nothing,
-// if the limit is reached.
+// eject increments the number of ejected members. It returns false, and changes
+// nothing, if the limit is reached.
 func (g *Group) eject() bool {
 	if g.ejected >= g.Allowed() {
 		return false
@@ -49,7 +49,7 @@
 	return true
 }
 
-// restore counts one ejected member less.
+// restore decrements the number of ejected members.
 func (g *Group) restore() {
 	g.ejected--
 }
--- a/core/poison/admit.go
+++ b/core/poison/admit.go
@@ -13,8 +13,9 @@
 	RetryAfter time.Duration
 }
 
-// Admit returns nil if an attempt may run a request. Some time after its last crash, a
-// blocked request gets a trial run, only on the instance that observed that crash.
+// Admit returns nil if the attempt may run the request, and the refusal otherwise. Some
+// time after its last crash, a blocked request gets a trial run, but only on the instance
+// that observed that crash.
 func (l *Ledger) Admit(now time.Time, f Fingerprint, attempt uint64) *Refusal {
 	r := l.tracked[f]
 	if r == nil {
@@ -40,8 +41,8 @@
 	return &Refusal{Crashes: slices.Clone(r.crashes), RetryAfter: at.Sub(now)}
 }
 
-// refuseUnproven refuses a request while recently lost runs would block it if processes on
-// their paths turn out to have ended.
+// refuseUnproven refuses a request that is not blocked but would be if processes on the
+// paths of its recently lost runs turn out to have ended.
 func (l *Ledger) refuseUnproven(now time.Time, f Fingerprint, r *crashHistory) *Refusal {
 	unproven := 0
 	var until time.Time
--- a/core/poison/blocks.go
+++ b/core/poison/blocks.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// evictionFraction is the divisor for the number of entries that are evicted from a full
-// map at once: 1/8 of them.
-const evictionFraction = 8
+// evictionDivisor determines how many entries are evicted from a full map at once: the
+// maximum number divided by it.
+const evictionDivisor = 8
 
 // evictExcess evicts the entries that expire first from a map that exceeds maxBlocks.
 func evictExcess(entries map[Fingerprint]time.Time) {
@@ -21,7 +21,7 @@
 		blocks = append(blocks, Block{Fingerprint: f, Expiry: expiry})
 	}
 	slices.SortFunc(blocks, compareBlocks)
-	for _, b := range blocks[maxBlocks-maxBlocks/evictionFraction:] {
+	for _, b := range blocks[maxBlocks-maxBlocks/evictionDivisor:] {
 		delete(entries, b.Fingerprint)
 	}
 }
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -174,14 +174,14 @@
 	return out
 }
 
-// evictOldestEnds evicts 1/evictionFraction of the ended processes.
+// evictOldestEnds evicts maxEnded/evictionDivisor processes, those that ended first.
 func (l *Ledger) evictOldestEnds() {
 	all := make([]Process, 0, len(l.ended))
 	for r := range l.ended {
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b Process) int { return l.ended[a].Compare(l.ended[b]) })
-	for _, r := range all[:maxEnded/evictionFraction] {
+	for _, r := range all[:maxEnded/evictionDivisor] {
 		delete(l.ended, r)
 	}
 }
@@ -283,7 +283,7 @@
 		all = append(all, f)
 	}
 	slices.SortFunc(all, l.compare)
-	for _, f := range all[:maxTracked/evictionFraction] {
+	for _, f := range all[:maxTracked/evictionDivisor] {
 		l.discard(f)
 	}
 }
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -98,9 +98,10 @@
 
 // TestPoisonIsStoppedAndHarmlessRequestsAreNot runs a poison request that its client sends
 // repeatedly, together with harmless requests and a replica that crashes independently. The
-// poison request may crash at most two replicas. After an independent crash of replica 0
-// its crashes may be worthless as evidence and leave one more undecided, so the bound is
-// then three besides replica 0. No harmless request is ever blocked.
+// poison request may crash at most two replicas. Once replica 0 has crashed independently,
+// its crashes may not count as evidence and may leave the cause of one more crash
+// undecided, so the bound is then three besides replica 0. No harmless request is ever
+// blocked.
 func TestPoisonIsStoppedAndHarmlessRequestsAreNot(t *testing.T) {
 	blocked := 0
 	rapid.Check(t, func(t *rapid.T) {
