--- a/node/engine/engine.go
+++ b/node/engine/engine.go
@@ -29,9 +29,9 @@
 	// CacheEvents reads the changes of the prefix cache, starting with event number
 	// from.
 	CacheEvents(ctx context.Context, t Target, from uint64) (*wire.CacheEvents, error)
-	// AssignLayers sends a layer assignment. It carries the complete target state, so sending
-	// it again is harmless.
-	AssignLayers(ctx context.Context, t Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error)
+	// AssignLayers sends a layer assignment. It carries the complete target state, so
+	// sending it again is harmless.
+	AssignLayers(ctx context.Context, t Target, a *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error)
 	// State reads which model, version and layers the engine holds.
 	State(ctx context.Context, t Target) (*wire.EngineState, error)
 	// ReplaceConnections closes the idle connections to the engine, so that later
--- a/node/engine/httpjson/bench_test.go
+++ b/node/engine/httpjson/bench_test.go
@@ -105,14 +105,14 @@
 	n := 0
 	sent := s.bytes.Load()
 	b.ReportAllocs()
-	began := cpuTime(b)
+	start := cpuTime(b)
 	for b.Loop() {
 		n++
 		if err := call(); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(cpuTime(b)-began)/float64(n), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-start)/float64(n), "cpu-ns/op")
 	b.ReportMetric(float64(s.bytes.Load()-sent)/float64(n), "wire-B/op")
 }
 
--- a/node/engine/httpjson/client.go
+++ b/node/engine/httpjson/client.go
@@ -74,9 +74,9 @@
 }
 
 // AssignLayers implements engine.Client.
-func (c *Client) AssignLayers(ctx context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
+func (c *Client) AssignLayers(ctx context.Context, t engine.Target, a *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
 	out := &wire.LayerAssignmentResponse{}
-	return out, c.call(ctx, c.transport(t), http.MethodPost, t, wire.PathLayerAssignment, o, out)
+	return out, c.call(ctx, c.transport(t), http.MethodPost, t, wire.PathLayerAssignment, a, out)
 }
 
 // State implements engine.Client.
--- a/node/router/bench_test.go
+++ b/node/router/bench_test.go
@@ -65,7 +65,7 @@
 func benchRequests(b *testing.B, r *Router, tokens int) {
 	n := 0
 	b.ReportAllocs()
-	began := cpuTime(b)
+	start := cpuTime(b)
 	for b.Loop() {
 		n++
 		res := r.Generate(context.Background(), testRequest(strconv.Itoa(n), tokens, time.Minute), &textSink{})
@@ -73,7 +73,7 @@
 			b.Fatal(res.Message)
 		}
 	}
-	b.ReportMetric(float64(cpuTime(b)-began)/float64(n), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-start)/float64(n), "cpu-ns/op")
 }
 
 // BenchmarkControl measures the periodic work of a router without requests: one check
--- a/node/router/configure_test.go
+++ b/node/router/configure_test.go
@@ -32,10 +32,10 @@
 			r.pools["m"].queue.onWait = func() { waiting <- struct{}{} }
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			ended := make(chan Result, 1)
+			result := make(chan Result, 1)
 			go func() {
 				now := time.Now()
-				ended <- r.Generate(ctx, &Request{
+				result <- r.Generate(ctx, &Request{
 					ID: "r", Workspace: "w", Model: "m", Prompt: "p", MaxTokens: 1, Arrived: now, Deadline: now.Add(time.Minute),
 				}, discardSink{})
 			}()
@@ -43,7 +43,7 @@
 			c := plainConfig()
 			change(c)
 			r.Configure(c)
-			res := <-ended
+			res := <-result
 			require.Equal(t, CodeRefused, res.Code)
 			require.Equal(t, execution.NotRun, res.Execution)
 			require.Positive(t, res.RetryAfter)
--- a/node/router/health.go
+++ b/node/router/health.go
@@ -208,7 +208,7 @@
 func (a *engineActions) remove() { a.pool.remove(a.upstream) }
 
 // failAttempts cancels the open attempts on an unresponsive replica. If connections to
-// it broke before, it is taken to have crashed, and the requests that it was running
+// it broke before, it is assumed to have crashed, and the requests that it was running
 // are recorded as possible causes.
 func (p *pool) failAttempts(u *upstream) {
 	if len(u.lostSteps) > 0 {
--- a/node/router/orders.go
+++ b/node/router/orders.go
@@ -40,7 +40,7 @@
 		Deadline:    deadline,
 	}, func(ctx context.Context) order.Response {
 		sent = r.callOnce(ctx, pool, req)
-		return newOrderAnswer(&sent)
+		return newOrderResponse(&sent)
 	})
 	return keyedResult(&res, &sent)
 }
@@ -56,14 +56,14 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func newOrderAnswer(res *ServiceResult) order.Response {
-	a := order.Response{Execution: res.Execution}
+func newOrderResponse(res *ServiceResult) order.Response {
+	r := order.Response{Execution: res.Execution}
 	if res.Response != nil {
-		a.Status = res.Response.Status
-		a.ContentType = res.Response.Header.Get("Content-Type")
-		a.Body = res.Response.Body
+		r.Status = res.Response.Status
+		r.ContentType = res.Response.Header.Get("Content-Type")
+		r.Body = res.Response.Body
 	}
-	return a
+	return r
 }
 
 // keyedResult converts the result of Orders.Do. A response that the service has just
--- a/node/router/outcome.go
+++ b/node/router/outcome.go
@@ -26,13 +26,13 @@
 		x.pool.observeOutput(x.req, o.Tokens)
 		x.router.poison.recordCompletion(x.fingerprint)
 	}
-	x.router.background(func() { x.leaveQueue(o) })
+	x.router.background(func() { x.freeSlot(o) })
 }
 
-// leaveQueue frees the slot of the request once its replicas have been released. A
+// freeSlot frees the slot of the request once its replicas have been released. A
 // request that failed is cancelled instead of completed, because its duration does not
 // reflect the throughput of the pool.
-func (x *requestRun) leaveQueue(o attempt.Outcome) {
+func (x *requestRun) freeSlot(o attempt.Outcome) {
 	x.pendingReleases.Wait()
 	if !o.Complete {
 		x.pool.queue.cancel(x.req.ID)
--- a/node/router/poison.go
+++ b/node/router/poison.go
@@ -82,7 +82,8 @@
 	return r.poison.tracker.BlocksToShare(time.Now())
 }
 
-// PendingCrashEvidence returns the crash evidence that this instance found since the last call.
+// PendingCrashEvidence returns the crash evidence that this instance found since the
+// last call.
 func (r *Router) PendingCrashEvidence() poison.Evidence {
 	r.poison.mu.Lock()
 	defer r.poison.mu.Unlock()
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -58,8 +58,8 @@
 	ConnectionReplaced(upstream string)
 	// Ejected counts the ejection of an upstream.
 	Ejected(upstream string)
-	// UpstreamLeaving is called when an upstream announced that it is leaving. It must not
-	// block.
+	// UpstreamLeaving is called when an upstream announced that it is leaving. It must
+	// not block.
 	UpstreamLeaving(upstream string)
 }
 
@@ -74,7 +74,7 @@
 	Orders  Orders
 	Metrics Metrics
 	Logger  *zap.Logger
-	// RoutePolicy and FIFO select baselines for comparison measurements.
+	// RoutePolicy and FIFO select baseline algorithms for comparison in measurements.
 	RoutePolicy route.Policy
 	FIFO        bool
 	// OnWait is called when a request has to wait for a slot; it may be nil. It must not
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -179,7 +179,8 @@
 	})
 }
 
-// The client may be told not_run only if every engine that was written to has refused.
+// The status not_run may be reported to the client only if every engine that was
+// written to has refused.
 func TestExecutionStatusIsProven(t *testing.T) {
 	steps := func(outcomes ...string) func(context.Context, engine.Target, *wire.StepRequest) (*wire.StepResponse, bool, error) {
 		n := 0
@@ -245,7 +246,7 @@
 		require.Positive(t, slots)
 		for i := range slots {
 			running.Go(func() {
-				res := r.Generate(context.Background(), testRequest(fmt.Sprint("holder-", i), 1, time.Minute), &textSink{})
+				res := r.Generate(context.Background(), testRequest(fmt.Sprint("running-", i), 1, time.Minute), &textSink{})
 				require.True(t, res.Complete)
 			})
 		}
@@ -442,7 +443,7 @@
 	}
 	for _, s := range f.stepsOf(d.id) {
 		if s.executed && d.res.Execution == execution.NotRun {
-			return fmt.Sprintf("%s was told not_run after %s ran position %d", d.id, s.replica, s.position)
+			return fmt.Sprintf("%s was reported as not_run after %s ran position %d", d.id, s.replica, s.position)
 		}
 	}
 	return ""
--- a/node/router/service.go
+++ b/node/router/service.go
@@ -44,7 +44,7 @@
 	return poison.FingerprintOf("service "+r.Service, string(r.Body), r.Method, r.Path, r.Workspace)
 }
 
-// ServiceResult is the outcome of a call to a plain service. Answer is nil if the
+// ServiceResult is the outcome of a call to a plain service. Response is nil if the
 // service did not respond.
 type ServiceResult struct {
 	Result
@@ -160,7 +160,7 @@
 	}
 	if isLeavingRefusal(response) {
 		pool.observe(c.replica, health.Leaving{Source: health.FromUpstream})
-		return failedResult(CodeUpstreamFailed, execution.NotRun, "the replica leaves"), c.id
+		return failedResult(CodeUpstreamFailed, execution.NotRun, "the replica is leaving"), c.id
 	}
 	pool.observe(c.replica, health.Progress{Connection: c.number})
 	r.poison.recordCompletion(req.fingerprint())
--- a/node/router/servicepool_test.go
+++ b/node/router/servicepool_test.go
@@ -143,13 +143,13 @@
 	require.Equal(t, "a", c.id)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	ended := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		_, err := r.sendCall(ctx, s, c, poison.Fingerprint{}, getCall("/x", true))
-		ended <- err
+		done <- err
 	}()
 	s.observe(c.replica, health.Unresponsive{Connection: c.number})
-	require.Error(t, <-ended)
+	require.Error(t, <-done)
 	r.work.Wait()
 	require.NoError(t, ctx.Err())
 	require.Equal(t, []string{"a"}, e.ejected)
--- a/node/router/servicereplica.go
+++ b/node/router/servicereplica.go
@@ -90,7 +90,7 @@
 func (a *serviceActions) setWeight(float64) {}
 
 // failAttempts cancels the open calls to an unresponsive replica. If connections to it
-// broke before, it is taken to have crashed, and their requests are recorded as
+// broke before, it is assumed to have crashed, and their requests are recorded as
 // possible causes.
 func (a *serviceActions) failAttempts() {
 	if lost := a.replica.lostCalls; len(lost) > 0 {
@@ -107,7 +107,7 @@
 }
 
 // readLoad reads the load report of a replica to detect that it is leaving. A replica
-// that serves no load report is taken as not leaving.
+// that serves no load report is assumed not to be leaving.
 func (s *servicePool) readLoad(ctx context.Context, rep *serviceReplica) {
 	s.mu.Lock()
 	address := rep.instance.Address
@@ -129,12 +129,12 @@
 
 // isLeavingRefusal reports whether the replica refused the call because it is leaving.
 // Such a call was not executed.
-func isLeavingRefusal(a *service.Response) bool {
-	if a.Status != http.StatusServiceUnavailable {
+func isLeavingRefusal(r *service.Response) bool {
+	if r.Status != http.StatusServiceUnavailable {
 		return false
 	}
 	var body wire.ErrorBody
-	return json.Unmarshal(a.Body, &body) == nil && body.Code == wire.CodeLeaving
+	return json.Unmarshal(r.Body, &body) == nil && body.Code == wire.CodeLeaving
 }
 
 // connectionFailed reports whether a call failed because of its connection. Other
--- a/node/router/status.go
+++ b/node/router/status.go
@@ -35,7 +35,8 @@
 	// Layers is the layer range, or empty for services.
 	Layers  string
 	Leaving bool
-	// Ejected is true while the upstream gets no work because it is unresponsive.
+	// Ejected is true while the upstream gets no work because it is unresponsive. It is
+	// set only for engines.
 	Ejected  bool
 	Slots    int
 	InFlight int
--- a/node/router/step.go
+++ b/node/router/step.go
@@ -32,7 +32,7 @@
 		return x.stepFailed(ctx, s, err)
 	}
 	x.pool.recordStep(c, prefill, resp.CachedTokens, time.Since(start))
-	return answeredEvent(s, resp)
+	return respondedEvent(s, resp)
 }
 
 func (x *requestRun) stepRequest(s attempt.Send) *wire.StepRequest {
@@ -61,8 +61,8 @@
 	return req
 }
 
-func answeredEvent(s attempt.Send, resp *wire.StepResponse) attempt.Event {
-	a := attempt.Responded{
+func respondedEvent(s attempt.Send, resp *wire.StepResponse) attempt.Event {
+	e := attempt.Responded{
 		Step: s.Step,
 		Reported: attempt.Identity{
 			RequestID: resp.RequestID, Attempt: resp.Attempt, Stage: s.Step.Stage, Position: resp.Position,
@@ -70,9 +70,9 @@
 		Hidden: resp.Hidden,
 	}
 	if resp.Token != nil {
-		a.Token = &attempt.Token{ID: resp.Token.ID, Text: resp.Token.Text, Finish: resp.Token.Finish}
+		e.Token = &attempt.Token{ID: resp.Token.ID, Text: resp.Token.Text, Finish: resp.Token.Finish}
 	}
-	return a
+	return e
 }
 
 func (x *requestRun) stepFailed(ctx context.Context, s attempt.Send, err error) attempt.Event {
