--- a/node/loader/calls.go
+++ b/node/loader/calls.go
@@ -171,24 +171,24 @@
 	resultNotSent orderResult = iota
 	resultAccepted
 	resultFailed
-	// resultStoreBusy means that the engine could not load because the weight store refused
-	// the load.
+	// resultStoreBusy means that the engine could not load because the weight store
+	// refused the load.
 	resultStoreBusy
 )
 
-// sendOrder sends one order. It checks immediately before that this instance is still
-// the leader in the same epoch.
+// sendOrder sends one order as a layer assignment. Immediately before, it checks that
+// this instance is still the leader in the same epoch.
 func (l *Loader) sendOrder(ctx context.Context, epoch uint64, t engine.Target, o placement.Order) orderResult {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	order := &wire.LayerAssignment{
+	assignment := &wire.LayerAssignment{
 		Fence: o.Fence, Model: o.Target.Model, Version: o.Target.Version,
 		FirstLayer: o.Target.First, LastLayer: o.Target.Last,
 	}
 	if currentEpoch, ok := l.opts.Keeper.Valid(l.opts.LeaderTask); !ok || currentEpoch != epoch {
 		return resultNotSent
 	}
-	response, err := l.opts.Engines.AssignLayers(ctx, t, order)
+	response, err := l.opts.Engines.AssignLayers(ctx, t, assignment)
 	var refused *engine.CallError
 	switch {
 	case errors.As(err, &refused) && refused.Code == wire.CodeOverloaded:
@@ -213,8 +213,9 @@
 	l.observed[o.Engine] = last
 }
 
-// recordResults records the results of the orders and returns their numbers. It reduces
-// the limit on concurrent loads if the weight store refused one.
+// recordResults records the results of the orders and returns the numbers of those sent
+// and of those that failed. It reduces the limit on concurrent loads if the weight store
+// refused one.
 func (l *Loader) recordResults(plan placement.Plan, results []orderResult) (sent, failed int) {
 	running, busy := plan.Loading, 0
 	for i, r := range results {
--- a/node/loader/loader.go
+++ b/node/loader/loader.go
@@ -1,6 +1,7 @@
 // Package loader orders engines to load models. It queries the states of the engines,
-// passes them to the planner in core/placement, sends the resulting orders and verifies
-// their effect with the next queries. Only the leader of this task does so.
+// passes them to the planner in core/placement, sends the resulting orders as layer
+// assignments and verifies their effect with the next queries. Only the leader of this
+// task does so.
 package loader
 
 import (
@@ -16,7 +17,7 @@
 	"masticbank.example/node/engine"
 )
 
-// LeaderTask is the name of the leader task of ordering engines to load models.
+// LeaderTask is the name of the leader task that orders engines to load models.
 const LeaderTask = "loading"
 
 const (
@@ -42,7 +43,7 @@
 // Keeper reports whether this instance is currently the leader of a task, and in which
 // epoch. Implementations are safe for concurrent use.
 type Keeper interface {
-	Valid(duty string) (epoch uint64, ok bool)
+	Valid(task string) (epoch uint64, ok bool)
 }
 
 // Engine is one engine of the platform's instance list.
@@ -57,7 +58,8 @@
 	Leaving bool
 	// Down is true when requests and probes have shown that the engine is down.
 	Down bool
-	// Sequences is the number of sequences that the engine serves concurrently; 0 means 1.
+	// Sequences is the number of sequences that the engine serves concurrently; 0 means
+	// 1.
 	Sequences int
 }
 
@@ -66,7 +68,8 @@
 type Options struct {
 	Engines engine.Client
 	Keeper  Keeper
-	// LeaderTask is the name of the leader task; empty means the constant of the same name.
+	// LeaderTask is the name of the leader task; empty means the constant of the same
+	// name.
 	LeaderTask string
 	// Targets returns the engines to manage.
 	Targets func() []Engine
@@ -80,13 +83,13 @@
 	MaxLoads int
 	// Period is the interval between decisions; 0 means 5 s.
 	Period time.Duration
-	// QueriesPerPeriod is the number of states queried in a period; 0 means 64. It does not limit
-	// the queries of all engines when this instance becomes the leader, of changing
-	// engines in every round, and of unresponsive ones in every period.
+	// QueriesPerPeriod is the number of states queried in a period; 0 means 64. It does
+	// not limit the queries of all engines when this instance becomes the leader, of
+	// changing engines in every round, and of unresponsive ones in every period.
 	QueriesPerPeriod int
-	// Terms are the planner's margins; zero means the default ones.
-	Terms  placement.Margins
-	Logger *zap.Logger
+	// Margins are those of the planner; zero means placement.DefaultMargins.
+	Margins placement.Margins
+	Logger  *zap.Logger
 }
 
 // Status is the state of a Loader after its last decision.
@@ -148,15 +151,15 @@
 	if o.MaxLoads <= 0 {
 		o.MaxLoads = defaultMaxLoads
 	}
-	if o.Terms == (placement.Margins{}) {
-		o.Terms = placement.DefaultMargins()
+	if o.Margins == (placement.Margins{}) {
+		o.Margins = placement.DefaultMargins()
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
 	}
 	return &Loader{
 		opts:     o,
-		planner:  placement.New(o.Terms),
+		planner:  placement.New(o.Margins),
 		limit:    placement.NewLoadLimit(o.MaxLoads),
 		observed: map[string]observedState{},
 	}
--- a/node/peer/digest_test.go
+++ b/node/peer/digest_test.go
@@ -64,8 +64,8 @@
 	require.False(t, ok)
 }
 
-// TestNineNodesFormFullMesh starts nine instances that learn of each other at
-// the same time. Every pair must end up with one session, and a broadcast must
+// TestNineNodesFormFullMesh starts nine instances that get the same peers at the
+// same time. Every pair must end up with one session, and a broadcast must
 // reach all peers.
 func TestNineNodesFormFullMesh(t *testing.T) {
 	const count = 9
@@ -105,7 +105,7 @@
 		if r.session == nil || len(r.openSessions) != 1 {
 			return false
 		}
-		if _, heardAt := r.session.snapshot(); !heardAt.IsZero() {
+		if _, lastReceived := r.session.snapshot(); !lastReceived.IsZero() {
 			connected++
 		}
 	}
--- a/node/peer/handler.go
+++ b/node/peer/handler.go
@@ -25,8 +25,8 @@
 	PeerUp(info Info)
 	// PeerDown is called when the last session with a peer has ended.
 	PeerDown(info Info)
-	// MessageReceived is called for every message received, including the first one. It
-	// shows that the peer is alive and reports its state.
+	// MessageReceived is called for every message received, including the first
+	// one. It shows that the peer is alive, and info holds its state.
 	MessageReceived(info Info)
 	// Digest is called for a demand digest.
 	Digest(from string, digest *peerpb.Digest)
@@ -41,7 +41,7 @@
 	Rejection(from string, rejection *peerpb.Rejection)
 	// Leaving is called when an upstream must get no new work.
 	Leaving(from string, leaving *peerpb.Leaving)
-	// Departures is called for upstream processes that reported themselves that
+	// Departures is called for processes of upstreams that have announced that
 	// they are leaving.
 	Departures(from string, departures *peerpb.Departures)
 	// UpstreamLoads is called for the peer's load on all upstreams.
--- a/node/peer/handshake_test.go
+++ b/node/peer/handshake_test.go
@@ -38,11 +38,11 @@
 	defer func() { _ = near.Close() }()
 	accepted := make(chan handshakeOutcome, 1)
 	go func() {
-		agreed, err := acceptor.accept(ctx, far)
+		result, err := acceptor.accept(ctx, far)
 		if err != nil {
 			_ = far.Close()
 		}
-		accepted <- handshakeOutcome{agreed, err}
+		accepted <- handshakeOutcome{result, err}
 	}()
 	atDialer.result, atDialer.err = dialer.dial(ctx, near)
 	if atDialer.err != nil {
--- a/node/peer/node.go
+++ b/node/peer/node.go
@@ -107,13 +107,13 @@
 			wanted[p.ID] = p
 		}
 	}
-	var ended []*session
+	var unwanted []*session
 	for id, r := range n.remotes {
 		if _, ok := wanted[id]; ok {
 			continue
 		}
 		if s := n.removePeer(r); s != nil {
-			ended = append(ended, s)
+			unwanted = append(unwanted, s)
 		}
 	}
 	if !n.closed {
@@ -122,7 +122,7 @@
 		}
 	}
 	n.mu.Unlock()
-	closeAll(ended)
+	closeAll(unwanted)
 }
 
 // SetState sets the state of this instance and sends it to all peers.
--- a/node/peer/node_test.go
+++ b/node/peer/node_test.go
@@ -289,8 +289,8 @@
 		return a, b
 	}
 	end := func(remote string, dialed bool, id, previous uint64) *session {
-		agreed := handshakeResult{remoteID: remote, process: 1, id: id, previous: previous}
-		return &session{handshakeResult: agreed, dialed: dialed, queue: newQueue()}
+		result := handshakeResult{remoteID: remote, process: 1, id: id, previous: previous}
+		return &session{handshakeResult: result, dialed: dialed, queue: newQueue()}
 	}
 	const byA, byB = 11, 22
 	for _, firstAtA := range []uint64{byA, byB} {
--- a/node/peer/remote.go
+++ b/node/peer/remote.go
@@ -7,7 +7,7 @@
 )
 
 // remote is the record of one peer. Its fields are guarded by Node.mu, except
-// notifyMu and up.
+// notifyMu and notifiedUp, which notifyMu guards.
 type remote struct {
 	id      string
 	address string
@@ -125,10 +125,10 @@
 	return s.process >= existing.latestProcess && n.prefer(s, existing.session)
 }
 
-// prefer reports whether session s replaces old. Both ends decide alike, so
-// that one session remains when both dial at the same time: the one dialed by
-// the lower ID. A session that its dialer has already closed never prevents a
-// new one.
+// prefer reports whether session s replaces old. Both ends make the same
+// decision, so that one session remains when both dial at the same time: the
+// one dialed by the lower ID. A session that its dialer has
+// already closed never prevents a new one.
 func (n *Node) prefer(s, old *session) bool {
 	switch {
 	case old == nil:
--- a/node/peer/sharing/sharing.go
+++ b/node/peer/sharing/sharing.go
@@ -62,7 +62,8 @@
 	Peers  Broadcaster
 	Pools  Pools
 	Logger *zap.Logger
-	// OnMemberChange, if set, is called for each state change of another instance.
+	// OnMemberChange, if set, is called for each state change of another
+	// instance.
 	OnMemberChange func(membership.StateChange)
 
 	// Tick is the time between two updates; 0 means DefaultTick.
@@ -166,8 +167,8 @@
 // SetState sets the state of this instance.
 func (s *Sharer) SetState(state membership.State) { s.apply(membership.SelfChanged{State: state}) }
 
-// PeerReceived applies the state of a peer. It must be called for every message of the
-// peer.
+// PeerReceived applies the state of a peer. It must be called for every message
+// of the peer.
 func (s *Sharer) PeerReceived(info peer.Info) {
 	if event, ok := info.Member(); ok {
 		s.apply(event)
--- a/node/peer/sharing/sharing_test.go
+++ b/node/peer/sharing/sharing_test.go
@@ -190,7 +190,7 @@
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		require.Equal(t, capacity, busy.currentLimit())
-		require.Len(t, busy.sharer.Members(), 1, "a member that is neither listed nor heard from must be removed")
+		require.Len(t, busy.sharer.Members(), 1, "a member that is not listed and sends no messages must be removed")
 		b.kill(t, busy)
 	})
 }
--- a/node/peer/status.go
+++ b/node/peer/status.go
@@ -27,8 +27,8 @@
 	BytesReceived    uint64
 	MessagesSent     uint64
 	MessagesReceived uint64
-	// Discarded counts messages that were superseded or discarded because a queue
-	// was full.
+	// Discarded counts messages that were superseded or discarded because a
+	// queue was full.
 	Discarded uint64
 	// Dials counts connection attempts; Sessions counts sessions that were
 	// started.
@@ -100,13 +100,13 @@
 	if r.session == nil {
 		return status
 	}
-	info, heardAt := r.session.snapshot()
-	status.Connected = !heardAt.IsZero()
+	info, lastReceived := r.session.snapshot()
+	status.Connected = !lastReceived.IsZero()
 	status.Incarnation = info.Incarnation
 	status.Version = info.Version
 	status.State = info.State
 	status.Revision = info.Revision
-	status.LastReceived = heardAt
+	status.LastReceived = lastReceived
 	if info.Zone != "" {
 		status.Zone = info.Zone
 	}
--- a/node/wire/engine.go
+++ b/node/wire/engine.go
@@ -16,8 +16,8 @@
 	// PathCacheEvents returns CacheEvents, starting at the sequence number in
 	// the query parameter "from".
 	PathCacheEvents = "/v1/cache-events"
-	// PathLayerAssignment accepts a layer assignment by POST and returns an
-	// OrderResponse.
+	// PathLayerAssignment accepts a LayerAssignment by POST and returns a
+	// LayerAssignmentResponse.
 	PathLayerAssignment = "/v1/order"
 	// PathState returns an EngineState.
 	PathState = "/v1/state"
@@ -121,10 +121,10 @@
 // covers.
 const PrefixBlockBytes = 64
 
-// LayerAssignment assigns a range of layers to an engine. It contains the whole target
-// state, so repeating it has no effect.
+// LayerAssignment assigns a range of layers to an engine. It contains the whole
+// target state, so repeating it has no effect.
 type LayerAssignment struct {
-	// Fence is the epoch of the leader task that sends the assignment.
+	// Fence is the epoch of the leader that sends the assignment.
 	Fence      uint64 `json:"fence"`
 	Model      string `json:"model"`
 	Version    string `json:"version"`
--- a/node/wire/instance.go
+++ b/node/wire/instance.go
@@ -21,9 +21,9 @@
 // Instance is one entry of the platform's list.
 type Instance struct {
 	ID string `json:"id"`
-	// Role is RoleEngine, RoleService or RoleEntry.
+	// Role is RoleEngine, RoleService or RoleRouter.
 	Role string `json:"role"`
-	// Address is host:port. For RoleEntry it is the address for peers.
+	// Address is host:port. For RoleRouter it is the address for peers.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	// Leaving is true if the instance must get no new work.
