--- a/node/admin/message.go
+++ b/node/admin/message.go
@@ -65,8 +65,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// PublishConflict is the response to a proposal that was rejected because another one for the
-// same base revision was accepted first. Winner is the author of that one.
+// PublishConflict is the response to a proposal that was rejected because another one
+// for the same base revision was accepted first. Winner is the author of that one.
 type PublishConflict struct {
 	Error    string `json:"error"`
 	Revision uint64 `json:"revision"`
--- a/node/api/api.go
+++ b/node/api/api.go
@@ -110,8 +110,8 @@
 		return c, &apiError{status: http.StatusUnauthorized, code: "invalid_api_key", message: "the API key is missing or unknown"}
 	}
 	c.workspace = workspace
-	if f := c.setRank(r.Header.Get(HeaderRank)); f != nil {
-		return c, f
+	if apiErr := c.setRank(r.Header.Get(HeaderRank)); apiErr != nil {
+		return c, apiErr
 	}
 	return c, c.setDeadline(r.Header.Get(HeaderDeadline))
 }
@@ -159,9 +159,9 @@
 }
 
 func (s *Server) models(w http.ResponseWriter, r *http.Request) {
-	c, f := s.beginCall(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	c, apiErr := s.beginCall(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
 	list := openai.ModelList{Object: "list", Data: []openai.ModelItem{}}
@@ -172,14 +172,14 @@
 }
 
 // writeError writes the error response to a request that has not reached the router.
-func (s *Server) writeError(w http.ResponseWriter, id string, f *apiError) {
+func (s *Server) writeError(w http.ResponseWriter, id string, apiErr *apiError) {
 	w.Header().Set(HeaderRequestID, id)
 	w.Header().Set(HeaderExecution, execution.NotRun.String())
-	writeJSON(w, f.status, openai.ErrorBody{Error: openai.ErrorDetail{
-		Message:   f.message,
-		Type:      errorType(f.status),
-		Code:      f.code,
-		Param:     f.param,
+	writeJSON(w, apiErr.status, openai.ErrorBody{Error: openai.ErrorDetail{
+		Message:   apiErr.message,
+		Type:      errorType(apiErr.status),
+		Code:      apiErr.code,
+		Param:     apiErr.param,
 		Execution: execution.NotRun.String(),
 		RequestID: id,
 	}})
--- a/node/api/auth.go
+++ b/node/api/auth.go
@@ -19,8 +19,8 @@
 	workspaces map[string]string // workspace by hex SHA-256 of the key
 }
 
-// currentKeyIndex returns the key currentKeyIndex of cfg. It is cached until the
-// configuration changes.
+// currentKeyIndex returns the key index of cfg. It is cached until the configuration
+// changes.
 func (s *Server) currentKeyIndex(cfg *config.Config) *keyIndex {
 	if idx := s.keys.Load(); idx != nil && idx.cfg == cfg {
 		return idx
--- a/node/api/completion.go
+++ b/node/api/completion.go
@@ -18,14 +18,14 @@
 // completion returns the handler of one completion endpoint.
 func (s *Server) completion(kind openai.Kind) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c, f := s.beginCall(r)
-		if f != nil {
-			s.writeError(w, c.id, f)
+		c, apiErr := s.beginCall(r)
+		if apiErr != nil {
+			s.writeError(w, c.id, apiErr)
 			return
 		}
-		req, parsed, f := s.readCompletion(kind, c, r)
-		if f != nil {
-			s.writeError(w, c.id, f)
+		req, parsed, apiErr := s.readCompletion(kind, c, r)
+		if apiErr != nil {
+			s.writeError(w, c.id, apiErr)
 			return
 		}
 		response := openai.CompletionResponse{ID: c.id, Kind: kind, Model: parsed.Model, Created: c.arrived}
@@ -41,9 +41,9 @@
 // readCompletion reads and checks the body of a completion request. The configured
 // maximum of output tokens of the model limits the requested one.
 func (s *Server) readCompletion(kind openai.Kind, c *call, r *http.Request) (*router.Request, openai.CompletionRequest, *apiError) {
-	body, f := s.readBody(r)
-	if f != nil {
-		return nil, openai.CompletionRequest{}, f
+	body, apiErr := s.readBody(r)
+	if apiErr != nil {
+		return nil, openai.CompletionRequest{}, apiErr
 	}
 	parsed, err := openai.Parse(kind, body)
 	if err != nil {
@@ -81,12 +81,12 @@
 }
 
 func requestError(err error) *apiError {
-	f := &apiError{status: http.StatusBadRequest, code: "invalid_request", message: err.Error()}
+	apiErr := &apiError{status: http.StatusBadRequest, code: "invalid_request", message: err.Error()}
 	var re *openai.RequestError
 	if errors.As(err, &re) {
-		f.param = re.Param
+		apiErr.param = re.Param
 	}
-	return f
+	return apiErr
 }
 
 // textSink collects the text of a response that is not streamed.
--- a/node/api/service.go
+++ b/node/api/service.go
@@ -16,21 +16,21 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// callService forwards a call to a plain callService.
+// callService forwards a call to a plain service.
 func (s *Server) callService(w http.ResponseWriter, r *http.Request) {
-	c, f := s.beginCall(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	c, apiErr := s.beginCall(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
-	body, f := s.readBody(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	body, apiErr := s.readBody(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
-	date, f := parseKeyDate(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	date, apiErr := parseKeyDate(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
 	res := s.opts.Router.CallService(r.Context(), &router.ServiceRequest{
--- a/node/app/config.go
+++ b/node/app/config.go
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// runInGroup starts f in the goroutine group of the instance. An error that f
-// returns after ctx has ended is ignored, as it results from the shutdown.
+// runInGroup starts f in the instance's errgroup. An error that f returns after ctx has
+// ended is ignored, as it results from the shutdown.
 func (a *App) runInGroup(ctx context.Context, f func(context.Context) error) {
 	a.group.Go(func() error {
 		err := f(ctx)
--- a/node/app/explain.go
+++ b/node/app/explain.go
@@ -68,8 +68,8 @@
 		EstimatedSeconds: e.Decision.Path.Expected.Seconds(),
 		LowestSeconds:    e.Lowest.Seconds(),
 	}
-	for _, h := range e.Decision.Path.Stages {
-		out.Route = append(out.Route, h.ReplicaID)
+	for _, stage := range e.Decision.Path.Stages {
+		out.Route = append(out.Route, stage.ReplicaID)
 	}
 	for _, v := range e.Replicas {
 		out.Replicas = append(out.Replicas, admin.ReplicaExplanation{
--- a/node/app/loader.go
+++ b/node/app/loader.go
@@ -15,7 +15,7 @@
 		Engines:  a.engines,
 		Keeper:   a.leaderTasks,
 		Targets:  a.loaderTargets,
-		Models:   a.wantedModels,
+		Models:   a.configuredModels,
 		Demand:   a.router.Demand,
 		MaxLoads: a.opts.Settings.Platform.MaxLoads,
 		Logger:   a.logger,
@@ -51,8 +51,8 @@
 	return out
 }
 
-// wantedModels returns the models of the active configuration.
-func (a *App) wantedModels() map[string]coreconfig.ModelConfig {
+// configuredModels returns the models of the active configuration.
+func (a *App) configuredModels() map[string]coreconfig.ModelConfig {
 	cfg := a.router.Config()
 	if cfg == nil {
 		return nil
--- a/node/openai/response.go
+++ b/node/openai/response.go
@@ -13,8 +13,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// CompletionResponse holds the properties that all parts of the response to one request
-// share.
+// CompletionResponse holds the properties that all parts of the response to one
+// request share.
 type CompletionResponse struct {
 	ID      string
 	Kind    Kind
@@ -45,42 +45,42 @@
 }
 
 // Body returns the body of a response that is not streamed.
-func (a CompletionResponse) Body(text, finish string, usage Usage) ([]byte, error) {
+func (r CompletionResponse) Body(text, finish string, usage Usage) ([]byte, error) {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
-	if a.Kind == KindChat {
+	if r.Kind == KindChat {
 		object = "chat.completion"
 		c.Message = &chatMessage{Role: "assistant", Content: text}
 	} else {
 		c.Text = &text
 	}
-	return json.Marshal(a.newBody(object, []choice{c}, &usage))
+	return json.Marshal(r.newBody(object, []choice{c}, &usage))
 }
 
 // WriteChunk writes one event of a stream. Finish is the finish reason; it is empty
 // except in the last event.
-func (a CompletionResponse) WriteChunk(w io.Writer, text, finish string) error {
+func (r CompletionResponse) WriteChunk(w io.Writer, text, finish string) error {
 	c := choice{}
 	if finish != "" {
 		c.FinishReason = &finish
 	}
 	object := "text_completion"
-	if a.Kind == KindChat {
+	if r.Kind == KindChat {
 		object = "chat.completion.chunk"
 		c.Delta = &chatMessage{Content: text}
 	} else {
 		c.Text = &text
 	}
-	return writeEvent(w, a.newBody(object, []choice{c}, nil))
+	return writeEvent(w, r.newBody(object, []choice{c}, nil))
 }
 
 // WriteUsage writes the event that reports the token usage of a stream.
-func (a CompletionResponse) WriteUsage(w io.Writer, usage Usage) error {
+func (r CompletionResponse) WriteUsage(w io.Writer, usage Usage) error {
 	object := "text_completion"
-	if a.Kind == KindChat {
+	if r.Kind == KindChat {
 		object = "chat.completion.chunk"
 	}
-	return writeEvent(w, a.newBody(object, []choice{}, &usage))
+	return writeEvent(w, r.newBody(object, []choice{}, &usage))
 }
 
 // WriteDone writes the [DONE] event, which ends a complete stream.
@@ -94,8 +94,8 @@
 	return writeEvent(w, e)
 }
 
-func (a CompletionResponse) newBody(object string, choices []choice, usage *Usage) completionBody {
-	return completionBody{ID: a.ID, Object: object, Created: a.Created.Unix(), Model: a.Model, Choices: choices, Usage: usage}
+func (r CompletionResponse) newBody(object string, choices []choice, usage *Usage) completionBody {
+	return completionBody{ID: r.ID, Object: object, Created: r.Created.Unix(), Model: r.Model, Choices: choices, Usage: usage}
 }
 
 // writeEvent writes v in JSON as a server-sent event, in one call of Write.
