--- a/node/bounded/bounded.go
+++ b/node/bounded/bounded.go
@@ -12,8 +12,8 @@
 )
 
 // MaxHeaderBytes is the maximum size of the header of an HTTP response, interim (1xx)
-// responses included. Usual headers have some hundred bytes; web servers usually allow
-// 8 to 32 KiB.
+// responses included. Typical headers have a few hundred bytes; web servers usually
+// allow 8 to 32 KiB.
 const MaxHeaderBytes = 32 << 10
 
 // ErrTooLarge means that the data exceeds the limit or the shared memory.
@@ -57,8 +57,8 @@
 // NewMemoryLimit returns a limit of size bytes.
 func NewMemoryLimit(size int64) *MemoryLimit { return &MemoryLimit{bytes: semaphore.NewWeighted(size)} }
 
-// Reservation is the part of the memory limit that one request has reserved. It is not safe
-// for concurrent use.
+// Reservation is the part of the memory limit that one request has reserved. It is not
+// safe for concurrent use.
 type Reservation struct {
 	memory   *MemoryLimit
 	reserved int64
@@ -68,19 +68,19 @@
 func (m *MemoryLimit) NewReservation() *Reservation { return &Reservation{memory: m} }
 
 // Release returns all reserved bytes.
-func (h *Reservation) Release() {
-	h.memory.bytes.Release(h.reserved)
-	h.reserved = 0
+func (res *Reservation) Release() {
+	res.memory.bytes.Release(res.reserved)
+	res.reserved = 0
 }
 
 // ReadAll reads r to its end. It returns ErrTooLarge if there are more than limit bytes
 // or the memory is exhausted. What it reserves stays reserved until Release.
-func (h *Reservation) ReadAll(r io.Reader, limit int64) ([]byte, error) {
+func (res *Reservation) ReadAll(r io.Reader, limit int64) ([]byte, error) {
 	data := make([]byte, 0, initialBytes)
 	for {
 		if len(data) == cap(data) {
 			var err error
-			if data, err = h.grow(data); err != nil {
+			if data, err = res.grow(data); err != nil {
 				return nil, err
 			}
 		}
@@ -99,13 +99,13 @@
 
 // grow enlarges the buffer of data: it doubles a small one, and reserves memory for a
 // larger one.
-func (h *Reservation) grow(data []byte) ([]byte, error) {
+func (res *Reservation) grow(data []byte) ([]byte, error) {
 	if cap(data) < uncountedBytes {
 		return slices.Grow(data, cap(data)), nil
 	}
-	if !h.memory.bytes.TryAcquire(growthBytes) {
+	if !res.memory.bytes.TryAcquire(growthBytes) {
 		return nil, ErrTooLarge
 	}
-	h.reserved += growthBytes
+	res.reserved += growthBytes
 	return slices.Grow(data, growthBytes), nil
 }
--- a/node/bounded/boundedtest/boundedtest.go
+++ b/node/bounded/boundedtest/boundedtest.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-// MaxSentBytes is the number of bytes after which the server stops, as the client evidently has
-// no limit. It exceeds the sum of the largest limit, 64 MiB for the log, and the
-// buffers of a connection, which grow on Linux to 32 MiB at the receiver and 4 MiB at
-// the sender.
+// MaxSentBytes is the number of bytes after which the server stops, as the client
+// evidently has no limit. It exceeds the sum of the largest limit, 64 MiB for the log,
+// and the buffers of a connection, which grow on Linux to 32 MiB at the receiver and
+// 4 MiB at the sender.
 const MaxSentBytes = 128 << 20
 
 // blockBytes is the size of one write.
 const blockBytes = 64 << 10
 
-// EndlessHeaders are HTTP responses with an endless header. Each consists of a beginning and a
-// part that is repeated.
+// EndlessHeaders are HTTP responses with an endless header. Each consists of a
+// beginning and a part that is repeated.
 var EndlessHeaders = map[string][2]string{
 	"header lines":     {"HTTP/1.1 200 OK\r\n", "X-Filler: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n"},
 	"one header line":  {"HTTP/1.1 200 OK\r\nX-Filler: ", "a"},
 	"status line":      {"HTTP/1.1 200 ", "a"},
-	"interim answers":  {"", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"},
+	"interim response": {"", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"},
 	"no line break":    {"", "a"},
 	"only line breaks": {"", "\r\n"},
 }
@@ -37,7 +37,7 @@
 	"chunk option":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;a=", "b"},
 	"trailer":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-A\r\n\r\n0\r\n", "X-A: aaaaaaaaaaaaaaaaaaaaa\r\n"},
 	"length":         {"HTTP/1.1 200 OK\r\nContent-Length: 1000000000000\r\n\r\n", "[1,"},
-	"error answer":   {"HTTP/1.1 500 Internal Server Error\r\n\r\n", "[1,"},
+	"error response": {"HTTP/1.1 500 Internal Server Error\r\n\r\n", "[1,"},
 	"empty elements": {"HTTP/1.1 200 OK\r\n\r\n", " "},
 }
 
@@ -51,8 +51,8 @@
 	open map[net.Conn]bool
 }
 
-// Start starts a server, which runs until the test ends. Answer is the beginning and
-// the repeated part of the response.
+// Start starts a server, which runs until the test ends. response
+// holds the beginning of each response and the part that is repeated.
 func Start(t *testing.T, response [2]string) *Server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/node/httpserver/server.go
+++ b/node/httpserver/server.go
@@ -46,14 +46,14 @@
 	MaxRequests int
 	// IdleTimeout is the time after which a connection without a request is closed.
 	IdleTimeout time.Duration
-	// ClosedCheckPeriod is the interval between checks for connections that clients have
-	// closed; 0 means 20 ms. Each check wakes the process.
+	// ClosedCheckPeriod is the interval between checks for connections that clients
+	// have closed; 0 means 20 ms. Each check wakes the process.
 	ClosedCheckPeriod time.Duration
 	// Handler handles the requests.
 	Handler http.Handler
-	// ServerErrorBody returns the body of a response that the server writes by itself: to a
-	// message that cannot be parsed, or to a request during shutdown. It must be safe
-	// for concurrent use.
+	// ServerErrorBody returns the body of a response that the server writes by itself:
+	// to a message that cannot be parsed, or to a request during shutdown. It must be
+	// safe for concurrent use.
 	ServerErrorBody func(status int) []byte
 }
 
@@ -153,7 +153,7 @@
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // Abort closes the connection of a response that cannot be completed, so that the
-// client does not take it for a complete one.
+// client does not mistake it for a complete one.
 func Abort(w http.ResponseWriter) {
 	if aw, ok := w.(*writer); ok && aw.conn != nil {
 		_ = aw.conn.CloseWithError(errAborted)
--- a/node/instancelist/instancelist_test.go
+++ b/node/instancelist/instancelist_test.go
@@ -81,8 +81,8 @@
 		_, known := poller.Latest().Age(time.Now())
 		require.False(t, known)
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- poller.Run(ctx) }()
+		done := make(chan error, 1)
+		go func() { done <- poller.Run(ctx) }()
 		synctest.Wait()
 		require.Equal(t, int32(1), updates.Load())
 		require.Len(t, poller.Latest().Instances, 1)
@@ -103,6 +103,6 @@
 		require.NoError(t, poller.Latest().Err)
 		require.Greater(t, updates.Load(), int32(1))
 		cancel()
-		require.NoError(t, <-ended)
+		require.NoError(t, <-done)
 	})
 }
--- a/node/instancelist/poller.go
+++ b/node/instancelist/poller.go
@@ -136,7 +136,7 @@
 	p.last = snapshot
 	p.mu.Unlock()
 	if recovered {
-		p.opts.Logger.Info("reading instance list succeeds again", zap.Int("instances", len(snapshot.Instances)))
+		p.opts.Logger.Info("instance list was read again after failures", zap.Int("instances", len(snapshot.Instances)))
 	}
 	if p.opts.OnUpdate != nil {
 		p.opts.OnUpdate(snapshot)
--- a/node/logstream/appender.go
+++ b/node/logstream/appender.go
@@ -193,7 +193,7 @@
 }
 
 // Failing reports whether the last append had no response and is being retried, or had
-// none within the last second. After that second callers may try again.
+// none within the last second. After that second, callers may try again.
 func (a *Appender) Failing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/logstream/logtest/logtest.go
+++ b/node/logstream/logtest/logtest.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// LoseResponses makes the next n appends take effect but return ErrUnavailable, as if the
-// response was lost.
+// LoseResponses makes the next n appends take effect but return ErrUnavailable, as if
+// the response was lost.
 func (l *Log) LoseResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -25,8 +25,8 @@
 // by slice.
 type referenceHistogram [][]int64
 
-func (n referenceHistogram) window() []int64 {
-	return slices.Concat(n[max(0, len(n)-sliceCount):]...)
+func (r referenceHistogram) window() []int64 {
+	return slices.Concat(r[max(0, len(r)-sliceCount):]...)
 }
 
 func checkDistribution(t require.TestingT, values []int64, got Distribution) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Both distributions of a histogram agree within 1 % with those of naive.
+// Both distributions of a histogram agree within 1 % with those of referenceHistogram.
 func TestHistogramAgainstSortedValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, all := newSlidingHistogram(), referenceHistogram{nil}
