--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -233,7 +233,7 @@
 	require.LessOrEqual(t, len(l.successes.at), maxSuccesses)
 	require.LessOrEqual(t, len(l.tracked[f].crashes), maxCrashesEach)
 	s := l.Evidence()
-	require.LessOrEqual(t, len(s.Crashes), MaxState)
+	require.LessOrEqual(t, len(s.Crashes), MaxEvidence)
 	require.Equal(t, f, s.Crashes[0].Fingerprint, "the most crashes come first")
 }
 
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxState is the maximum number of crashes, and of clearances, that are sent at once.
-const MaxState = 256
+// MaxEvidence is the maximum number of crashes, and of clearances, that are sent at once.
+const MaxEvidence = 256
 
 // Merge adds evidence of other instances. It returns the crashes of runs lost on this
 // instance that the evidence proves.
@@ -47,7 +47,7 @@
 }
 
 // Evidence returns the evidence to send to an instance that may lack some of it, within
-// MaxState. Requests with the most crashes come first, among them those with the latest
+// MaxEvidence. Requests with the most crashes come first, among them those with the latest
 // crash.
 func (l *Ledger) Evidence() Evidence {
 	order := make([]Fingerprint, 0, len(l.tracked))
@@ -58,13 +58,13 @@
 	var evidence Evidence
 	for _, f := range order {
 		crashes := l.tracked[f].crashes
-		if len(evidence.Crashes)+len(crashes) > MaxState {
+		if len(evidence.Crashes)+len(crashes) > MaxEvidence {
 			break
 		}
 		evidence.Crashes = append(evidence.Crashes, crashes...)
 	}
 	for f, at := range l.clearances {
-		if len(evidence.Clearances) == MaxState {
+		if len(evidence.Clearances) == MaxEvidence {
 			break
 		}
 		evidence.Clearances = append(evidence.Clearances, Clearance{Fingerprint: f, At: at})
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -70,7 +70,7 @@
 
 // queueUpdate adds a crash to the updates to send.
 func (t *Tracker) queueUpdate(c Crash) {
-	if len(t.updates.Crashes) < MaxState {
+	if len(t.updates.Crashes) < MaxEvidence {
 		t.updates.Crashes = append(t.updates.Crashes, c)
 	}
 }
@@ -98,7 +98,7 @@
 // RecordCompletion records that a request completed, which proves that its fingerprint is
 // not the cause of earlier crashes.
 func (t *Tracker) RecordCompletion(now time.Time, f Fingerprint) {
-	if t.clear(now, f) && len(t.updates.Clearances) < MaxState {
+	if t.clear(now, f) && len(t.updates.Clearances) < MaxEvidence {
 		t.updates.Clearances = append(t.updates.Clearances, Clearance{Fingerprint: f, At: now})
 	}
 }
--- a/node/peer/evidence_test.go
+++ b/node/peer/evidence_test.go
@@ -21,7 +21,7 @@
 func TestEvidenceIsBoundedAndRoundTrips(t *testing.T) {
 	now := time.Now()
 	l := poison.NewLedger(time.Hour)
-	for i := range 4 * poison.MaxState {
+	for i := range 4 * poison.MaxEvidence {
 		f := poison.FingerprintOf("m", strconv.Itoa(i))
 		r := poison.Process{Replica: "i-0123456789-" + strconv.Itoa(i), StartTime: now.UnixMilli()}
 		l.RecordLostRun(now, poison.LostRun{Fingerprint: f, Run: poison.Run{Attempt: uint64(i) << 32, Number: 1}, Processes: []poison.Process{r}, SentAt: now})
@@ -31,8 +31,8 @@
 		}
 	}
 	s := l.Evidence()
-	require.Len(t, s.Crashes, poison.MaxState)
-	require.Len(t, s.Clearances, poison.MaxState)
+	require.Len(t, s.Crashes, poison.MaxEvidence)
+	require.Len(t, s.Clearances, poison.MaxEvidence)
 	message := EncodeEvidence(s, now)
 	require.Less(t, proto.Size(message), maxEvidenceBytes)
 	for i := range s.Crashes {
