--- a/node/app/explain.go
+++ b/node/app/explain.go
@@ -15,7 +15,7 @@
 	out := &admin.RequestExplanation{RequestID: id, Pool: e.Pool}
 	if e.Waiting != nil {
 		out.State = "waiting"
-		out.Place = e.Waiting.Place
+		out.QueuePosition = e.Waiting.Place
 		out.TokensAhead = e.Waiting.CostAhead
 		if e.Waiting.WaitKnown {
 			out.ExpectedWaitSeconds = e.Waiting.Wait.Seconds()
@@ -53,7 +53,7 @@
 	return routeExplanation(&e), true
 }
 
-// ExplainPrompt gives the grounds of the route choice for a prompt.
+// ExplainPrompt implements admin.Instance.
 func (a *App) ExplainPrompt(model, prompt string, outputTokens int) (*admin.RouteExplanation, bool) {
 	e, ok := a.router.ExplainPrompt(model, prompt, outputTokens)
 	if !ok {
@@ -65,23 +65,23 @@
 func routeExplanation(e *route.Explanation) *admin.RouteExplanation {
 	out := &admin.RouteExplanation{
 		Outcome:          e.Decision.Outcome.String(),
-		EstimatedSeconds: e.Decision.Chain.Expected.Seconds(),
+		EstimatedSeconds: e.Decision.Path.Expected.Seconds(),
 		LowestSeconds:    e.Lowest.Seconds(),
 	}
-	for _, h := range e.Decision.Chain.Hops {
+	for _, h := range e.Decision.Path.Stages {
 		out.Route = append(out.Route, h.ReplicaID)
 	}
 	for _, v := range e.Replicas {
 		out.Replicas = append(out.Replicas, admin.ReplicaExplanation{
-			ID:         v.ID,
-			FirstLayer: v.First,
-			LastLayer:  v.Last,
-			Standing:   v.Standing.String(),
-			Weight:     v.Weight,
-			Occupancy:  v.Occupancy,
-			Limit:      v.Limit,
-			CachedPart: v.CachedPart,
-			Seconds:    v.Terms.Total(),
+			ID:             v.ID,
+			FirstLayer:     v.First,
+			LastLayer:      v.Last,
+			Status:         v.Status.String(),
+			Weight:         v.Weight,
+			Occupancy:      v.Occupancy,
+			Limit:          v.Limit,
+			CachedFraction: v.CachedFraction,
+			Seconds:        v.Terms.Total(),
 		})
 	}
 	return out
--- a/node/app/observer.go
+++ b/node/app/observer.go
@@ -11,20 +11,20 @@
 	"masticbank.example/node/router"
 )
 
-// observer turns the router's measurements into metrics and one log line for
-// each finished request. It logs neither prompts nor keys.
+// observer records the router's events as metrics and logs one line for each
+// finished request. It logs neither prompts nor keys.
 type observer struct {
 	registry *metrics.Registry
-	log      *zap.Logger
-	// leaving tells the peers that an upstream leaves.
-	leaving func(upstream string)
+	logger   *zap.Logger
+	// announceLeaving informs the peers that an upstream is leaving.
+	announceLeaving func(upstream string)
 }
 
 var _ router.Metrics = (*observer)(nil)
 
-// Dropped implements router.Metrics.
-func (o *observer) Dropped(attempt.DropKind) {
-	o.registry.Add(metrics.LateAnswers, 1)
+// ResponseDiscarded implements router.Metrics.
+func (o *observer) ResponseDiscarded(attempt.DiscardReason) {
+	o.registry.Add(metrics.LateResponses, 1)
 }
 
 // ConnectionReplaced implements router.Metrics.
@@ -37,19 +37,19 @@
 	o.registry.Add(metrics.Ejections, 1)
 }
 
-// Leaving implements router.Metrics.
-func (o *observer) Leaving(upstream string) {
-	o.leaving(upstream)
+// UpstreamLeaving implements router.Metrics.
+func (o *observer) UpstreamLeaving(upstream string) {
+	o.announceLeaving(upstream)
 }
 
 // TokenGap implements router.Metrics.
 func (o *observer) TokenGap(workspace string, rank config.Rank, d time.Duration) {
-	o.registry.Request(int(rank), workspace).Observe(metrics.BetweenTokens, d)
+	o.registry.NewRequest(int(rank), workspace).Observe(metrics.BetweenTokens, d)
 }
 
 // Finished implements router.Metrics.
 func (o *observer) Finished(r *router.Result) {
-	q := o.registry.Request(int(r.Rank), r.Workspace)
+	q := o.registry.NewRequest(int(r.Rank), r.Workspace)
 	if r.Attempts > 0 {
 		q.Observe(metrics.QueueWait, r.QueueWait)
 	}
@@ -61,7 +61,7 @@
 	o.registry.Add(metrics.Attempts, uint64(r.Attempts))
 	o.registry.Add(metrics.Retries, uint64(r.Retries))
 	if !r.Complete {
-		o.registry.Refuse(string(r.Code))
+		o.registry.CountRefusal(string(r.Code))
 	}
 	if r.Code == router.CodePoison && r.Attempts == 0 {
 		o.registry.Add(metrics.PoisonRefusals, 1)
@@ -73,7 +73,7 @@
 	switch {
 	case r.Complete:
 		return metrics.Completed
-	case r.Code == router.CodeDeadline:
+	case r.Code == router.CodeDeadlinePassed:
 		return metrics.Expired
 	case r.Code == router.CodeCancelled:
 		return metrics.Cancelled
@@ -85,7 +85,7 @@
 }
 
 func (o *observer) logResult(r *router.Result) {
-	o.log.Info("request finished",
+	o.logger.Info("request finished",
 		zap.String("request", r.RequestID),
 		zap.String("workspace", r.Workspace),
 		zap.Int("rank", int(r.Rank)),
@@ -96,7 +96,7 @@
 		zap.Strings("route", r.Route),
 		zap.Int("attempts", r.Attempts),
 		zap.Int("retries", r.Retries),
-		zap.Int("dropped", r.Dropped),
+		zap.Int("dropped", r.DiscardedResponses),
 		zap.Int("tokens", r.Tokens),
 		zap.Duration("queue_wait", r.QueueWait),
 		zap.Duration("first_token", r.FirstToken),
--- a/node/control/duty_test.go
+++ b/node/control/duty_test.go
@@ -53,16 +53,16 @@
 		time.Sleep(3 * time.Second)
 		w.set(func() { w.unavailable = true })
 		time.Sleep(6 * time.Second)
-		require.Equal(t, int64(7), c.DutyGeneration())
+		require.Equal(t, int64(7), c.LeaderGeneration())
 		time.Sleep(30 * time.Second)
-		require.Zero(t, c.DutyGeneration(), "after a long outage the view is too old")
+		require.Zero(t, c.LeaderGeneration(), "after a long outage the view is too old")
 		w.set(func() { w.unavailable = false })
 		time.Sleep(3 * time.Second)
-		require.Equal(t, int64(7), c.DutyGeneration())
+		require.Equal(t, int64(7), c.LeaderGeneration())
 		w.set(func() { w.unavailable = true })
 		time.Sleep(time.Second)
-		c.OtherDuty(8)
-		require.Zero(t, c.DutyGeneration())
+		c.OtherLeader(8)
+		require.Zero(t, c.LeaderGeneration())
 	})
 }
 
@@ -70,9 +70,9 @@
 	w := newFakePlatform()
 	run(t, w, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(3 * time.Second)
-		c.Retire()
+		c.ReleaseLeadership()
 		time.Sleep(time.Second)
-		require.Zero(t, c.DutyGeneration())
+		require.Zero(t, c.LeaderGeneration())
 		w.set(func() { w.entries = nil })
 		require.True(t, w.left)
 	})
@@ -82,14 +82,14 @@
 func TestSuspectedReplicaRecoversWithHeartbeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Logger: zap.NewNop()})
-	e := roster.Entry{ID: "r", Born: 1, Sequence: 4}
+	e := roster.Entry{ID: "r", StartTime: 1, Sequence: 4}
 	c.unresponsive["r"] = failureReport{born: 1, heartbeat: 4, until: now.Add(time.Minute)}
 	require.True(t, c.suspected(now, e))
 	e.Sequence = 5
 	require.True(t, c.suspected(now, e))
 	e.Sequence = 6
 	require.False(t, c.suspected(now, e))
-	require.False(t, c.suspected(now, roster.Entry{ID: "r", Born: 1, Sequence: 4}))
+	require.False(t, c.suspected(now, roster.Entry{ID: "r", StartTime: 1, Sequence: 4}))
 }
 
 // When the generation changes, the next join sends it. Until then the store does not hand
--- a/node/control/follow.go
+++ b/node/control/follow.go
@@ -23,7 +23,7 @@
 			cursor, err = c.nextConfig(ctx, cursor)
 		}
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryTruncated):
 			c.log.Info("history of the configuration was truncated, reading the newest version")
 			cursor = -1
 		case err != nil:
@@ -38,9 +38,9 @@
 // readConfig reads the newest configuration and returns the cursor after it.
 func (c *Control) readConfig(ctx context.Context) (int64, error) {
 	p, cursor, err := c.opts.Configs.Newest(ctx)
-	var m *Malformed
+	var m *MalformedError
 	if errors.As(err, &m) {
-		c.reportMalformed([]*Malformed{m})
+		c.reportMalformed([]*MalformedError{m})
 		return cursor, nil
 	}
 	if err != nil {
@@ -55,7 +55,7 @@
 // nextConfig waits for new configurations. The wait is cancelled when the store is
 // available again after an outage, because the call may have been lost in it.
 func (c *Control) nextConfig(ctx context.Context, cursor int64) (int64, error) {
-	if c.opts.Reads != nil {
+	if c.opts.IsDesignatedReader != nil {
 		c.awaitReaderRole(ctx)
 	}
 	pollCtx, cancel := context.WithCancel(ctx)
@@ -81,7 +81,7 @@
 // maxConfigReadInterval.
 func (c *Control) awaitReaderRole(ctx context.Context) {
 	end := time.Now().Add(time.Duration((1 + rand.Float64()) / 2 * float64(maxConfigReadInterval)))
-	for ctx.Err() == nil && !c.opts.Reads() && time.Now().Before(end) {
+	for ctx.Err() == nil && !c.opts.IsDesignatedReader() && time.Now().Before(end) {
 		sleep(ctx, readerCheckInterval)
 	}
 }
@@ -103,8 +103,8 @@
 	return configPollWaitWithoutPeers
 }
 
-// TakeConfig applies a configuration that another instance has in force.
-func (c *Control) TakeConfig(content []byte) {
+// ApplyConfig applies a configuration that another instance has in force.
+func (c *Control) ApplyConfig(content []byte) {
 	p, err := c.opts.Configs.Decode(content)
 	if err != nil {
 		c.log.Warn("configuration of another instance could not be decoded", zap.Error(err))
@@ -123,10 +123,10 @@
 		}
 		err := c.readReplicas(ctx)
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryTruncated):
 			c.log.Info("history of the replicas was truncated, reading all entries")
 			c.mu.Lock()
-			c.feed.Lose()
+			c.feed.Invalidate()
 			c.mu.Unlock()
 			continue
 		case err != nil:
@@ -158,10 +158,10 @@
 func (c *Control) relayedReadDue(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leadership.Duty {
+	if c.leadership.Leader {
 		return 0
 	}
-	return c.feed.Due(now, relayedReadTimeout+c.readDelay)
+	return c.feed.ReadDelay(now, relayedReadTimeout+c.readDelay)
 }
 
 // readInterval returns the time until the next read. It is shorter for the leader, which
@@ -172,7 +172,7 @@
 	switch {
 	case len(c.pending) > 0:
 		return pendingReadInterval
-	case c.leadership.Duty:
+	case c.leadership.Leader:
 		return leaderReadInterval
 	case c.inFirstStart():
 		return firstStartInterval
@@ -195,7 +195,7 @@
 	}
 	c.reportMalformed(malformed)
 	c.mu.Lock()
-	c.feed.Start(cursor)
+	c.feed.Reset(cursor)
 	changes := c.roster.Replace(time.Now(), list)
 	for id, change := range changes {
 		c.logChange(id, change)
@@ -204,7 +204,7 @@
 	c.replicasLoaded.Store(true)
 	c.updateGateway(len(changes) > 0)
 	if c.Ready() {
-		c.opts.Gateway.Open()
+		c.opts.Gateway.MarkReady()
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 	}
 	c.reportMalformed(malformed)
 	c.mu.Lock()
-	fresh, follows := c.feed.Read(updates)
+	fresh, follows := c.feed.ApplyRead(updates)
 	fresh.List = c.update(fresh.List)
 	c.readDelay = c.randomReadDelay()
 	c.mu.Unlock()
@@ -248,21 +248,21 @@
 	for _, u := range list {
 		change := c.roster.Apply(now, u)
 		draining := u.Entry != nil && u.Entry.State == roster.Draining
-		if change == roster.Same && u.Entry != nil && !draining {
+		if change == roster.Unchanged && u.Entry != nil && !draining {
 			continue
 		}
 		changed = append(changed, u)
-		if change != roster.Same {
+		if change != roster.Unchanged {
 			c.logChange(u.ID, change)
 		}
 	}
 	return changed
 }
 
-// TakeUpdates applies updates that the leader has read.
-func (c *Control) TakeUpdates(u roster.Updates) {
+// ApplyUpdates applies updates that the leader has read.
+func (c *Control) ApplyUpdates(u roster.Updates) {
 	c.mu.Lock()
-	changed := c.update(c.feed.Passed(time.Now(), u))
+	changed := c.update(c.feed.ApplyForwarded(time.Now(), u))
 	c.readDelay = c.randomReadDelay()
 	c.mu.Unlock()
 	c.updateGateway(len(changed) > 0)
@@ -297,7 +297,7 @@
 func (c *Control) publishDeparture(id string, e roster.Entry) {
 	switch {
 	case e.ID != "" && c.opts.OnLeaving != nil:
-		c.opts.OnLeaving(roster.Process{ID: id, Born: e.Born})
+		c.opts.OnLeaving(roster.Process{ID: id, StartTime: e.StartTime})
 	case e.ID == "" && c.opts.OnRemoved != nil:
 		c.opts.OnRemoved(id)
 	}
@@ -322,8 +322,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.opts.Gateway.SetReplicas(c.roster.Usable)
-	for _, e := range c.roster.TakeEnded() {
-		c.opts.Gateway.ReplicaEnded(poison.Incarnation{Replica: e.ID, Born: e.Born}, e.Restarted)
+	c.opts.Gateway.SetReplicas(c.roster.Available)
+	for _, e := range c.roster.DrainEnded() {
+		c.opts.Gateway.ReplicaEnded(poison.Process{Replica: e.ID, StartTime: e.StartTime}, e.Restarted)
 	}
 }
--- a/node/engine/httpjson/client.go
+++ b/node/engine/httpjson/client.go
@@ -61,7 +61,7 @@
 
 // Probe implements engine.Client.
 func (c *Client) Probe(ctx context.Context, t engine.Target) error {
-	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true, MaxResponseHeaderBytes: bounded.HeadBytes}
+	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true, MaxResponseHeaderBytes: bounded.MaxHeaderBytes}
 	defer transport.CloseIdleConnections()
 	return c.call(ctx, transport, http.MethodGet, t, wire.PathProbe, nil, nil)
 }
@@ -73,10 +73,10 @@
 	return out, c.call(ctx, c.transport(t), http.MethodGet, t, path, nil, out)
 }
 
-// Order implements engine.Client.
-func (c *Client) Order(ctx context.Context, t engine.Target, o *wire.Order) (*wire.OrderResponse, error) {
-	out := &wire.OrderResponse{}
-	return out, c.call(ctx, c.transport(t), http.MethodPost, t, wire.PathOrder, o, out)
+// AssignLayers implements engine.Client.
+func (c *Client) AssignLayers(ctx context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
+	out := &wire.LayerAssignmentResponse{}
+	return out, c.call(ctx, c.transport(t), http.MethodPost, t, wire.PathLayerAssignment, o, out)
 }
 
 // State implements engine.Client.
@@ -87,11 +87,11 @@
 
 // ReplaceConnections implements engine.Client.
 func (c *Client) ReplaceConnections(t engine.Target) {
-	c.Forget(t)
+	c.Release(t)
 }
 
-// Forget implements engine.Client.
-func (c *Client) Forget(t engine.Target) {
+// Release implements engine.Client.
+func (c *Client) Release(t engine.Target) {
 	c.mu.Lock()
 	tr := c.transports[t.Address]
 	delete(c.transports, t.Address)
@@ -112,7 +112,7 @@
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 
-			MaxResponseHeaderBytes: bounded.HeadBytes,
+			MaxResponseHeaderBytes: bounded.MaxHeaderBytes,
 		}
 		c.transports[t.Address] = tr
 	}
--- a/node/gateway/modelpool_test.go
+++ b/node/gateway/modelpool_test.go
@@ -20,12 +20,12 @@
 // the second half.
 func newPool() *modelPool {
 	m := &pipeline.Model{
-		Layers: 4, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, ReadPerMS: 100, Slots: 10, UsualPrompt: 100, UsualOutput: 100,
-		Kinds: map[string]pipeline.Kind{"k": {Name: "k", MemoryMB: 1000, StepFactor: 1, ReadFactor: 1}},
+		Layers: 4, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, PrefillTokensPerMS: 100, Slots: 10, MeanPromptTokens: 100, MeanOutputTokens: 100,
+		Kinds: map[string]pipeline.Kind{"k": {Name: "k", MemoryMB: 1000, StepFactor: 1, PrefillFactor: 1}},
 	}
 	p := newModelPool(&routing.Service{Name: "s", Model: m}, nil, zap.NewNop())
 	entry := func(id string, from, to int) roster.Entry {
-		return roster.Entry{ID: id, Service: "s", Address: id, Zone: "z", Kind: "k", Born: 1, Layers: &roster.Layers{From: from, To: to}}
+		return roster.Entry{ID: id, Service: "s", Address: id, Zone: "z", Kind: "k", StartTime: 1, Layers: &roster.Layers{From: from, To: to}}
 	}
 	p.setReplicas([]roster.Entry{entry("a", 0, 2), entry("b", 2, 4), entry("c", 2, 4)})
 	return p
@@ -36,7 +36,7 @@
 	for _, id := range avoid {
 		limit.Avoid[id] = true
 	}
-	it := &waitlist.Item{Arrival: time.Now(), GiveUp: time.Now().Add(time.Second)}
+	it := &waitlist.Item{Arrival: time.Now(), RefuseAt: time.Now().Add(time.Second)}
 	return p.acquire(context.Background(), it, pipeline.Demand{Prompt: 100, Output: 100}, limit)
 }
 
@@ -124,8 +124,8 @@
 func TestRestartedReplicasStillCountAsStages(t *testing.T) {
 	p := newPool()
 	g := p.acquireAvoiding("c")
-	p.setReplicas([]roster.Entry{{ID: "a", Service: "s", Born: 2}})
-	require.Equal(t, []poison.Incarnation{{Replica: "a", Born: 1}}, p.listedProcesses(g.path()))
+	p.setReplicas([]roster.Entry{{ID: "a", Service: "s", StartTime: 2}})
+	require.Equal(t, []poison.Process{{Replica: "a", StartTime: 1}}, p.listedProcesses(g.path()))
 }
 
 // A retried request waits for a replica that it does not avoid; a request behind it that
@@ -153,7 +153,7 @@
 		p.block("c", time.Minute, "test")
 		ask := func(prompt float64) <-chan *grant {
 			out := make(chan *grant, 1)
-			it := &waitlist.Item{Arrival: time.Now(), GiveUp: time.Now().Add(5 * time.Second)}
+			it := &waitlist.Item{Arrival: time.Now(), RefuseAt: time.Now().Add(5 * time.Second)}
 			go func() {
 				out <- p.acquire(context.Background(), it, pipeline.Demand{Prompt: prompt}, pipeline.Constraint{})
 			}()
--- a/node/gateway/plain.go
+++ b/node/gateway/plain.go
@@ -37,7 +37,7 @@
 func (g *Gateway) servePlain(ctx context.Context, c *call) {
 	pool := g.plain(c.service.Name)
 	g.countFirst(c.service.Name)
-	h := forward.History{Repeatable: c.route.Kind == routing.Idempotent, MaxRuns: c.route.MaxAttempts}
+	h := forward.History{Idempotent: c.route.Kind == routing.Idempotent, MaxRuns: c.route.MaxAttempts}
 	tried := map[string]bool{}
 	for {
 		replica, ok := pool.selectReplica(time.Now(), tried)
@@ -53,7 +53,7 @@
 		c.replica = replica.ID
 		outcome, response, err := g.sendPlain(ctx, c, pool, replica, &h)
 		next := h.Step(outcome, func() bool { return g.mayRetry(ctx, c) })
-		if outcome != forward.Answered {
+		if outcome != forward.Responded {
 			g.log.Info("attempt failed", zap.String("request", c.ID), zap.String("replica", replica.ID),
 				zap.Stringer("outcome", outcome), zap.Stringer("next", next), zap.Int("sends", h.Sends),
 				zap.Duration("left", c.remaining(time.Now())),
@@ -108,20 +108,20 @@
 // result for the replica's load, its health and the detection of crashes.
 func (g *Gateway) sendPlain(ctx context.Context, c *call, pool *plainPool, replica Replica, h *forward.History) (forward.Outcome, *plainResponse, error) {
 	now := time.Now()
-	if h.Repeatable && h.Runs+1 < h.MaxRuns {
+	if h.Idempotent && h.Runs+1 < h.MaxRuns {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(float64(c.remaining(now))*firstAttemptShare))
 		defer cancel()
 	}
 	pool.recordSend(replica.ID)
 	sent := time.Now()
-	outcome, response, err := g.exchangePlain(ctx, c, replica, !h.Repeatable, pool)
+	outcome, response, err := g.exchangePlain(ctx, c, replica, !h.Idempotent, pool)
 	switch {
-	case outcome == forward.Answered && response.status < http.StatusMultipleChoices:
+	case outcome == forward.Responded && response.status < http.StatusMultipleChoices:
 		g.crashes.recordSuccess(c.fingerprint)
 	case outcome == forward.Lost && mayBeCrash(err) && !errors.Is(c.http.Context().Err(), context.Canceled) && pool.listed(replica):
-		r := g.crashes.process(poison.Incarnation{Replica: replica.ID, Born: replica.Born}, sent)
-		g.crashes.recordLostRun(c, []poison.Incarnation{r}, sent, false)
+		r := g.crashes.process(poison.Process{Replica: replica.ID, StartTime: replica.StartTime}, sent)
+		g.crashes.recordLostRun(c, []poison.Process{r}, sent, false)
 		g.crashes.scheduleCheck(r, replica.Address)
 	}
 	pool.recordOutcome(time.Now(), replica.ID, outcome, time.Since(now))
@@ -135,19 +135,19 @@
 
 // lacksSignature reports whether a response claims success without the signature that every
 // replica adds when it ran the request.
-func lacksSignature(status int, a Answer) bool {
+func lacksSignature(status int, a Response) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices && !a.Signed
 }
 
 // exchangePlain sends the request, reads the response and classifies the outcome.
 func (g *Gateway) exchangePlain(ctx context.Context, c *call, replica Replica, fresh bool, pool *plainPool) (forward.Outcome, *plainResponse, error) {
-	resp, err := g.opts.Client.Do(ctx, replica.Address, g.newRequest(c, Send{Replica: replica.ID, Rank: -1}, fresh))
+	resp, err := g.opts.Client.Do(ctx, replica.Address, g.newRequest(c, ForwardOptions{Replica: replica.ID, Rank: -1}, fresh))
 	if err != nil {
 		return outcomeOf(err), nil, err
 	}
 	defer resp.Close()
 	g.crashes.markResponsive(replica.ID)
-	info := g.opts.Codec.Answer(resp.Status, resp.Header)
+	info := g.opts.Codec.Response(resp.Status, resp.Header)
 	if info.ID != c.ID {
 		resp.Discard()
 		return forward.Lost, nil, errResponseMismatch
@@ -173,7 +173,7 @@
 	if resp.Status >= http.StatusInternalServerError {
 		return forward.Failed, response, nil
 	}
-	return forward.Answered, response, nil
+	return forward.Responded, response, nil
 }
 
 // drainBody reads the rest of a short response so that its connection can be reused. The
@@ -199,7 +199,7 @@
 // deliver sends a complete response of a replica to the client.
 func (g *Gateway) deliver(c *call, a *plainResponse) {
 	h := c.writer.Header()
-	for k, v := range g.opts.Codec.ToCaller(a.header) {
+	for k, v := range g.opts.Codec.ToClient(a.header) {
 		h[k] = v
 	}
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
--- a/node/gateway/state.go
+++ b/node/gateway/state.go
@@ -116,11 +116,11 @@
 	}
 }
 
-// LearnEvidence merges another instance's evidence about requests that crash replicas.
-func (g *Gateway) LearnEvidence(s poison.State) { g.crashes.merge(s) }
+// MergeEvidence merges another instance's evidence about requests that crash replicas.
+func (g *Gateway) MergeEvidence(s poison.Evidence) { g.crashes.merge(s) }
 
 // Evidence returns all evidence about requests that crash replicas.
-func (g *Gateway) Evidence() poison.State { return g.crashes.state() }
+func (g *Gateway) Evidence() poison.Evidence { return g.crashes.state() }
 
 // EvidenceDigest returns a hash of the evidence, equal for two instances with the same
 // evidence.
@@ -129,7 +129,7 @@
 // ReplicaEnded records that a process of a replica ended without an orderly shutdown.
 // restarted is true if a later process of the replica is listed, false if the replica is
 // no longer listed.
-func (g *Gateway) ReplicaEnded(r poison.Incarnation, restarted bool) {
+func (g *Gateway) ReplicaEnded(r poison.Process, restarted bool) {
 	sign := endRemoved
 	if restarted {
 		sign = endRestarted
@@ -142,15 +142,15 @@
 	out := map[string]map[string]pipeline.Load{}
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
-		out[p.name] = p.fleet.Own()
+		out[p.name] = p.fleet.OwnLoads()
 		p.mu.Unlock()
 	}
 	return out
 }
 
-// Rejected blocks a replica that rejected a request of another instance; count is the
+// ApplyPeerRejection blocks a replica that rejected a request of another instance; count is the
 // number of rejections in a row.
-func (g *Gateway) Rejected(replica string, count int) {
+func (g *Gateway) ApplyPeerRejection(replica string, count int) {
 	for _, p := range g.modelPools() {
 		p.rejectedElsewhere(replica, count)
 	}
@@ -174,7 +174,7 @@
 	out := map[pipeline.Link]float64{}
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
-		for k, rate := range p.fleet.OwnLinks(time.Now()) {
+		for k, rate := range p.fleet.OwnLinkRates(time.Now()) {
 			out[k] += rate
 		}
 		p.mu.Unlock()
@@ -182,11 +182,11 @@
 	return out
 }
 
-// SetForeign sets the total load of all other instances, by replica and by link.
-func (g *Gateway) SetForeign(of func(replica string) pipeline.Load, link func(pipeline.Link) float64) {
+// SetRemoteLoad sets the total load of all other instances, by replica and by link.
+func (g *Gateway) SetRemoteLoad(of func(replica string) pipeline.Load, link func(pipeline.Link) float64) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
-		p.fleet.SetForeign(of, link)
+		p.fleet.SetRemoteLoad(of, link)
 		p.grantWaiting(time.Now())
 		p.mu.Unlock()
 	}
@@ -195,8 +195,8 @@
 // reportedBlock is how long a replica is blocked that another instance found unresponsive.
 const reportedBlock = 2 * time.Second
 
-// Suspect blocks a replica that another instance found unresponsive.
-func (g *Gateway) Suspect(replica string) {
+// ApplyPeerUnresponsive blocks a replica that another instance found unresponsive.
+func (g *Gateway) ApplyPeerUnresponsive(replica string) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
 		_, known := p.fleet.Replica(replica)
--- a/node/mesh/evidence.go
+++ b/node/mesh/evidence.go
@@ -35,7 +35,7 @@
 }
 
 // PublishEvidence publishes new evidence on requests that crash replicas to the peers.
-func (m *Mesh) PublishEvidence(news poison.State) { m.broadcast(peer.EncodeEvidence(news, time.Now())) }
+func (m *Mesh) PublishEvidence(e poison.Evidence) { m.broadcast(peer.EncodeEvidence(e, time.Now())) }
 
 // compareEvidence sends all evidence to a peer whose digest differs, immediately if the
 // session is new. The peer does the same, so that both then have the union.
@@ -77,5 +77,5 @@
 
 // CrashEvidence implements peer.Handler.
 func (h *handler) CrashEvidence(_ string, m *peerpb.CrashEvidence) {
-	h.mesh.opts.Gateway.LearnEvidence(peer.DecodeEvidence(m, time.Now()))
+	h.mesh.opts.Gateway.MergeEvidence(peer.DecodeEvidence(m, time.Now()))
 }
--- a/node/mesh/mesh.go
+++ b/node/mesh/mesh.go
@@ -56,21 +56,21 @@
 	// Links returns the rates at which this instance's requests transfer data between
 	// zones, in prompt tokens per second.
 	Links() map[pipeline.Link]float64
-	// SetForeign sets the total load of all other instances by replica and by link.
-	SetForeign(of func(replica string) pipeline.Load, link func(pipeline.Link) float64)
-	// Rejected stops the use of a replica that has rejected count consecutive requests of
+	// SetRemoteLoad sets the total load of all other instances by replica and by link.
+	SetRemoteLoad(of func(replica string) pipeline.Load, link func(pipeline.Link) float64)
+	// ApplyPeerRejection stops the use of a replica that has rejected count consecutive requests of
 	// another instance.
-	Rejected(replica string, count int)
-	// Observe records the states of replicas that another instance has read.
-	Observe(of func(replica string) (pipeline.Observed, bool))
-	// Suspect stops the use of a replica that another instance found unresponsive.
-	Suspect(replica string)
-	// LearnEvidence merges the evidence of another instance on requests that crash
+	ApplyPeerRejection(replica string, count int)
+	// RecordReports records the states of replicas that another instance has read.
+	RecordReports(of func(replica string) (pipeline.Report, bool))
+	// ApplyPeerUnresponsive stops the use of a replica that another instance found unresponsive.
+	ApplyPeerUnresponsive(replica string)
+	// MergeEvidence merges the evidence of another instance on requests that crash
 	// replicas.
-	LearnEvidence(poison.State)
+	MergeEvidence(poison.Evidence)
 	// Evidence returns the evidence of this instance. EvidenceDigest returns a digest of
 	// it, which differs from that of an instance with other evidence.
-	Evidence() poison.State
+	Evidence() poison.Evidence
 	EvidenceDigest() uint64
 }
 
@@ -228,7 +228,7 @@
 			candidates = append(candidates, id)
 		}
 	}
-	return readers.Among(m.opts.Member, candidates, configReaders)
+	return readers.IsDesignated(m.opts.Member, candidates, configReaders)
 }
 
 // Standby reports whether this instance is one of the few that read the
@@ -241,18 +241,18 @@
 	for id := range m.connected {
 		others = append(others, id)
 	}
-	return readers.Among(m.opts.Member, others, standbyReportReaders)
+	return readers.IsDesignated(m.opts.Member, others, standbyReportReaders)
 }
 
 // SendStates sends the reported states of replicas to the peers.
-func (m *Mesh) SendStates(states map[string]pipeline.Observed) {
+func (m *Mesh) SendStates(states map[string]pipeline.Report) {
 	message := &peerpb.UpstreamStates{}
 	for id, o := range states {
 		message.States = append(message.States, &peerpb.UpstreamState{
 			Upstream: replicaKey(id),
-			Pace:     uint32(o.Pace * stepTimeRatioUnit),
-			Used:     uint32(o.Used / tokenUnit),
-			Room:     uint32(o.Room / tokenUnit),
+			Pace:     uint32(o.StepTimeRatio * stepTimeRatioUnit),
+			Used:     uint32(o.CacheUsed / tokenUnit),
+			Room:     uint32(o.CacheCapacity / tokenUnit),
 
 			HasLayers:  o.HasLayers,
 			LayersFrom: uint32(o.From),
@@ -301,19 +301,19 @@
 
 // UpstreamStates implements peer.Handler.
 func (h *handler) UpstreamStates(_ string, m *peerpb.UpstreamStates) {
-	states := make(map[uint32]pipeline.Observed, len(m.GetStates()))
+	states := make(map[uint32]pipeline.Report, len(m.GetStates()))
 	for _, s := range m.GetStates() {
-		states[s.GetUpstream()] = pipeline.Observed{
-			Pace: float64(s.GetPace()) / stepTimeRatioUnit,
-			Used: float64(s.GetUsed()) * tokenUnit,
-			Room: float64(s.GetRoom()) * tokenUnit,
+		states[s.GetUpstream()] = pipeline.Report{
+			StepTimeRatio: float64(s.GetPace()) / stepTimeRatioUnit,
+			CacheUsed:     float64(s.GetUsed()) * tokenUnit,
+			CacheCapacity: float64(s.GetRoom()) * tokenUnit,
 
 			HasLayers: s.GetHasLayers(),
 			From:      int(s.GetLayersFrom()),
 			To:        int(s.GetLayersTo()),
 		}
 	}
-	h.mesh.opts.Gateway.Observe(func(replica string) (pipeline.Observed, bool) {
+	h.mesh.opts.Gateway.RecordReports(func(replica string) (pipeline.Report, bool) {
 		o, ok := states[replicaKey(replica)]
 		return o, ok
 	})
@@ -321,7 +321,7 @@
 
 // Suspicion implements peer.Handler.
 func (h *handler) Suspicion(_ string, s *peerpb.Suspicion) {
-	h.mesh.opts.Gateway.Suspect(s.GetUpstream())
+	h.mesh.opts.Gateway.ApplyPeerUnresponsive(s.GetUpstream())
 	if h.mesh.opts.OnUnresponsive != nil {
 		h.mesh.opts.OnUnresponsive(s.GetUpstream())
 	}
@@ -329,7 +329,7 @@
 
 // Rejection implements peer.Handler.
 func (h *handler) Rejection(_ string, r *peerpb.Rejection) {
-	h.mesh.opts.Gateway.Rejected(r.GetUpstream(), int(r.GetCount()))
+	h.mesh.opts.Gateway.ApplyPeerRejection(r.GetUpstream(), int(r.GetCount()))
 }
 
 // ConfigState implements peer.Handler.
@@ -364,6 +364,6 @@
 		return
 	}
 	for _, p := range d.GetProcesses() {
-		h.mesh.opts.OnLeaving(roster.Process{ID: p.GetUpstream(), Born: p.GetBorn()})
+		h.mesh.opts.OnLeaving(roster.Process{ID: p.GetUpstream(), StartTime: p.GetBorn()})
 	}
 }
--- a/node/mesh/mesh_test.go
+++ b/node/mesh/mesh_test.go
@@ -32,7 +32,7 @@
 	remoteLink   func(pipeline.Link) float64
 	unresponsive map[string]bool
 	rejections   map[string]int
-	observed     map[string]pipeline.Observed
+	observed     map[string]pipeline.Report
 	evidence     *poison.Ledger
 }
 
@@ -48,19 +48,19 @@
 	return maps.Clone(f.links)
 }
 
-func (f *fakeGateway) SetForeign(of func(string) pipeline.Load, link func(pipeline.Link) float64) {
+func (f *fakeGateway) SetRemoteLoad(of func(string) pipeline.Load, link func(pipeline.Link) float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remoteLoad, f.remoteLink = of, link
 }
 
-func (f *fakeGateway) Rejected(id string, count int) {
+func (f *fakeGateway) ApplyPeerRejection(id string, count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rejections[id] = count
 }
 
-func (f *fakeGateway) Observe(of func(string) (pipeline.Observed, bool)) {
+func (f *fakeGateway) RecordReports(of func(string) (pipeline.Report, bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range []string{"r1", "r2"} {
@@ -70,22 +70,22 @@
 	}
 }
 
-func (f *fakeGateway) Suspect(id string) {
+func (f *fakeGateway) ApplyPeerUnresponsive(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unresponsive[id] = true
 }
 
-func (f *fakeGateway) LearnEvidence(s poison.State) {
+func (f *fakeGateway) MergeEvidence(s poison.Evidence) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.evidence.Learn(time.Now(), s)
+	f.evidence.Merge(time.Now(), s)
 }
 
-func (f *fakeGateway) Evidence() poison.State {
+func (f *fakeGateway) Evidence() poison.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.evidence.State()
+	return f.evidence.Evidence()
 }
 
 func (f *fakeGateway) EvidenceDigest() uint64 {
@@ -106,7 +106,7 @@
 func newFakeGateway() *fakeGateway {
 	return &fakeGateway{
 		own: map[string]pipeline.Load{}, links: map[pipeline.Link]float64{}, unresponsive: map[string]bool{},
-		rejections: map[string]int{}, observed: map[string]pipeline.Observed{}, evidence: poison.NewLedger(time.Minute),
+		rejections: map[string]int{}, observed: map[string]pipeline.Report{}, evidence: poison.NewLedger(time.Minute),
 	}
 }
 
@@ -178,12 +178,12 @@
 	ma.SetMembers(members)
 	mb.SetMembers(members)
 	a.mu.Lock()
-	a.own["r1"] = pipeline.Load{Reserved: 12_000, Sequences: 3, Reading: 5_000}
+	a.own["r1"] = pipeline.Load{Reserved: 12_000, Sequences: 3, Prefill: 5_000}
 	a.links[pipeline.LinkBetween("x", "y")] = 700
 	a.mu.Unlock()
 
 	require.Eventually(t, b.locked(func() bool {
-		return b.remoteLoad != nil && b.remoteLoad("r1") == pipeline.Load{Reserved: 12_000, Sequences: 3, Reading: 5_000} &&
+		return b.remoteLoad != nil && b.remoteLoad("r1") == pipeline.Load{Reserved: 12_000, Sequences: 3, Prefill: 5_000} &&
 			b.remoteLink(pipeline.LinkBetween("y", "x")) == 700
 	}), waitTimeout, time.Millisecond)
 
@@ -194,15 +194,15 @@
 
 	require.Eventually(t, func() bool {
 		ma.ReportUnresponsive("r1")
-		ma.ReportLeaving(roster.Process{ID: "r2", Born: 7})
+		ma.ReportLeaving(roster.Process{ID: "r2", StartTime: 7})
 		ma.ReportRemoved("r3")
 		ma.ReportRejection("r2", 3)
-		ma.SendStates(map[string]pipeline.Observed{"r1": {Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}})
+		ma.SendStates(map[string]pipeline.Report{"r1": {StepTimeRatio: 1.5, CacheUsed: 3000, CacheCapacity: 9000, HasLayers: true, From: 2, To: 7}})
 		mu.Lock()
-		received := leaving == roster.Process{ID: "r2", Born: 7} && removed == "r3" && unresponsive == "r1" && leaderGeneration == 42
+		received := leaving == roster.Process{ID: "r2", StartTime: 7} && removed == "r3" && unresponsive == "r1" && leaderGeneration == 42
 		mu.Unlock()
 		return received && b.locked(func() bool {
-			return b.unresponsive["r1"] && b.rejections["r2"] == 3 && b.rejections["r1"] == 0 && b.observed["r1"] == pipeline.Observed{Pace: 1.5, Used: 3000, Room: 9000, HasLayers: true, From: 2, To: 7}
+			return b.unresponsive["r1"] && b.rejections["r2"] == 3 && b.rejections["r1"] == 0 && b.observed["r1"] == pipeline.Report{StepTimeRatio: 1.5, CacheUsed: 3000, CacheCapacity: 9000, HasLayers: true, From: 2, To: 7}
 		})()
 	}, waitTimeout, time.Millisecond)
 }
@@ -222,7 +222,7 @@
 // replica announced that it is leaving before the other instance started.
 func TestNewPeerReceivesDepartures(t *testing.T) {
 	got := make(chan roster.Process, 10)
-	left := roster.Process{ID: "r", Born: 5}
+	left := roster.Process{ID: "r", StartTime: 5}
 	pair(t, mesh.Options{Departed: func() []roster.Process { return []roster.Process{left} }},
 		mesh.Options{OnLeaving: func(p roster.Process) { got <- p }})
 	select {
@@ -249,10 +249,10 @@
 	u := roster.Updates{From: 3, To: 9, List: []roster.Update{
 		{ID: "gone", Offset: 4},
 		{ID: "plain", Offset: 5, Entry: &roster.Entry{
-			ID: "plain", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 6, State: roster.Draining, Born: 1764800000000, Sequence: 7,
+			ID: "plain", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 6, State: roster.Draining, StartTime: 1764800000000, Sequence: 7,
 		}},
 		{ID: "model", Offset: 8, Entry: &roster.Entry{
-			ID: "model", Service: "m", Address: "10.0.0.2:80", Zone: "z", Kind: "l4", Slots: 192, Born: 1, Sequence: 2,
+			ID: "model", Service: "m", Address: "10.0.0.2:80", Zone: "z", Kind: "l4", Slots: 192, StartTime: 1, Sequence: 2,
 			Layers: &roster.Layers{From: 3, To: 9, Version: 1},
 		}},
 	}}
--- a/node/router/orders.go
+++ b/node/router/orders.go
@@ -17,7 +17,7 @@
 type Orders interface {
 	// Do returns the recorded response of the key, or claims the key and calls send at
 	// most once.
-	Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Answer) order.Result
+	Do(ctx context.Context, call order.Call, send func(ctx context.Context) order.Response) order.Result
 }
 
 // retryAfterLog is the Retry-After hint while the log is unavailable.
@@ -36,9 +36,9 @@
 		Key:         req.Key,
 		Fingerprint: keyFingerprint(req),
 		Date:        req.KeyDate,
-		First:       req.FirstUse,
+		FirstUse:    req.FirstUse,
 		Deadline:    deadline,
-	}, func(ctx context.Context) order.Answer {
+	}, func(ctx context.Context) order.Response {
 		sent = r.callOnce(ctx, pool, req)
 		return newOrderAnswer(&sent)
 	})
@@ -56,12 +56,12 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func newOrderAnswer(res *ServiceResult) order.Answer {
-	a := order.Answer{Execution: res.Execution}
-	if res.Answer != nil {
-		a.Status = res.Answer.Status
-		a.ContentType = res.Answer.Header.Get("Content-Type")
-		a.Body = res.Answer.Body
+func newOrderAnswer(res *ServiceResult) order.Response {
+	a := order.Response{Execution: res.Execution}
+	if res.Response != nil {
+		a.Status = res.Response.Status
+		a.ContentType = res.Response.Header.Get("Content-Type")
+		a.Body = res.Response.Body
 	}
 	return a
 }
@@ -74,20 +74,20 @@
 		out.RetryAfter = orderRetryAfter(res.Reason)
 		return out
 	}
-	if sent.Answer != nil && !res.Replayed {
+	if sent.Response != nil && !res.Replayed {
 		out := *sent
 		out.Execution = res.Execution
 		return out
 	}
-	if res.Answer.Status == 0 {
+	if res.Response.Status == 0 {
 		out := *sent
 		out.Execution = res.Execution
 		return out
 	}
-	out := ServiceResult{Replayed: res.Replayed, Answer: &service.Answer{
-		Status: res.Answer.Status,
-		Header: http.Header{"Content-Type": {res.Answer.ContentType}},
-		Body:   res.Answer.Body,
+	out := ServiceResult{Replayed: res.Replayed, Response: &service.Response{
+		Status: res.Response.Status,
+		Header: http.Header{"Content-Type": {res.Response.ContentType}},
+		Body:   res.Response.Body,
 	}}
 	out.Complete = true
 	out.Execution = res.Execution
@@ -105,15 +105,15 @@
 	case order.ReasonLogUnavailable, order.ReasonVersion:
 		return CodeLogUnavailable
 	case order.ReasonOverloaded:
-		return CodePoolFull
+		return CodePoolQueueFull
 	case order.ReasonRunning, order.ReasonClaimantGone:
 		return CodeKeyUndecided
-	case order.ReasonTooLate, order.ReasonReleased:
-		return CodeDeadline
-	case order.ReasonCallerGone:
+	case order.ReasonDispatchWindowPassed, order.ReasonReleased:
+		return CodeDeadlinePassed
+	case order.ReasonClientGone:
 		return CodeCancelled
-	case order.ReasonAnswerTooLarge:
-		return CodeAnswerTooLarge
+	case order.ReasonResponseTooLarge:
+		return CodeResponseTooLarge
 	default:
 		return CodeUpstreamFailed
 	}
@@ -123,7 +123,7 @@
 // or 0.
 func orderRetryAfter(r order.Reason) time.Duration {
 	switch r {
-	case order.ReasonLogUnavailable, order.ReasonOverloaded, order.ReasonTooLate, order.ReasonReleased:
+	case order.ReasonLogUnavailable, order.ReasonOverloaded, order.ReasonDispatchWindowPassed, order.ReasonReleased:
 		return retryAfterLog
 	case order.ReasonRunning:
 		return retryAfterFailure
--- a/node/router/run.go
+++ b/node/router/run.go
@@ -33,7 +33,7 @@
 	// fingerprint identifies the content of the request regardless of its ID.
 	fingerprint poison.Fingerprint
 	machine     *attempt.Machine
-	stages      []route.Hop // of the current attempt
+	stages      []route.Stage // of the current attempt
 	result      Result
 	// dispatched is true while admission counts the request as running.
 	dispatched bool
@@ -114,9 +114,9 @@
 		return x.emit(e)
 	case attempt.Release:
 		x.release(e)
-	case attempt.Drop:
-		x.result.Dropped++
-		x.router.metrics.Dropped(e.Kind)
+	case attempt.Discard:
+		x.result.DiscardedResponses++
+		x.router.metrics.ResponseDiscarded(e.Reason)
 	case attempt.Finish:
 		x.finish(e.Outcome)
 	}
--- a/standin/logservice/service_test.go
+++ b/standin/logservice/service_test.go
@@ -27,7 +27,7 @@
 
 func TestReadAndRetention(t *testing.T) {
 	ctx := context.Background()
-	service, log := start(t, logservice.Options{AppendsPerSecond: -1, KeepRecords: 3})
+	service, log := start(t, logservice.Options{AppendsPerSecond: -1, MaxRecords: 3})
 	for i := range 5 {
 		offset, err := log.Append(ctx, "s", [][]byte{{byte(i)}})
 		require.NoError(t, err)
@@ -84,8 +84,9 @@
 	require.ErrorIs(t, err, logstream.ErrUnavailable)
 }
 
-// All records arrive although answers are lost and the limit throttles; records
-// that wait at the same time share an append.
+// TestAppenderGroupsAndRepeats checks that all records are stored although responses
+// are lost and the rate limit throttles, and that records waiting at the same time share
+// an append.
 func TestAppenderGroupsAndRepeats(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	service, log := start(t, logservice.Options{AppendsPerSecond: 200, Seed: 1})
@@ -127,21 +128,21 @@
 	service.SetFaults(logservice.Faults{Down: true})
 	appender := logstream.NewAppender(log, "s", logstream.AppenderOptions{MaxQueued: 2})
 	ctx, cancel := context.WithCancel(context.Background())
-	first, err := appender.Start(ctx, []byte("a"))
+	first, err := appender.AppendAsync(ctx, []byte("a"))
 	require.NoError(t, err)
-	_, err = appender.Start(ctx, []byte("b"))
+	_, err = appender.AppendAsync(ctx, []byte("b"))
 	require.NoError(t, err)
-	_, err = appender.Start(ctx, []byte("c"))
+	_, err = appender.AppendAsync(ctx, []byte("c"))
 	require.ErrorIs(t, err, logstream.ErrQueueFull)
 	cancel()
 	require.ErrorIs(t, appender.Run(ctx), context.Canceled)
 	require.ErrorIs(t, <-first, context.Canceled)
-	_, err = appender.Start(ctx, []byte("d"))
+	_, err = appender.AppendAsync(ctx, []byte("d"))
 	require.ErrorIs(t, err, logstream.ErrStopped)
 }
 
-// BenchmarkAppender appends records of 200 bytes from many callers over HTTP to a
-// log that takes 0.25 ms and 400 appends a second.
+// BenchmarkAppender appends records of 200 bytes from many goroutines over HTTP to a
+// log that takes 0.25 ms per request and at most 400 appends per second.
 func BenchmarkAppender(b *testing.B) {
 	for name, maxRecords := range map[string]int{"single": 1, "group": 0} {
 		b.Run(name, func(b *testing.B) {
