--- a/cmd/internal/local/loader_test.go
+++ b/cmd/internal/local/loader_test.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ldr := loader.New(loader.Options{
 		Engines: l.client, Keeper: leader, Targets: l.targets, MaxLoads: maxLoads, Period: period,
-		Wanted: func() map[string]config.ModelConfig {
+		Models: func() map[string]config.ModelConfig {
 			return map[string]config.ModelConfig{l.model.Name: {Layers: l.model.Layers, Version: l.version.Load().(string)}}
 		},
 	})
@@ -79,7 +79,7 @@
 	var out []loader.Engine
 	for _, e := range l.Engines() {
 		o := e.Options()
-		out = append(out, loader.Engine{Target: l.target(o.ID), Zone: o.Zone, Accelerator: o.Accelerator, Units: o.Slots})
+		out = append(out, loader.Engine{Target: l.target(o.ID), Zone: o.Zone, Accelerator: o.Accelerator, Sequences: o.Slots})
 	}
 	return out
 }
@@ -168,7 +168,7 @@
 func (l *loaderFleet) sendOutdatedAssignments(t *testing.T, fencing bool) {
 	t.Helper()
 	for _, id := range []string{"dev-0-3-l0", "dev-9-11-s1"} {
-		response, err := l.client.Order(context.Background(), l.target(id), &wire.Order{
+		response, err := l.client.AssignLayers(context.Background(), l.target(id), &wire.LayerAssignment{
 			Fence: 4, Model: "dev", Version: "1", FirstLayer: 4, LastLayer: 8,
 		})
 		require.NoError(t, err)
--- a/core/admission/deadline.go
+++ b/core/admission/deadline.go
@@ -15,8 +15,8 @@
 
 // missesDeadline reports whether a new request could not meet its deadline at the
 // current service rate, and when to retry it. A request that would be dispatched
-// immediately passes until its deadline, because an outdated rate must not keep an idle
-// pool idle.
+// immediately is accepted at any time before its deadline, because an outdated rate must
+// not keep an idle pool idle.
 func (q *Queue) missesDeadline(now time.Time, f *flow, cost float64, deadline time.Time) (time.Duration, bool) {
 	if deadline.IsZero() {
 		return 0, false
@@ -74,7 +74,7 @@
 			heap.Fix(&q.deadlines, 0)
 			continue
 		}
-		q.refuse(now, r, ReasonDeadline)
+		q.refuse(now, r, ReasonDeadlineWhileQueued)
 	}
 }
 
@@ -114,7 +114,7 @@
 		examined++
 		wait, known := q.expectedWait(now, f, costAhead)
 		if known && q.missesDeadlineByMargin(now, r, wait) {
-			q.refuse(now, r, ReasonDeadline)
+			q.refuse(now, r, ReasonDeadlineWhileQueued)
 		} else {
 			costAhead += r.cost
 		}
--- a/core/order/attempt_test.go
+++ b/core/order/attempt_test.go
@@ -12,7 +12,7 @@
 )
 
 // An attempt that was paused before its claim was appended must not send its call if a
-// later call with the same key was answered not_run in the meantime.
+// later call with the same key got the result not_run in the meantime.
 func TestReleaseInvalidatesEarlierAttempts(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	table := order.NewTable(policy)
@@ -41,7 +41,7 @@
 	write(repeat.Begin(now)...)
 	require.Equal(t, []order.Effect{order.Confirm{}}, repeat.Step(now, order.Wake))
 	require.Equal(t, []order.Effect{order.Send{}}, repeat.Step(now, order.ConfirmSend))
-	ended := repeat.Answered(order.Answer{Status: 503, Execution: execution.NotRun})
+	ended := repeat.HandleResponse(order.Response{Status: 503, Execution: execution.NotRun})
 	require.Equal(t, execution.NotRun, ended[1].(order.Reply).Result.Execution)
 	write(ended...)
 
@@ -71,6 +71,6 @@
 func TestPolicyMustFitRetention(t *testing.T) {
 	require.NoError(t, policy.Validate())
 	long := policy
-	long.Window = policy.Retention - policy.Dispatch
+	long.AcceptanceWindow = policy.Retention - policy.DispatchWindow
 	require.ErrorIs(t, long.Validate(), order.ErrPolicy)
 }
--- a/core/pause/pause_test.go
+++ b/core/pause/pause_test.go
@@ -16,9 +16,9 @@
 func TestMatchesNaiveList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type pauseRequest struct {
-			replica string
-			born    int64
-			end     time.Time
+			replica   string
+			startTime int64
+			end       time.Time
 		}
 		var all []pauseRequest
 		l := pause.New()
@@ -35,14 +35,14 @@
 			default:
 				d := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "pause")) * time.Millisecond
 				end := l.Add(now, id, latest[id], d, rapid.Float64Range(0, 1).Draw(t, "random"))
-				require.False(t, end.Before(now.Add(min(d, pause.Longest))), "shorter than requested")
-				require.False(t, end.After(now.Add(pause.Longest+time.Minute)))
+				require.False(t, end.Before(now.Add(min(d, pause.MaxDuration))), "shorter than requested")
+				require.False(t, end.After(now.Add(pause.MaxDuration+time.Minute)))
 				all = append(all, pauseRequest{id, latest[id], end})
 			}
 			for _, id := range []string{"a", "b"} {
 				var want time.Time
 				for _, x := range all {
-					if x.replica == id && x.born == latest[id] && x.end.After(now) && x.end.After(want) {
+					if x.replica == id && x.startTime == latest[id] && x.end.After(now) && x.end.After(want) {
 						want = x.end
 					}
 				}
--- a/core/poison/bench_test.go
+++ b/core/poison/bench_test.go
@@ -12,20 +12,20 @@
 	candidates := make([]Fingerprint, 16)
 	for i := range 100 {
 		for j := range candidates {
-			candidates[j] = print(fmt.Sprint(i, j))
+			candidates[j] = fingerprint(fmt.Sprint(i, j))
 		}
-		tr.Crash(start, fmt.Sprint(i), candidates...)
+		tr.RecordCrash(start, fmt.Sprint(i), candidates...)
 	}
 	return tr, candidates
 }
 
 func BenchmarkBlocked(b *testing.B) {
 	tr, candidates := outage()
-	for name, f := range map[string]Fingerprint{"unknown": print("x"), "candidate": candidates[0]} {
+	for name, f := range map[string]Fingerprint{"unknown": fingerprint("x"), "candidate": candidates[0]} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				tr.Blocked(start, f)
+				tr.IsBlocked(start, f)
 			}
 		})
 	}
@@ -35,6 +35,6 @@
 	tr, candidates := outage()
 	b.ReportAllocs()
 	for b.Loop() {
-		tr.Crash(start, "0", candidates...)
+		tr.RecordCrash(start, "0", candidates...)
 	}
 }
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -10,25 +10,25 @@
 	"pgregory.net/rapid"
 )
 
-func process(replica string, startTime int64) Incarnation {
-	return Incarnation{Replica: replica, Born: startTime}
+func process(replica string, startTime int64) Process {
+	return Process{Replica: replica, StartTime: startTime}
 }
 
 // runNumber gives each run a different attempt.
 var runNumber uint64
 
-func lostRun(f Fingerprint, began time.Time, parts ...Incarnation) LostRun {
+func lostRun(f Fingerprint, sentAt time.Time, processes ...Process) LostRun {
 	runNumber++
-	return LostRun{Fingerprint: f, Run: Run{Attempt: runNumber}, Parts: parts, Began: began}
+	return LostRun{Fingerprint: f, Run: Run{Attempt: runNumber}, Processes: processes, SentAt: sentAt}
 }
 
 // crashOnce reports a lost run on a replica process that then ends.
-func crashOnce(l *Ledger, now time.Time, f Fingerprint, r Incarnation) {
-	l.Lost(now, lostRun(f, now, r))
-	l.Ended(now, r)
+func crashOnce(l *Ledger, now time.Time, f Fingerprint, r Process) {
+	l.RecordLostRun(now, lostRun(f, now, r))
+	l.RecordEnd(now, r)
 }
 
-func crashTimes(l *Ledger, now time.Time, f Fingerprint, from, n int) {
+func crashRepeatedly(l *Ledger, now time.Time, f Fingerprint, from, n int) {
 	for i := range n {
 		crashOnce(l, now, f, process(fmt.Sprint("r", from+i), 1))
 	}
@@ -36,17 +36,17 @@
 
 func TestThreeIndependentCrashesBlock(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
-	crashTimes(l, start, f, 0, 2)
+	f := fingerprint("a")
+	crashRepeatedly(l, start, f, 0, 2)
 	require.Nil(t, l.Admit(start, f, 1))
 	require.True(t, l.MayRetry(f, 1))
-	crashTimes(l, start, f, 2, 1)
+	crashRepeatedly(l, start, f, 2, 1)
 	refusal := l.Admit(start, f, 1)
 	require.NotNil(t, refusal)
 	require.Len(t, refusal.Crashes, 3)
 	require.Equal(t, trialDelay, refusal.RetryAfter)
 	require.False(t, l.MayRetry(f, 1))
-	require.Nil(t, l.Admit(start, print("b"), 1))
+	require.Nil(t, l.Admit(start, fingerprint("b"), 1))
 	l.Expire(start.Add(retention))
 	require.Nil(t, l.Admit(start.Add(retention), f, 1))
 }
@@ -55,7 +55,7 @@
 // listed yet.
 func TestARestartedReplicaCountsAgain(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
+	f := fingerprint("a")
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := l.Process(process("r", 1), now)
@@ -68,15 +68,15 @@
 // down is removed from the list before it ends.
 func TestLostRunsWithoutEndedProcessAreNoEvidence(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
+	f := fingerprint("a")
 	for i := range 20 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := process(fmt.Sprint(i), 1)
-		l.Removed(now, r)
-		l.Lost(now, lostRun(f, now, r))
+		l.RecordRemoval(now, r)
+		l.RecordLostRun(now, lostRun(f, now, r))
 	}
 	require.Zero(t, l.Incidents(f))
-	l.Ended(start.Add(time.Minute), process("0", 1))
+	l.RecordEnd(start.Add(time.Minute), process("0", 1))
 	require.Zero(t, l.Incidents(f), "the replica ended long after the run")
 }
 
@@ -85,18 +85,18 @@
 func TestEndMayBeDetectedBeforeLoss(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		l := NewLedger(retention)
-		f := print("a")
+		f := fingerprint("a")
 		r := process("r", 1)
 		run := lostRun(f, start, process("other", 1), r)
 		if first {
-			l.Ended(start.Add(time.Second), r)
-			l.Lost(start.Add(2*time.Second), run)
+			l.RecordEnd(start.Add(time.Second), r)
+			l.RecordLostRun(start.Add(2*time.Second), run)
 		} else {
-			l.Lost(start.Add(time.Second), run)
-			l.Ended(start.Add(2*time.Second), r)
+			l.RecordLostRun(start.Add(time.Second), run)
+			l.RecordEnd(start.Add(2*time.Second), r)
 		}
 		require.Equal(t, 1, l.Incidents(f))
-		l.Lost(start.Add(3*time.Second), lostRun(f, start.Add(3*time.Second), r))
+		l.RecordLostRun(start.Add(3*time.Second), lostRun(f, start.Add(3*time.Second), r))
 		require.Equal(t, 1, l.Incidents(f), "the run was sent after the process ended")
 	}
 }
@@ -104,16 +104,16 @@
 // A zone failure ends many copies of one request and every process on their paths at once.
 func TestZoneFailureIsOneIncident(t *testing.T) {
 	l := NewLedger(retention)
-	hot := print("hot")
-	var zone []Incarnation
+	hot := fingerprint("hot")
+	var zone []Process
 	for i := range 12 {
 		zone = append(zone, process(fmt.Sprint(i), 1))
 	}
 	for i := range 20 {
-		l.Lost(start, lostRun(hot, start, zone[0], zone[1+i%3], zone[4+i%4], zone[8+i%4]))
+		l.RecordLostRun(start, lostRun(hot, start, zone[0], zone[1+i%3], zone[4+i%4], zone[8+i%4]))
 	}
 	for _, r := range zone {
-		l.Ended(start, r)
+		l.RecordEnd(start, r)
 	}
 	require.Equal(t, 1, l.Incidents(hot))
 	require.Nil(t, l.Admit(start, hot, 1))
@@ -121,31 +121,31 @@
 
 func TestSuccessClearsEverywhere(t *testing.T) {
 	a, b := NewLedger(retention), NewLedger(retention)
-	f := print("a")
-	crashTimes(a, start, f, 0, 3)
-	b.Learn(start, a.News())
+	f := fingerprint("a")
+	crashRepeatedly(a, start, f, 0, 3)
+	b.Merge(start, a.DrainUpdates())
 	require.True(t, b.IsBlocked(f))
-	require.True(t, b.Succeeded(start, f))
+	require.True(t, b.RecordSuccess(start, f))
 	require.False(t, b.IsBlocked(f))
-	a.Learn(start, b.News())
+	a.Merge(start, b.DrainUpdates())
 	require.False(t, a.IsBlocked(f))
 	require.Equal(t, a.Digest(), b.Digest())
 
-	crashTimes(a, start.Add(time.Second), f, 5, 3)
+	crashRepeatedly(a, start.Add(time.Second), f, 5, 3)
 	require.False(t, a.IsBlocked(f), "a success disproves crashes soon after it")
-	crashTimes(a, start.Add(2*clearedDuration), f, 10, 3)
+	crashRepeatedly(a, start.Add(2*clearedDuration), f, 10, 3)
 	require.True(t, a.IsBlocked(f))
 }
 
 // A success on one instance disproves crashes observed by another.
 func TestEarlierSuccessElsewhereClears(t *testing.T) {
 	a, b := NewLedger(retention), NewLedger(retention)
-	f := print("a")
-	b.Succeeded(start, f)
-	require.True(t, b.News().Empty(), "a success without crashes is not sent")
-	crashTimes(a, start.Add(time.Second), f, 0, 3)
-	b.Learn(start.Add(time.Second), a.News())
-	a.Learn(start.Add(time.Second), b.News())
+	f := fingerprint("a")
+	b.RecordSuccess(start, f)
+	require.True(t, b.DrainUpdates().Empty(), "a success without crashes is not sent")
+	crashRepeatedly(a, start.Add(time.Second), f, 0, 3)
+	b.Merge(start.Add(time.Second), a.DrainUpdates())
+	a.Merge(start.Add(time.Second), b.DrainUpdates())
 	require.False(t, a.IsBlocked(f))
 }
 
@@ -153,46 +153,46 @@
 // unblocked.
 func TestBlockedRequestExplainsCrashesOfOthers(t *testing.T) {
 	l := NewLedger(retention)
-	bad, harmless := print("bad"), print("innocent")
+	bad, harmless := fingerprint("bad"), fingerprint("harmless")
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * time.Second)
 		r := process(fmt.Sprint(i), 1)
 		run := lostRun(harmless, now, r)
 		run.Progressed = i == 0
-		l.Lost(now, run)
-		l.Lost(now, lostRun(bad, now, r))
-		l.Ended(now, r)
+		l.RecordLostRun(now, run)
+		l.RecordLostRun(now, lostRun(bad, now, r))
+		l.RecordEnd(now, r)
 	}
 	require.True(t, l.IsBlocked(bad))
 	require.False(t, l.IsBlocked(harmless))
-	crashTimes(l, start.Add(4*time.Second), harmless, 10, 2)
+	crashRepeatedly(l, start.Add(4*time.Second), harmless, 10, 2)
 	require.False(t, l.IsBlocked(harmless), "three crashes are explained by the blocked request")
-	crashTimes(l, start.Add(5*time.Second), harmless, 20, 1)
+	crashRepeatedly(l, start.Add(5*time.Second), harmless, 20, 1)
 	require.True(t, l.IsBlocked(harmless))
 }
 
 func TestRunsOfOneAttemptCountBeforeTheyAreProved(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
-	crashTimes(l, start, f, 0, 2)
+	f := fingerprint("a")
+	crashRepeatedly(l, start, f, 0, 2)
 	run := lostRun(f, start, process("x", 1))
-	l.Lost(start, run)
+	l.RecordLostRun(start, run)
 	require.False(t, l.MayRetry(f, run.Run.Attempt))
 	require.True(t, l.MayRetry(f, run.Run.Attempt+1))
 	refusal := l.Admit(start, f, run.Run.Attempt+1)
 	require.NotNil(t, refusal)
 	require.Equal(t, proofTimeout, refusal.RetryAfter)
 	require.Nil(t, l.Admit(start.Add(proofTimeout), f, run.Run.Attempt+1))
-	require.True(t, l.MayRetry(print("b"), run.Run.Attempt), "without other evidence a lost run does not count")
+	require.True(t, l.MayRetry(fingerprint("b"), run.Run.Attempt), "without other evidence a lost run does not count")
 }
 
 // A blocked request gets up to three trial runs, only on the instance that observed its
 // last crash.
 func TestTrials(t *testing.T) {
 	here, there := NewLedger(retention), NewLedger(retention)
-	f := print("a")
-	crashTimes(here, start, f, 0, 3)
-	there.Learn(start, here.News())
+	f := fingerprint("a")
+	crashRepeatedly(here, start, f, 0, 3)
+	there.Merge(start, here.DrainUpdates())
 	now := start
 	for i := range maxTrials {
 		wait := trialDelay << i
@@ -202,8 +202,8 @@
 		require.Nil(t, here.Admit(now, f, 7), "the attempt of the trial may continue")
 		require.NotNil(t, here.Admit(now, f, 8), "one trial at a time")
 		require.NotNil(t, there.Admit(now, f, 9), "the other instance did not observe the crash")
-		crashTimes(here, now, f, 10+i, 1)
-		there.Learn(now, here.News())
+		crashRepeatedly(here, now, f, 10+i, 1)
+		there.Merge(now, here.DrainUpdates())
 	}
 	require.NotNil(t, here.Admit(now.Add(retention-1), f, 10), "no further trial")
 }
@@ -212,16 +212,16 @@
 // a blocked request.
 func TestFloodOfRequestsIsBounded(t *testing.T) {
 	l := NewLedger(retention)
-	f := print("a")
-	crashTimes(l, start, f, 0, 3)
+	f := fingerprint("a")
+	crashRepeatedly(l, start, f, 0, 3)
 	for i := range 3 * maxTracked {
-		crashOnce(l, start, print(fmt.Sprint("flood", i)), process(fmt.Sprint("f", i), 1))
+		crashOnce(l, start, fingerprint(fmt.Sprint("flood", i)), process(fmt.Sprint("f", i), 1))
 	}
 	for i := range 3 * maxLostRuns {
-		l.Lost(start, lostRun(print(fmt.Sprint("lost", i)), start, process("x", 1)))
+		l.RecordLostRun(start, lostRun(fingerprint(fmt.Sprint("lost", i)), start, process("x", 1)))
 	}
 	for i := range 3 * maxSuccesses {
-		l.Succeeded(start, print(fmt.Sprint("good", i)))
+		l.RecordSuccess(start, fingerprint(fmt.Sprint("good", i)))
 	}
 	for range 100 {
 		crashOnce(l, start, f, process(fmt.Sprint("m", runNumber), 1))
@@ -232,8 +232,8 @@
 	require.LessOrEqual(t, len(l.ended), maxEnded)
 	require.LessOrEqual(t, len(l.successes.at), maxSuccesses)
 	require.LessOrEqual(t, len(l.tracked[f].crashes), maxCrashesEach)
-	s := l.State()
-	require.LessOrEqual(t, len(s.Crashes), MaxState)
+	s := l.Evidence()
+	require.LessOrEqual(t, len(s.Crashes), MaxEvidence)
 	require.Equal(t, f, s.Crashes[0].Fingerprint, "the most crashes come first")
 }
 
@@ -264,22 +264,22 @@
 				if crashes >= int(blockThreshold) {
 					inFlight++
 				}
-				harmless := print(fmt.Sprint("innocent", i))
+				harmless := fingerprint(fmt.Sprint("harmless", i))
 				r := l.Process(process(id, startTimes[id]), now)
-				l.Lost(now, lostRun(harmless, now, r))
+				l.RecordLostRun(now, lostRun(harmless, now, r))
 				crashOnce(l, now, poison, r)
 				startTimes[id] += 10
 				crashes++
-				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].Succeeded(now, harmless)
+				ledgers[rapid.IntRange(0, instances-1).Draw(t, "elsewhere")].RecordSuccess(now, harmless)
 			case 1: // a replica fails independently while it runs a harmless request
-				innocent := print(fmt.Sprint("alone", i))
-				crashOnce(l, now, innocent, process(id, startTimes[id]))
+				harmless := fingerprint(fmt.Sprint("alone", i))
+				crashOnce(l, now, harmless, process(id, startTimes[id]))
 				startTimes[id] += 10
 			case 2:
-				updates := l.News()
+				updates := l.DrainUpdates()
 				for _, other := range ledgers {
-					if other != l && rapid.Bool().Draw(t, "heard") {
-						other.Learn(now, updates)
+					if other != l && rapid.Bool().Draw(t, "received") {
+						other.Merge(now, updates)
 					}
 				}
 			default:
@@ -287,9 +287,9 @@
 				// A success on one instance clears crashes received from the other; that
 				// takes a second exchange.
 				for range 2 {
-					mine, theirs := l.State(), other.State()
-					l.Learn(now, theirs)
-					other.Learn(now, mine)
+					mine, theirs := l.Evidence(), other.Evidence()
+					l.Merge(now, theirs)
+					other.Merge(now, mine)
 				}
 				require.Equal(t, l.Digest(), other.Digest())
 			}
@@ -313,7 +313,7 @@
 	for range 2 {
 		for _, l := range ledgers {
 			for _, other := range ledgers {
-				other.Learn(now, l.State())
+				other.Merge(now, l.Evidence())
 			}
 		}
 	}
@@ -337,9 +337,9 @@
 func BenchmarkAdmitUnknown(b *testing.B) {
 	l := NewLedger(retention)
 	for i := range maxTracked {
-		crashOnce(l, start, print(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
+		crashOnce(l, start, fingerprint(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
 	}
-	f := print("stranger")
+	f := fingerprint("unknown")
 	for b.Loop() {
 		l.Admit(start, f, 1)
 	}
@@ -355,7 +355,7 @@
 func BenchmarkDigest(b *testing.B) {
 	l := NewLedger(retention)
 	for i := range maxTracked {
-		crashOnce(l, start, print(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
+		crashOnce(l, start, fingerprint(fmt.Sprint(i)), process(fmt.Sprint(i), 1))
 	}
 	for b.Loop() {
 		l.digestValid = false
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -8,30 +8,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxState is the maximum number of crashes, and of clears, that are sent at once.
-const MaxState = 256
+// MaxEvidence is the maximum number of crashes, and of clearances, that are sent at once.
+const MaxEvidence = 256
 
-// Learn adds evidence of other instances. It returns the crashes of runs lost on this
+// Merge adds evidence of other instances. It returns the crashes of runs lost on this
 // instance that the evidence proves.
-func (l *Ledger) Learn(now time.Time, s State) []Crash {
-	for _, c := range s.Clears {
+func (l *Ledger) Merge(now time.Time, evidence Evidence) []Crash {
+	for _, c := range evidence.Clearances {
 		if c.At.After(now) {
 			c.At = now
 		}
-		if now.Sub(c.At) >= l.retention || !c.At.After(l.clears[c.Fingerprint]) {
+		if now.Sub(c.At) >= l.retention || !c.At.After(l.clearances[c.Fingerprint]) {
 			continue
 		}
-		l.clears[c.Fingerprint] = c.At
-		l.applyClear(c)
+		l.clearances[c.Fingerprint] = c.At
+		l.applyClearance(c)
 	}
-	evictExcess(l.clears)
+	evictExcess(l.clearances)
 	l.digestValid = false
 	var proved []Crash
-	for _, c := range s.Crashes {
+	for _, c := range evidence.Crashes {
 		if c.At.After(now) {
 			c.At = now
 		}
-		c.Own = false
+		c.Local = false
 		if l.add(now, c) && now.Sub(c.At) <= matchWindow {
 			proved = append(proved, l.recordEnd(now, c.Replica, c.At)...)
 		}
@@ -39,36 +39,37 @@
 	return proved
 }
 
-// News returns the evidence that was not sent yet and marks it as sent.
-func (l *Ledger) News() State {
+// DrainUpdates returns the evidence that was not sent yet and marks it as sent.
+func (l *Ledger) DrainUpdates() Evidence {
 	updates := l.updates
-	l.updates = State{}
+	l.updates = Evidence{}
 	return updates
 }
 
-// State returns the evidence to send to an instance that may lack some of it. Requests with
-// the most crashes come first, among them those with the latest crash.
-func (l *Ledger) State() State {
+// Evidence returns the evidence to send to an instance that may lack some of it, within
+// MaxEvidence. Requests with the most crashes come first, among them those with the latest
+// crash.
+func (l *Ledger) Evidence() Evidence {
 	order := make([]Fingerprint, 0, len(l.tracked))
 	for f := range l.tracked {
 		order = append(order, f)
 	}
 	slices.SortFunc(order, func(a, b Fingerprint) int { return l.compare(b, a) })
-	var s State
+	var evidence Evidence
 	for _, f := range order {
 		crashes := l.tracked[f].crashes
-		if len(s.Crashes)+len(crashes) > MaxState {
+		if len(evidence.Crashes)+len(crashes) > MaxEvidence {
 			break
 		}
-		s.Crashes = append(s.Crashes, crashes...)
+		evidence.Crashes = append(evidence.Crashes, crashes...)
 	}
-	for f, at := range l.clears {
-		if len(s.Clears) == MaxState {
+	for f, at := range l.clearances {
+		if len(evidence.Clearances) == MaxEvidence {
 			break
 		}
-		s.Clears = append(s.Clears, Clear{Fingerprint: f, At: at})
+		evidence.Clearances = append(evidence.Clearances, Clearance{Fingerprint: f, At: at})
 	}
-	return s
+	return evidence
 }
 
 // compare orders fingerprints by their number of crashes, then by the time of the last
@@ -106,7 +107,7 @@
 			sum ^= c.hash()
 		}
 	}
-	for f := range l.clears {
+	for f := range l.clearances {
 		sum ^= xxhash.Sum64(f[:])
 	}
 	return sum
@@ -117,6 +118,6 @@
 	b = append(b, c.Fingerprint[:]...)
 	b = binary.LittleEndian.AppendUint64(b, c.Run.Attempt)
 	b = binary.LittleEndian.AppendUint32(b, c.Run.Number)
-	b = binary.LittleEndian.AppendUint64(b, uint64(c.Replica.Born))
+	b = binary.LittleEndian.AppendUint64(b, uint64(c.Replica.StartTime))
 	return xxhash.Sum64(append(b, c.Replica.Replica...))
 }
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -20,7 +20,7 @@
 	// which blocks of peers are ignored for them.
 	cleared map[Fingerprint]time.Time
 	// updates holds observations of this instance that were not sent yet.
-	updates State
+	updates Evidence
 }
 
 // candidate is a fingerprint that was running on a replica when it crashed.
@@ -31,9 +31,9 @@
 }
 
 // last returns the time of the last crash.
-func (s *candidate) last() time.Time {
-	last := s.crashes[0].at
-	for _, c := range s.crashes {
+func (cand *candidate) last() time.Time {
+	last := cand.crashes[0].at
+	for _, c := range cand.crashes {
 		last = later(last, c.at)
 	}
 	return last
@@ -49,19 +49,19 @@
 	}
 }
 
-// Crash records that a replica crashed while it ran a step of each of the given
+// RecordCrash records that a replica crashed while it ran a step of each of the given
 // fingerprints, and returns a decision for each. Reports about one replica within
 // crashWindow (2 s) belong to the same crash. Reporting all candidates in one call gives
 // better decisions, because only reported candidates are compared.
-func (t *Tracker) Crash(now time.Time, replica string, candidates ...Fingerprint) []Verdict {
+func (t *Tracker) RecordCrash(now time.Time, replica string, candidates ...Fingerprint) []Decision {
 	t.expireCrashes(now)
 	c := t.crashOf(now, replica)
 	for _, f := range candidates {
 		if t.addCandidate(c, f) {
-			t.queueUpdate(Crash{Fingerprint: f, Replica: Incarnation{Replica: replica}, At: now})
+			t.queueUpdate(Crash{Fingerprint: f, Replica: Process{Replica: replica}, At: now})
 		}
 	}
-	decisions := make([]Verdict, len(candidates))
+	decisions := make([]Decision, len(candidates))
 	for i, f := range candidates {
 		decisions[i] = t.decide(now, f)
 	}
@@ -70,69 +70,69 @@
 
 // queueUpdate adds a crash to the updates to send.
 func (t *Tracker) queueUpdate(c Crash) {
-	if len(t.updates.Crashes) < MaxState {
+	if len(t.updates.Crashes) < MaxEvidence {
 		t.updates.Crashes = append(t.updates.Crashes, c)
 	}
 }
 
-// News returns the observations of this instance since the last call.
-func (t *Tracker) News() State {
+// DrainUpdates returns the observations of this instance since the last call.
+func (t *Tracker) DrainUpdates() Evidence {
 	updates := t.updates
-	t.updates = State{}
+	t.updates = Evidence{}
 	return updates
 }
 
-// LearnEvidence adds the observations of another instance.
-func (t *Tracker) LearnEvidence(now time.Time, s State) {
+// Merge adds the observations of another instance.
+func (t *Tracker) Merge(now time.Time, evidence Evidence) {
 	t.expireCrashes(now)
-	for _, c := range s.Crashes {
+	for _, c := range evidence.Crashes {
 		if now.Sub(c.At) < t.retention {
 			t.addCandidate(t.crashOf(c.At, c.Replica.Replica), c.Fingerprint)
 		}
 	}
-	for _, c := range s.Clears {
+	for _, c := range evidence.Clearances {
 		t.clear(now, c.Fingerprint)
 	}
 }
 
-// Completed records that a request completed, which proves that its fingerprint is not the
-// cause of earlier crashes.
-func (t *Tracker) Completed(now time.Time, f Fingerprint) {
-	if t.clear(now, f) && len(t.updates.Clears) < MaxState {
-		t.updates.Clears = append(t.updates.Clears, Clear{Fingerprint: f, At: now})
+// RecordCompletion records that a request completed, which proves that its fingerprint is
+// not the cause of earlier crashes.
+func (t *Tracker) RecordCompletion(now time.Time, f Fingerprint) {
+	if t.clear(now, f) && len(t.updates.Clearances) < MaxEvidence {
+		t.updates.Clearances = append(t.updates.Clearances, Clearance{Fingerprint: f, At: now})
 	}
 }
 
 // clear discards the evidence against a fingerprint and reports whether there was any.
 func (t *Tracker) clear(now time.Time, f Fingerprint) bool {
-	if t.Blocked(now, f) {
+	if t.IsBlocked(now, f) {
 		t.cleared[f] = now.Add(t.retention)
 		evictExcess(t.cleared)
 	}
 	_, blockedByPeer := t.peerBlocks[f]
 	delete(t.peerBlocks, f)
-	s, ok := t.candidates[f]
+	cand, ok := t.candidates[f]
 	if !ok {
 		return blockedByPeer
 	}
-	for _, c := range s.crashes {
+	for _, c := range cand.crashes {
 		c.remove(f)
 	}
 	delete(t.candidates, f)
 	return true
 }
 
-// Blocked reports whether requests with this fingerprint must be refused.
-func (t *Tracker) Blocked(now time.Time, f Fingerprint) bool {
+// IsBlocked reports whether requests with this fingerprint must be refused.
+func (t *Tracker) IsBlocked(now time.Time, f Fingerprint) bool {
 	if t.peerBlocks[f].After(now) {
 		return true
 	}
 	return t.isProvenCause(now, f)
 }
 
-// Learn records a block that a peer reported. The expiry is limited to the tracker's own
-// retention period.
-func (t *Tracker) Learn(now time.Time, f Fingerprint, expiry time.Time) {
+// AddPeerBlock records a block that a peer reported. The block lasts at most for the
+// tracker's own retention period.
+func (t *Tracker) AddPeerBlock(now time.Time, f Fingerprint, expiry time.Time) {
 	if t.cleared[f].After(now) || !expiry.After(now) {
 		return
 	}
@@ -143,9 +143,9 @@
 	evictExcess(t.peerBlocks)
 }
 
-// Recent returns at most MaxShared blocks to send to peers, in order of expiry, latest
-// first.
-func (t *Tracker) Recent(now time.Time) []Block {
+// BlocksToShare returns at most MaxShared blocks to send to peers, in order of expiry,
+// latest first.
+func (t *Tracker) BlocksToShare(now time.Time) []Block {
 	t.expireCrashes(now)
 	expireMap(now, t.peerBlocks)
 	expireMap(now, t.cleared)
@@ -153,34 +153,34 @@
 	for f, expiry := range t.peerBlocks {
 		blocks = append(blocks, Block{Fingerprint: f, Expiry: expiry})
 	}
-	for f, s := range t.candidates {
-		if _, ok := t.peerBlocks[f]; ok || now.Sub(s.last()) < shareDelay || !t.isProvenCause(now, f) {
+	for f, cand := range t.candidates {
+		if _, ok := t.peerBlocks[f]; ok || now.Sub(cand.last()) < shareDelay || !t.isProvenCause(now, f) {
 			continue
 		}
-		blocks = append(blocks, Block{Fingerprint: f, Expiry: s.last().Add(t.retention)})
+		blocks = append(blocks, Block{Fingerprint: f, Expiry: cand.last().Add(t.retention)})
 	}
 	slices.SortFunc(blocks, compareBlocks)
 	return blocks[:min(len(blocks), MaxShared)]
 }
 
-// Place records on which replicas a fingerprint now runs. It is ignored for fingerprints
-// that are not candidates.
-func (t *Tracker) Place(f Fingerprint, replicas []string) {
-	if s, ok := t.candidates[f]; ok {
-		s.placedOn = slices.Clone(replicas)
+// SetPlacement records on which replicas a fingerprint now runs. It is ignored for
+// fingerprints that are not candidates.
+func (t *Tracker) SetPlacement(f Fingerprint, replicas []string) {
+	if cand, ok := t.candidates[f]; ok {
+		cand.placedOn = slices.Clone(replicas)
 	}
 }
 
-// Avoid returns the replicas that crashed while running the fingerprint, and those that now
-// run other candidates of the same crashes. If a candidate that runs apart from the others
-// crashes another replica, it can be identified as the cause.
-func (t *Tracker) Avoid(f Fingerprint) []string {
-	s, ok := t.candidates[f]
+// ReplicasToAvoid returns the replicas that crashed while running the fingerprint, and
+// those that now run other candidates of the same crashes. If a candidate that runs apart
+// from the others crashes another replica, it can be identified as the cause.
+func (t *Tracker) ReplicasToAvoid(f Fingerprint) []string {
+	cand, ok := t.candidates[f]
 	if !ok {
 		return nil
 	}
 	var replicas []string
-	for _, c := range s.crashes {
+	for _, c := range cand.crashes {
 		replicas = append(replicas, c.replica)
 		for _, other := range c.candidates {
 			if other != f {
@@ -192,15 +192,15 @@
 	return slices.Compact(replicas)
 }
 
-// FailsAlone reports whether a replica crashes so often, with different requests, that the
-// requests do not explain it.
-func (t *Tracker) FailsAlone(now time.Time, replica string) bool {
+// FailsIndependently reports whether a replica crashes so often, with different requests,
+// that the requests do not explain it.
+func (t *Tracker) FailsIndependently(now time.Time, replica string) bool {
 	return t.failsIndependently(replica, now)
 }
 
-func (t *Tracker) decide(now time.Time, f Fingerprint) Verdict {
+func (t *Tracker) decide(now time.Time, f Fingerprint) Decision {
 	all := t.countReplicas(f, func(*crash) bool { return true })
-	if all >= certainReplicas || t.attributedReplicas(f, false) >= stopReplicas || t.Blocked(now, f) {
+	if all >= certainReplicas || t.attributedReplicas(f, false) >= stopReplicas || t.IsBlocked(now, f) {
 		return Stop
 	}
 	return Retry
@@ -208,8 +208,8 @@
 
 // isProvenCause reports whether the crashes recorded here prove that f must be refused.
 func (t *Tracker) isProvenCause(now time.Time, f Fingerprint) bool {
-	s, ok := t.candidates[f]
-	if !ok || now.Sub(s.last()) >= t.retention {
+	cand, ok := t.candidates[f]
+	if !ok || now.Sub(cand.last()) >= t.retention {
 		return false
 	}
 	return t.attributedReplicas(f, true) >= stopReplicas || t.attributedReplicas(f, false) >= certainReplicas
@@ -238,13 +238,13 @@
 		return false
 	}
 	c.candidates = append(c.candidates, f)
-	s, ok := t.candidates[f]
+	cand, ok := t.candidates[f]
 	if !ok {
-		s = &candidate{}
-		t.candidates[f] = s
+		cand = &candidate{}
+		t.candidates[f] = cand
 	}
-	s.placedOn = nil
-	s.crashes = append(s.crashes, c)
+	cand.placedOn = nil
+	cand.crashes = append(cand.crashes, c)
 	return true
 }
 
@@ -259,9 +259,9 @@
 	c := t.crashes[0]
 	t.crashes = slices.Delete(t.crashes, 0, 1)
 	for _, f := range c.candidates {
-		s := t.candidates[f]
-		s.crashes = slices.DeleteFunc(s.crashes, func(x *crash) bool { return x == c })
-		if len(s.crashes) == 0 {
+		cand := t.candidates[f]
+		cand.crashes = slices.DeleteFunc(cand.crashes, func(x *crash) bool { return x == c })
+		if len(cand.crashes) == 0 {
 			delete(t.candidates, f)
 		}
 	}
--- a/core/route/explain.go
+++ b/core/route/explain.go
@@ -39,14 +39,14 @@
 // ReplicaView describes one replica in an Explanation.
 type ReplicaView struct {
 	Replica
-	Standing Status
-	Terms    CostTerms
-	// CachedPart is the fraction of the prompt, 0 to 1, expected in the prefix
+	Status Status
+	Terms  CostTerms
+	// CachedFraction is the fraction of the prompt, 0 to 1, expected in the prefix
 	// cache.
-	CachedPart float64
-	Weight     float64
-	Limit      int
-	InFlight   int
+	CachedFraction float64
+	Weight         float64
+	Limit          int
+	InFlight       int
 	// Occupancy is the estimated number of sequences held, of all instances.
 	Occupancy int
 	// ReportAge is the age of the last load report; negative if there is none.
@@ -58,8 +58,8 @@
 	Decision Decision
 	// Lowest is the lowest expected time of all paths; 0 if there is no path.
 	Lowest time.Duration
-	// Tolerance is how far above Lowest, relative to it, the expected time of a
-	// path may be for PolicyCost to pick it.
+	// Tolerance bounds the paths that PolicyCost may pick: their expected time is at
+	// most 1+Tolerance times Lowest.
 	Tolerance float64
 	// Replicas are sorted by first layer, last layer and ID.
 	Replicas []ReplicaView
@@ -93,16 +93,16 @@
 
 func (t *Table) view(now int64, req *Request, r *replica) ReplicaView {
 	v := ReplicaView{
-		Replica:    r.Replica,
-		Standing:   t.status(now, r),
-		CachedPart: t.cachedFraction(r),
-		Weight:     r.weight,
-		Limit:      r.limit,
-		InFlight:   r.inFlight,
-		Occupancy:  r.occupancy(now),
-		ReportAge:  -1,
+		Replica:        r.Replica,
+		Status:         t.status(now, r),
+		CachedFraction: t.cachedFraction(r),
+		Weight:         r.weight,
+		Limit:          r.limit,
+		InFlight:       r.inFlight,
+		Occupancy:      r.occupancy(now),
+		ReportAge:      -1,
 	}
-	v.Terms = t.costTerms(now, req, r, v.CachedPart)
+	v.Terms = t.costTerms(now, req, r, v.CachedFraction)
 	if r.reported {
 		v.ReportAge = time.Duration(now - r.reportedAt)
 	}
--- a/node/api/api.go
+++ b/node/api/api.go
@@ -110,8 +110,8 @@
 		return c, &apiError{status: http.StatusUnauthorized, code: "invalid_api_key", message: "the API key is missing or unknown"}
 	}
 	c.workspace = workspace
-	if f := c.setRank(r.Header.Get(HeaderRank)); f != nil {
-		return c, f
+	if apiErr := c.setRank(r.Header.Get(HeaderRank)); apiErr != nil {
+		return c, apiErr
 	}
 	return c, c.setDeadline(r.Header.Get(HeaderDeadline))
 }
@@ -146,7 +146,7 @@
 		return &apiError{status: http.StatusBadRequest, code: "invalid_deadline", message: err.Error(), param: HeaderDeadline}
 	}
 	if !at.After(c.arrived) {
-		return &apiError{status: http.StatusGatewayTimeout, code: string(router.CodeDeadline), message: "the deadline has passed", param: HeaderDeadline}
+		return &apiError{status: http.StatusGatewayTimeout, code: string(router.CodeDeadlinePassed), message: "the deadline has passed", param: HeaderDeadline}
 	}
 	if at.Before(c.deadline) {
 		c.deadline = at
@@ -159,9 +159,9 @@
 }
 
 func (s *Server) models(w http.ResponseWriter, r *http.Request) {
-	c, f := s.beginCall(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	c, apiErr := s.beginCall(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
 	list := openai.ModelList{Object: "list", Data: []openai.ModelItem{}}
@@ -172,23 +172,23 @@
 }
 
 // writeError writes the error response to a request that has not reached the router.
-func (s *Server) writeError(w http.ResponseWriter, id string, f *apiError) {
+func (s *Server) writeError(w http.ResponseWriter, id string, apiErr *apiError) {
 	w.Header().Set(HeaderRequestID, id)
 	w.Header().Set(HeaderExecution, execution.NotRun.String())
-	writeJSON(w, f.status, openai.ErrorBody{Error: openai.ErrorDetail{
-		Message:   f.message,
-		Type:      errorType(f.status),
-		Code:      f.code,
-		Param:     f.param,
+	writeJSON(w, apiErr.status, openai.ErrorBody{Error: openai.ErrorDetail{
+		Message:   apiErr.message,
+		Type:      errorType(apiErr.status),
+		Code:      apiErr.code,
+		Param:     apiErr.param,
 		Execution: execution.NotRun.String(),
 		RequestID: id,
 	}})
 }
 
-// Malformed returns the body of an error response that the HTTP server writes
+// ServerErrorBody returns the body of an error response that the HTTP server writes
 // without calling the handler: to a message that cannot be parsed, or to a request
 // that arrives during shutdown.
-func Malformed(status int) []byte {
+func ServerErrorBody(status int) []byte {
 	code := "malformed_request"
 	switch status {
 	case http.StatusRequestEntityTooLarge:
--- a/node/api/service.go
+++ b/node/api/service.go
@@ -16,21 +16,21 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// callService forwards a call to a plain callService.
+// callService forwards a call to a plain service.
 func (s *Server) callService(w http.ResponseWriter, r *http.Request) {
-	c, f := s.beginCall(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	c, apiErr := s.beginCall(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
-	body, f := s.readBody(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	body, apiErr := s.readBody(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
-	date, f := parseKeyDate(r)
-	if f != nil {
-		s.writeError(w, c.id, f)
+	date, apiErr := parseKeyDate(r)
+	if apiErr != nil {
+		s.writeError(w, c.id, apiErr)
 		return
 	}
 	res := s.opts.Router.CallService(r.Context(), &router.ServiceRequest{
@@ -49,7 +49,7 @@
 		Arrived:   c.arrived,
 	})
 	w.Header().Set(HeaderRequestID, c.id)
-	if res.Answer == nil {
+	if res.Response == nil {
 		writeResultError(w, &res.Result)
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 func writeServiceResponse(w http.ResponseWriter, res *router.ServiceResult) {
-	for name, values := range res.Answer.Header {
+	for name, values := range res.Response.Header {
 		for _, v := range values {
 			w.Header().Add(name, v)
 		}
@@ -106,5 +106,5 @@
 	if res.Replayed {
 		w.Header().Set(HeaderReplayed, "true")
 	}
-	writeBody(w, res.Answer.Status, "", res.Answer.Body)
+	writeBody(w, res.Response.Status, "", res.Response.Body)
 }
--- a/node/control/duty.go
+++ b/node/control/duty.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Retire releases the leader task to another instance. Everything else continues until Run
+// ReleaseLeadership releases the leader task to another instance. Everything else continues until Run
 // ends.
-func (c *Control) Retire() {
+func (c *Control) ReleaseLeadership() {
 	if c.retired.CompareAndSwap(false, true) {
 		close(c.retireSignal)
 	}
@@ -151,8 +151,8 @@
 func (c *Control) setLeadership(sent time.Time, m Membership) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m.Duty != c.leadership.Duty {
-		c.log.Info("leader task of assigning layers changed", zap.Bool("held", m.Duty), zap.Int64("generation", m.Generation))
+	if m.Leader != c.leadership.Leader {
+		c.log.Info("leader task of assigning layers changed", zap.Bool("held", m.Leader), zap.Int64("generation", m.Generation))
 		clear(c.pending)
 	}
 	c.leadership.Membership = m
@@ -194,35 +194,35 @@
 	if c.store.unavailable {
 		until = until.Add(outageLeadership)
 	}
-	if !c.leadership.Duty || !now.Before(until) || c.leadership.Generation <= c.leadership.rejectedToken {
+	if !c.leadership.Leader || !now.Before(until) || c.leadership.Generation <= c.leadership.rejectedToken {
 		return 0, false
 	}
 	return c.leadership.Generation, true
 }
 
-// OtherDuty records a peer's report that it is the leader. A later generation than this
+// OtherLeader records a peer's report that it is the leader. A later generation than this
 // instance's ends its own leadership.
-func (c *Control) OtherDuty(generation int64) {
+func (c *Control) OtherLeader(generation int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leadership.Duty && generation > c.leadership.Generation {
+	if c.leadership.Leader && generation > c.leadership.Generation {
 		c.log.Info("another instance is the leader", zap.Int64("generation", generation), zap.Int64("own", c.leadership.Generation))
-		c.leadership.Duty = false
+		c.leadership.Leader = false
 	}
 }
 
-// DutyGeneration returns the generation under which this instance may assign layers, or 0.
-func (c *Control) DutyGeneration() int64 {
+// LeaderGeneration returns the generation under which this instance may assign layers, or 0.
+func (c *Control) LeaderGeneration() int64 {
 	token, _ := c.fencingToken(time.Now())
 	return token
 }
 
-// Duty reports whether this instance was the leader in the last response of the group,
+// IsLeader reports whether this instance was the leader in the last response of the group,
 // which may have expired.
-func (c *Control) Duty() bool {
+func (c *Control) IsLeader() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leadership.Duty
+	return c.leadership.Leader
 }
 
 // assignment is a layer assignment in progress.
@@ -269,8 +269,8 @@
 	}
 }
 
-// Suspect leaves an unresponsive replica out of the layout before its entry expires.
-func (c *Control) Suspect(id string) {
+// ExcludeUnresponsive leaves an unresponsive replica out of the layout before its entry expires.
+func (c *Control) ExcludeUnresponsive(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, _, ok := c.roster.Get(id)
@@ -281,7 +281,7 @@
 		c.lastChange[e.Zone] = time.Now()
 		c.log.Info("replica left out of the layout", zap.String("replica", id), zap.Int64("heartbeat", e.Sequence))
 	}
-	c.unresponsive[id] = failureReport{born: e.Born, heartbeat: e.Sequence, until: time.Now().Add(suspectedFailureTime)}
+	c.unresponsive[id] = failureReport{born: e.StartTime, heartbeat: e.Sequence, until: time.Now().Add(suspectedFailureTime)}
 }
 
 // suspected reports whether a replica is left out as unresponsive. The lock is held.
@@ -290,7 +290,7 @@
 	if !ok {
 		return false
 	}
-	if s.born != e.Born || e.Sequence >= s.heartbeat+recoveryHeartbeats || now.After(s.until) {
+	if s.born != e.StartTime || e.Sequence >= s.heartbeat+recoveryHeartbeats || now.After(s.until) {
 		delete(c.unresponsive, e.ID)
 		return false
 	}
@@ -299,9 +299,9 @@
 
 // stillJoining reports whether no replica holds layers yet and replicas are still joining,
 // so that a layout would soon be outdated.
-func (c *Control) stillJoining(now time.Time, nodes []layout.Node) bool {
+func (c *Control) stillJoining(now time.Time, nodes []layout.Replica) bool {
 	for _, n := range nodes {
-		if n.To > n.From || n.WantTo > n.WantFrom {
+		if n.To > n.From || n.PendingTo > n.PendingFrom {
 			return false
 		}
 	}
@@ -320,18 +320,18 @@
 
 // nodes returns the replicas that can hold layers: what they hold and what was assigned to
 // them.
-func (c *Control) nodes(service string) ([]layout.Node, map[string]roster.Entry) {
+func (c *Control) nodes(service string) ([]layout.Replica, map[string]roster.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	entries := map[string]roster.Entry{}
-	var out []layout.Node
-	for _, e := range c.roster.Usable(service) {
+	var out []layout.Replica
+	for _, e := range c.roster.Available(service) {
 		if c.suspected(now, e) || c.opts.Gateway.Slow(e) {
 			continue
 		}
 		entries[e.ID] = e
-		n := layout.Node{ID: e.ID, Zone: e.Zone, Kind: e.Kind}
+		n := layout.Replica{ID: e.ID, Zone: e.Zone, Kind: e.Kind}
 		if e.Layers != nil {
 			n.From, n.To = e.Layers.From, e.Layers.To
 		}
@@ -339,10 +339,10 @@
 			n.From, n.To = from, to
 		}
 		if p, ok := c.pending[e.ID]; ok {
-			if p.born != e.Born || now.After(p.until) || (p.from == n.From && p.to == n.To) {
+			if p.born != e.StartTime || now.After(p.until) || (p.from == n.From && p.to == n.To) {
 				delete(c.pending, e.ID)
 			} else {
-				n.WantFrom, n.WantTo = p.from, p.to
+				n.PendingFrom, n.PendingTo = p.from, p.to
 			}
 		}
 		out = append(out, n)
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -68,7 +68,7 @@
 	if n, err := strconv.ParseInt(c.LastEvent, 10, 64); err == nil {
 		s.lastEventID = n
 	}
-	h := forward.History{Repeatable: c.route.Repeatable(), MaxRuns: c.route.MaxAttempts}
+	h := forward.History{Idempotent: c.route.Repeatable(), MaxRuns: c.route.MaxAttempts}
 	for {
 		if time.Now().Add(s.pool.paused(time.Now())).After(s.waitLimit()) {
 			s.endWithoutPath(ctx, &h)
@@ -91,7 +91,7 @@
 		}
 		s.grant.release()
 		next := h.Step(outcome, func() bool { return g.awaitRetry(ctx, c, s.waitLimit()) })
-		if outcome == forward.Answered || (outcome == forward.Failed && next != forward.Retry) {
+		if outcome == forward.Responded || (outcome == forward.Failed && next != forward.Retry) {
 			return
 		}
 		g.log.Info("attempt failed", zap.String("request", c.ID), zap.String("replica", c.replica),
@@ -112,10 +112,10 @@
 	m := c.service.Model
 	d := pipeline.Demand{Prompt: c.PromptTokens, Output: c.OutputHint}
 	if d.Prompt <= 0 {
-		d.Prompt = m.UsualPrompt
+		d.Prompt = m.MeanPromptTokens
 	}
 	if d.Output <= 0 {
-		d.Output = m.UsualOutput
+		d.Output = m.MeanOutputTokens
 	}
 	if c.MaxOutputTokens > 0 {
 		d.Output = min(d.Output, c.MaxOutputTokens)
@@ -125,7 +125,7 @@
 
 // item returns the request's entry in the list of waiting requests.
 func (s *stream) item() *waitlist.Item {
-	return &waitlist.Item{Rank: s.rank, Arrival: s.arrival, GiveUp: s.waitLimit()}
+	return &waitlist.Item{Rank: s.rank, Arrival: s.arrival, RefuseAt: s.waitLimit()}
 }
 
 // waitLimit is the latest time at which a path is still of use: after that, the client
@@ -136,7 +136,7 @@
 	if s.headSent {
 		since = s.lastSent
 	}
-	end := since.Add(waitlist.LongestWait(s.route.Objective, s.route.GapObjective))
+	end := since.Add(waitlist.MaxWait(s.route.LatencyObjective, s.route.EventGapObjective))
 	if s.deadline.Before(end) {
 		return s.deadline
 	}
@@ -163,7 +163,7 @@
 }
 
 // endIncomplete finishes a request whose response is incomplete.
-func (s *stream) endIncomplete(ctx context.Context, next forward.Next) {
+func (s *stream) endIncomplete(ctx context.Context, next forward.Decision) {
 	switch {
 	case s.headSent:
 		httpserver.Abort(s.writer)
@@ -185,7 +185,7 @@
 	defer cancel()
 	path := s.grant.path()
 	first := path[0]
-	send := Send{Replica: first.ID, Rank: s.rank, Path: path}
+	send := ForwardOptions{Replica: first.ID, Rank: s.rank, Path: path}
 	if s.lastEventID >= 0 && s.headSent {
 		send.LastEvent = strconv.FormatInt(s.lastEventID, 10)
 	}
@@ -198,7 +198,7 @@
 	}
 	defer resp.Close()
 	s.g.crashes.markResponsive(first.ID)
-	info := s.g.opts.Codec.Answer(resp.Status, resp.Header)
+	info := s.g.opts.Codec.Response(resp.Status, resp.Header)
 	s.applyResponseInfo(first, info)
 	switch {
 	case info.ID != s.ID:
@@ -225,7 +225,7 @@
 
 // awaitHead sends the request and waits for the response head, while it checks for
 // unresponsive stages.
-func (s *stream) awaitHead(ctx context.Context, cancel context.CancelFunc, first pipeline.Hop, r *exchange.Request) (*exchange.Response, error) {
+func (s *stream) awaitHead(ctx context.Context, cancel context.CancelFunc, first pipeline.Stage, r *exchange.Request) (*exchange.Response, error) {
 	done := make(chan headResult, 1)
 	go func() {
 		resp, err := s.g.opts.Client.Do(ctx, first.Address, r)
@@ -258,7 +258,7 @@
 
 // connectionFailed keeps new paths away from the first replica after an error of its
 // connection.
-func (s *stream) connectionFailed(first pipeline.Hop, err error) {
+func (s *stream) connectionFailed(first pipeline.Stage, err error) {
 	s.excluded[first.ID] = true
 	var ee *exchange.Error
 	if errors.As(err, &ee) && !ee.Sent && !errors.Is(err, context.Canceled) {
@@ -268,8 +268,8 @@
 
 // rejected keeps new paths away from the stage that rejected the request, and reports a
 // rejection despite free capacity to the other instances.
-func (s *stream) rejected(info Answer, first pipeline.Hop) {
-	id := s.pool.idAt(info.FailingPart)
+func (s *stream) rejected(info Response, first pipeline.Stage) {
+	id := s.pool.idAt(info.FailingStage)
 	if id == "" {
 		id = first.ID
 	}
@@ -278,8 +278,8 @@
 	s.g.log.Info("stage rejected a request", zap.String("request", s.ID), zap.String("part", id),
 		zap.Bool("first", id == first.ID), zap.Int("from", state.From), zap.Int("to", state.To),
 		zap.Duration("after", time.Since(s.lastProgress)),
-		zap.Float64("room", state.Room), zap.Float64("own", state.Own.Reserved), zap.Float64("foreign", state.Foreign.Reserved))
-	atOnce := time.Since(s.lastProgress) < immediateRejection && !state.Full()
+		zap.Float64("room", state.CacheCapacity), zap.Float64("own", state.Own.Reserved), zap.Float64("foreign", state.Remote.Reserved))
+	atOnce := time.Since(s.lastProgress) < immediateRejection && !state.RejectsForMemory()
 	if count := s.pool.rejected(id, atOnce); count > 0 && s.g.opts.OnRejected != nil {
 		s.g.opts.OnRejected(id, count)
 	}
@@ -293,7 +293,7 @@
 		return forward.Lost, err
 	}
 	s.g.deliver(s.call, &plainResponse{status: resp.Status, header: resp.Header, body: body})
-	return forward.Answered, nil
+	return forward.Responded, nil
 }
 
 // relay forwards whole events to the client as they arrive.
@@ -321,7 +321,7 @@
 			before := s.lastEventID
 			done, outcome, err := s.handleEvent(ctx, resp, ev)
 			if done {
-				whole = outcome == forward.Answered
+				whole = outcome == forward.Responded
 				return outcome, err
 			}
 			// Comments that a stalled replica keeps sending are not progress.
@@ -345,7 +345,7 @@
 		s.g.crashes.recordSuccess(s.fingerprint)
 		s.g.logEnd(s.call, resp.Status, "delivered", zap.Int("events", s.relayed), zap.Int("parts", len(s.grant.path())),
 			zap.Duration("longest_pause", s.longestGap), zap.Int("repaths", s.repaths), zap.String("zones", zonesOf(s.grant.path())))
-		return true, forward.Answered, nil
+		return true, forward.Responded, nil
 	}
 	if ev.err != nil {
 		return true, forward.Lost, ev.err
@@ -397,7 +397,7 @@
 	}
 	s.headSent = true
 	h := s.writer.Header()
-	for k, v := range s.g.opts.Codec.ToCaller(resp.Header) {
+	for k, v := range s.g.opts.Codec.ToClient(resp.Header) {
 		h[k] = v
 	}
 	s.writer.WriteHeader(resp.Status)
--- a/node/gateway/survey_test.go
+++ b/node/gateway/survey_test.go
@@ -28,7 +28,7 @@
 	c.n++
 	c.mu.Unlock()
 	time.Sleep(reportTime)
-	return Report{Pace: 1, HasLayers: true, From: 0, To: 4}, nil
+	return Report{StepTimeRatio: 1, HasLayers: true, From: 0, To: 4}, nil
 }
 
 func (c *countingControl) reset() int {
@@ -60,7 +60,7 @@
 				var out []roster.Entry
 				for i := range replicas {
 					out = append(out, roster.Entry{
-						ID: string(rune('a' + i)), Service: "s", Address: string(rune('a' + i)), Kind: "k", Born: 1,
+						ID: string(rune('a' + i)), Service: "s", Address: string(rune('a' + i)), Kind: "k", StartTime: 1,
 						Layers: &roster.Layers{From: 0, To: 4},
 					})
 				}
@@ -70,7 +70,7 @@
 		}
 		for i, g := range all {
 			designated := func() bool { return i < 2 }
-			publish := func(states map[string]pipeline.Observed) {
+			publish := func(states map[string]pipeline.Report) {
 				for id, o := range states {
 					if o.HasLayers {
 						t.Errorf("layers of %s published by an instance that is not the leader", id)
@@ -79,7 +79,7 @@
 				time.Sleep(reportTime)
 				for _, other := range all {
 					if other != g {
-						other.Observe(func(string) (pipeline.Observed, bool) { return pipeline.Observed{}, false })
+						other.RecordReports(func(string) (pipeline.Report, bool) { return pipeline.Report{}, false })
 					}
 				}
 			}
--- a/node/instancelist/instancelist_test.go
+++ b/node/instancelist/instancelist_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []wire.Instance{
 		{ID: "e1", Role: wire.RoleEngine, Leaving: true},
-		{ID: "m1", Role: wire.RoleEntry, Zone: "quito"},
+		{ID: "m1", Role: wire.RoleRouter, Zone: "quito"},
 	}, got)
 	_, err = listFrom(t, http.StatusServiceUnavailable, `{}`)
 	require.Error(t, err)
@@ -81,8 +81,8 @@
 		_, known := poller.Latest().Age(time.Now())
 		require.False(t, known)
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- poller.Run(ctx) }()
+		done := make(chan error, 1)
+		go func() { done <- poller.Run(ctx) }()
 		synctest.Wait()
 		require.Equal(t, int32(1), updates.Load())
 		require.Len(t, poller.Latest().Instances, 1)
@@ -103,6 +103,6 @@
 		require.NoError(t, poller.Latest().Err)
 		require.Greater(t, updates.Load(), int32(1))
 		cancel()
-		require.NoError(t, <-ended)
+		require.NoError(t, <-done)
 	})
 }
--- a/node/loader/loader_test.go
+++ b/node/loader/loader_test.go
@@ -31,7 +31,7 @@
 
 	mu              sync.Mutex
 	states          map[string]wire.EngineState
-	orders          []wire.Order
+	orders          []wire.LayerAssignment
 	responsesToLose int  // number of next orders that take effect without a response
 	maxLoads        int  // maximum number of concurrent loads; 0 means no limit
 	peakLoads       int  // highest number of concurrent loads
@@ -49,7 +49,7 @@
 	return &s, nil
 }
 
-func (e *fakeEngines) Order(_ context.Context, t engine.Target, o *wire.Order) (*wire.OrderResponse, error) {
+func (e *fakeEngines) AssignLayers(_ context.Context, t engine.Target, o *wire.LayerAssignment) (*wire.LayerAssignmentResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, *o)
@@ -65,7 +65,7 @@
 		e.responsesToLose--
 		return nil, &engine.CallError{Code: engine.CodeTimeout, Err: errors.New("response lost")}
 	}
-	return &wire.OrderResponse{Accepted: true, Fence: o.Fence}, nil
+	return &wire.LayerAssignmentResponse{Accepted: true, Fence: o.Fence}, nil
 }
 
 func (e *fakeEngines) loaded(id string) {
@@ -142,7 +142,7 @@
 	l = New(Options{
 		Engines: e, Keeper: k, MaxLoads: maxLoads, Period: time.Second,
 		Targets: func() []Engine { return e.withDown(targets) },
-		Wanted: func() map[string]config.ModelConfig {
+		Models: func() map[string]config.ModelConfig {
 			return map[string]config.ModelConfig{"m": {Layers: 8, Version: "2"}}
 		},
 	})
@@ -165,7 +165,7 @@
 		require.ErrorIs(t, <-done, context.Canceled)
 		s := l.Status()
 		require.Zero(t, s.Outdated)
-		require.Empty(t, s.Short)
+		require.Empty(t, s.Shortages)
 		require.Equal(t, uint64(7), s.Epoch)
 		require.Equal(t, 1, e.peakLoads)
 		for id, state := range e.states {
@@ -213,7 +213,7 @@
 	x0, x1 := e.stopResponding("x0"), e.stopResponding("x1")
 	sent := l.Status().Sent
 	time.Sleep(2 * time.Second)
-	require.Equal(t, 2, l.Status().Silent)
+	require.Equal(t, 2, l.Status().Unresponsive)
 	require.Equal(t, sent, l.Status().Sent)
 	if down {
 		e.mu.Lock()
@@ -230,7 +230,7 @@
 	e.resumeResponding("x0", x0)
 	e.resumeResponding("x1", x1)
 	time.Sleep(stateExpiry)
-	require.Empty(t, l.Status().Short)
+	require.Empty(t, l.Status().Shortages)
 	cancel()
 	require.ErrorIs(t, <-done, context.Canceled)
 }
--- a/node/peer/digest_test.go
+++ b/node/peer/digest_test.go
@@ -59,13 +59,13 @@
 	info := Info{ID: "m2", Incarnation: 4, Zone: "quito", State: peerpb.InstanceState_INSTANCE_STATE_LEAVING}
 	event, ok := info.Member()
 	require.True(t, ok)
-	require.Equal(t, membership.Heard{ID: "m2", Incarnation: 4, Zone: "quito", State: membership.Leaving}, event)
+	require.Equal(t, membership.Received{ID: "m2", Incarnation: 4, Zone: "quito", State: membership.Leaving}, event)
 	_, ok = Info{}.Member()
 	require.False(t, ok)
 }
 
-// TestNineNodesFormFullMesh starts nine instances that learn of each other at
-// the same time. Every pair must end up with one session, and a broadcast must
+// TestNineNodesFormFullMesh starts nine instances that get the same peers at the
+// same time. Every pair must end up with one session, and a broadcast must
 // reach all peers.
 func TestNineNodesFormFullMesh(t *testing.T) {
 	const count = 9
@@ -105,7 +105,7 @@
 		if r.session == nil || len(r.openSessions) != 1 {
 			return false
 		}
-		if _, heardAt := r.session.snapshot(); !heardAt.IsZero() {
+		if _, lastReceived := r.session.snapshot(); !lastReceived.IsZero() {
 			connected++
 		}
 	}
--- a/node/peer/handler.go
+++ b/node/peer/handler.go
@@ -25,9 +25,9 @@
 	PeerUp(info Info)
 	// PeerDown is called when the last session with a peer has ended.
 	PeerDown(info Info)
-	// Heard is called for every message received, including the first one. It
-	// shows that the peer is alive and reports its state.
-	Heard(info Info)
+	// MessageReceived is called for every message received, including the first
+	// one. It shows that the peer is alive, and info holds its state.
+	MessageReceived(info Info)
 	// Digest is called for a demand digest.
 	Digest(from string, digest *peerpb.Digest)
 	// ConfigState is called for a configuration received from the peer. It may
@@ -41,7 +41,7 @@
 	Rejection(from string, rejection *peerpb.Rejection)
 	// Leaving is called when an upstream must get no new work.
 	Leaving(from string, leaving *peerpb.Leaving)
-	// Departures is called for upstream processes that reported themselves that
+	// Departures is called for processes of upstreams that have announced that
 	// they are leaving.
 	Departures(from string, departures *peerpb.Departures)
 	// UpstreamLoads is called for the peer's load on all upstreams.
@@ -72,8 +72,8 @@
 // PeerDown implements Handler.
 func (NopHandler) PeerDown(Info) {}
 
-// Heard implements Handler.
-func (NopHandler) Heard(Info) {}
+// MessageReceived implements Handler.
+func (NopHandler) MessageReceived(Info) {}
 
 // Digest implements Handler.
 func (NopHandler) Digest(string, *peerpb.Digest) {}
--- a/node/peer/sharing/sharing_test.go
+++ b/node/peer/sharing/sharing_test.go
@@ -55,7 +55,7 @@
 		if id == e.id {
 			continue
 		}
-		other.sharer.Heard(info)
+		other.sharer.PeerReceived(info)
 		digest := proto.CloneOf(message.(*peerpb.Digest))
 		digest.Instance, digest.Incarnation = e.id, 1
 		other.sharer.Digest(digest)
@@ -123,7 +123,7 @@
 func (b *bus) list() []wire.Instance {
 	var list []wire.Instance
 	for i := range instances {
-		list = append(list, wire.Instance{ID: fmt.Sprintf("m%d", i), Role: wire.RoleEntry})
+		list = append(list, wire.Instance{ID: fmt.Sprintf("m%d", i), Role: wire.RoleRouter})
 	}
 	return append(list, wire.Instance{ID: "replica-1", Role: wire.RoleEngine})
 }
@@ -155,7 +155,7 @@
 		require.Equal(t, capacity, b.total())
 		t.Logf("slots in use again after %v", time.Since(killedAt))
 		require.Less(t, time.Since(killedAt), 5*time.Second)
-		require.Equal(t, membership.Gone, all[1].sharer.Members()[0].State)
+		require.Equal(t, membership.Failed, all[1].sharer.Members()[0].State)
 		for _, e := range all[1:] {
 			b.kill(t, e)
 		}
@@ -190,7 +190,7 @@
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		require.Equal(t, capacity, busy.currentLimit())
-		require.Len(t, busy.sharer.Members(), 1, "a member that is neither listed nor heard from must be removed")
+		require.Len(t, busy.sharer.Members(), 1, "a member that is not listed and sends no messages must be removed")
 		b.kill(t, busy)
 	})
 }
--- a/node/router/outcome.go
+++ b/node/router/outcome.go
@@ -26,13 +26,13 @@
 		x.pool.observeOutput(x.req, o.Tokens)
 		x.router.poison.recordCompletion(x.fingerprint)
 	}
-	x.router.background(func() { x.leaveQueue(o) })
+	x.router.background(func() { x.freeSlot(o) })
 }
 
-// leaveQueue frees the slot of the request once its replicas have been released. A
+// freeSlot frees the slot of the request once its replicas have been released. A
 // request that failed is cancelled instead of completed, because its duration does not
 // reflect the throughput of the pool.
-func (x *requestRun) leaveQueue(o attempt.Outcome) {
+func (x *requestRun) freeSlot(o attempt.Outcome) {
 	x.pendingReleases.Wait()
 	if !o.Complete {
 		x.pool.queue.cancel(x.req.ID)
@@ -49,10 +49,10 @@
 	}
 	switch o.Reason {
 	case attempt.ReasonAttempts:
-		x.result.Code = CodeAttempts
+		x.result.Code = CodeAttemptsExhausted
 		x.result.RetryAfter = retryAfterFailure
 	case attempt.ReasonDeadline:
-		x.result.Code = CodeDeadline
+		x.result.Code = CodeDeadlinePassed
 	case attempt.ReasonCancelled:
 		x.result.Code = CodeCancelled
 	case string(CodePoison):
@@ -69,14 +69,14 @@
 
 func refusalCode(r admission.Reason) Code {
 	switch r {
-	case admission.ReasonHopeless:
-		return CodeHopeless
-	case admission.ReasonDeadline:
-		return CodeDeadline
+	case admission.ReasonUnmeetableDeadline:
+		return CodeDeadlineUnreachable
+	case admission.ReasonDeadlineWhileQueued:
+		return CodeDeadlinePassed
 	case admission.ReasonWorkspaceFull:
-		return CodeWorkspaceFull
+		return CodeWorkspaceQueueFull
 	case admission.ReasonPoolFull:
-		return CodePoolFull
+		return CodePoolQueueFull
 	default:
 		return CodeRefused
 	}
--- a/node/router/router_test.go
+++ b/node/router/router_test.go
@@ -86,15 +86,15 @@
 // order.
 func TestMismatchedResponsesAreDiscarded(t *testing.T) {
 	cases := map[string]struct {
-		kind  attempt.DropKind
+		kind  attempt.DiscardReason
 		alter func(*wire.StepResponse)
 	}{
-		"other request":      {attempt.DropForeign, func(r *wire.StepResponse) { r.RequestID = "other" }},
-		"late attempt":       {attempt.DropForeign, func(r *wire.StepResponse) { r.Attempt-- }},
-		"duplicate position": {attempt.DropForeign, func(r *wire.StepResponse) { r.Position-- }},
-		"position ahead":     {attempt.DropForeign, func(r *wire.StepResponse) { r.Position++ }},
-		"no output":          {attempt.DropMalformed, func(r *wire.StepResponse) { r.Hidden, r.Token = nil, nil }},
-		"output of both a last and an inner stage": {attempt.DropMalformed, func(r *wire.StepResponse) {
+		"other request":      {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.RequestID = "other" }},
+		"late attempt":       {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.Attempt-- }},
+		"duplicate position": {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.Position-- }},
+		"position ahead":     {attempt.DiscardMismatched, func(r *wire.StepResponse) { r.Position++ }},
+		"no output":          {attempt.DiscardMalformed, func(r *wire.StepResponse) { r.Hidden, r.Token = nil, nil }},
+		"output of both a last and an inner stage": {attempt.DiscardMalformed, func(r *wire.StepResponse) {
 			r.Hidden, r.Token = []byte{1}, &wire.Token{Text: "wrong"}
 		}},
 	}
@@ -115,7 +115,7 @@
 					require.True(t, res.Complete)
 					require.Equal(t, completeResponse("a", 5), sink.texts)
 					require.Equal(t, 2, res.Attempts)
-					require.Equal(t, map[attempt.DropKind]int{c.kind: 1}, m.discarded)
+					require.Equal(t, map[attempt.DiscardReason]int{c.kind: 1}, m.discarded)
 				})
 			})
 		}
@@ -179,7 +179,8 @@
 	})
 }
 
-// The client may be told not_run only if every engine that was written to has refused.
+// The status not_run may be reported to the client only if every engine that was
+// written to has refused.
 func TestExecutionStatusIsProven(t *testing.T) {
 	steps := func(outcomes ...string) func(context.Context, engine.Target, *wire.StepRequest) (*wire.StepResponse, bool, error) {
 		n := 0
@@ -218,7 +219,7 @@
 			withRouter(t, engines, fleet(2, 16), func(t *testing.T, r *Router, _ *discardCounter) {
 				res := r.Generate(context.Background(), testRequest("a", 3, time.Minute), &textSink{})
 				require.False(t, res.Complete)
-				require.Equal(t, CodeAttempts, res.Code)
+				require.Equal(t, CodeAttemptsExhausted, res.Code)
 				require.Equal(t, c.want, res.Execution)
 			})
 		})
@@ -245,13 +246,13 @@
 		require.Positive(t, slots)
 		for i := range slots {
 			running.Go(func() {
-				res := r.Generate(context.Background(), testRequest(fmt.Sprint("holder-", i), 1, time.Minute), &textSink{})
+				res := r.Generate(context.Background(), testRequest(fmt.Sprint("running-", i), 1, time.Minute), &textSink{})
 				require.True(t, res.Complete)
 			})
 		}
 		synctest.Wait()
 		res := r.Generate(context.Background(), testRequest("late", 1, time.Second), &textSink{})
-		require.Equal(t, CodeDeadline, res.Code)
+		require.Equal(t, CodeDeadlinePassed, res.Code)
 		require.Equal(t, execution.NotRun, res.Execution)
 		require.Empty(t, engines.stepsOf("late"))
 		close(release)
@@ -276,7 +277,7 @@
 		}
 		wg.Wait()
 		for _, code := range codes {
-			require.Equal(t, CodeDeadline, code)
+			require.Equal(t, CodeDeadlinePassed, code)
 		}
 	})
 }
@@ -442,7 +443,7 @@
 	}
 	for _, s := range f.stepsOf(d.id) {
 		if s.executed && d.res.Execution == execution.NotRun {
-			return fmt.Sprintf("%s was told not_run after %s ran position %d", d.id, s.replica, s.position)
+			return fmt.Sprintf("%s was reported as not_run after %s ran position %d", d.id, s.replica, s.position)
 		}
 	}
 	return ""
@@ -480,7 +481,7 @@
 			rt.Fatal(wrong)
 		}
 	})
-	for _, code := range []Code{"", CodeDeadline, CodeCancelled, CodeAttempts} {
+	for _, code := range []Code{"", CodeDeadlinePassed, CodeCancelled, CodeAttemptsExhausted} {
 		require.Positive(t, seen[code], "no request ended with code %q", code)
 	}
 }
--- a/node/wire/instance.go
+++ b/node/wire/instance.go
@@ -9,8 +9,8 @@
 	RoleEngine = "engine"
 	// RoleService is a plain service.
 	RoleService = "service"
-	// RoleEntry is an instance of the router.
-	RoleEntry = "entry"
+	// RoleRouter is an instance of the router.
+	RoleRouter = "entry"
 )
 
 // InstanceList is the platform's list of instances. It may be out of date.
@@ -21,9 +21,9 @@
 // Instance is one entry of the platform's list.
 type Instance struct {
 	ID string `json:"id"`
-	// Role is RoleEngine, RoleService or RoleEntry.
+	// Role is RoleEngine, RoleService or RoleRouter.
 	Role string `json:"role"`
-	// Address is host:port. For RoleEntry it is the address for peers.
+	// Address is host:port. For RoleRouter it is the address for peers.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	// Leaving is true if the instance must get no new work.
