--- a/cmd/internal/adminclient/client.go
+++ b/cmd/internal/adminclient/client.go
@@ -70,13 +70,14 @@
 	return out, c.send(ctx, http.MethodPost, "/admin/v1/config", p, out)
 }
 
-// Drain makes the instance and all peers that it can reach send no new work to an upstream.
+// Drain makes the instance and all peers that it can reach send no new work to an
+// upstream.
 func (c *Client) Drain(ctx context.Context, upstream string) (*admin.DrainResponse, error) {
 	out := &admin.DrainResponse{}
 	return out, c.send(ctx, http.MethodPost, "/admin/v1/drain", admin.DrainRequest{Upstream: upstream}, out)
 }
 
-// ExplainRequest returns what the instance knows about a request that was sent to it.
+// ExplainRequest returns the state of a request that was sent to the instance.
 func (c *Client) ExplainRequest(ctx context.Context, id string) (*admin.RequestExplanation, error) {
 	out := &admin.RequestExplanation{}
 	return out, c.send(ctx, http.MethodGet, "/admin/v1/explain?request="+url.QueryEscape(id), nil, out)
--- a/cmd/internal/load/bound.go
+++ b/cmd/internal/load/bound.go
@@ -51,17 +51,17 @@
 		uses[i] = make([]float64, len(pipelines))
 		slots[i] = float64(r.Accelerator.Slots * len(r.Zones))
 	}
-	for c, pipeline := range pipelines {
+	for column, pipeline := range pipelines {
 		prefill, step := 0.0, 0.0
 		for _, i := range pipeline {
 			r := m.Ranges[i]
 			layers := float64(r.Last - r.First + 1)
 			prefill += prompt * layers / r.Accelerator.PrefillTokensPerSecond
 			step += layers * float64(r.Accelerator.StepPerLayer) / float64(time.Second)
-			uses[i][c] = 1
+			uses[i][column] = 1
 		}
 		// The prefill produces the first token.
-		perSequence[c] = output / (prefill + (output-1)*step)
+		perSequence[column] = output / (prefill + (output-1)*step)
 	}
 	return maximize(perSequence, uses, slots)
 }
--- a/cmd/internal/load/figures_test.go
+++ b/cmd/internal/load/figures_test.go
@@ -86,18 +86,18 @@
 			total += d
 		}
 		capacity := rapid.Float64Range(1, total).Draw(t, "capacity")
-		given := 0.0
+		allocated := 0.0
 		workspaces := map[string]Group{}
 		shares := maxMinShares(demand, capacity)
 		for i, s := range shares {
-			given += s
+			allocated += s
 			require.LessOrEqual(t, s, demand[i]+epsilon)
 			for _, other := range shares {
 				require.True(t, s >= demand[i]-epsilon || s >= other-epsilon)
 			}
 			workspaces[fmt.Sprint(i)] = Group{DemandTokens: int(demand[i]), GoodTokens: int(s)}
 		}
-		require.InDelta(t, capacity, given, 1e-6)
+		require.InDelta(t, capacity, allocated, 1e-6)
 		one := map[string]Group{
 			"a": {DemandTokens: 100, GoodTokens: 40}, "b": {DemandTokens: 10, GoodTokens: 10},
 			"c": {DemandTokens: 2000, GoodTokens: 40},
--- a/cmd/internal/local/agreement_test.go
+++ b/cmd/internal/local/agreement_test.go
@@ -28,7 +28,8 @@
 	return c
 }
 
-// trialCluster returns the given instances of the cluster as targets of package trial.
+// trialCluster returns the given instances of the cluster as targets of package
+// trial.
 func (c *Cluster) trialCluster(apps ...*app.App) *trial.Cluster {
 	out := &trial.Cluster{AdminKey: AdminKey, APIKey: APIKey, Control: c.Fleet.Addresses().Control}
 	for _, a := range apps {
@@ -50,8 +51,9 @@
 	require.LessOrEqual(t, out.Won, out.Rounds)
 }
 
-// TestInstanceStartedWhileLogIsUnavailable starts an instance while the log is unavailable.
-// It must get the newest configuration from its peers, become ready and serve.
+// TestInstanceStartedWhileLogIsUnavailable starts an instance while the log is
+// unavailable. It must get the newest configuration from its peers, become ready and
+// serve.
 func TestInstanceStartedWhileLogIsUnavailable(t *testing.T) {
 	c := startThree(t)
 	published, err := c.trialCluster(c.Apps...).Publish(context.Background(), 2)
--- a/cmd/internal/local/loader_test.go
+++ b/cmd/internal/local/loader_test.go
@@ -29,11 +29,11 @@
 	bytesPerSecond = 4 << 20
 )
 
-// fixedLeader stands for an instance that is always the leader of the loader task. Its
-// value is the epoch of its lease.
+// fixedLeader stands for an instance that is always the leader of the loader task.
+// Its value is the epoch of its lease.
 type fixedLeader uint64
 
-func (h fixedLeader) Valid(string) (uint64, bool) { return uint64(h), true }
+func (l fixedLeader) Valid(string) (uint64, bool) { return uint64(l), true }
 
 // loaderFleet is a fleet of stand-ins whose engines get their layer assignments from
 // loaders.
@@ -88,7 +88,7 @@
 	return engine.Target{ID: id, Address: l.Addresses().Upstreams[id]}
 }
 
-// states returns the layers that each engine holds, without the crashed engines.
+// states returns the state of each engine, except for the crashed ones.
 func (l *loaderFleet) states(crashed ...string) map[string]wire.EngineState {
 	out := map[string]wire.EngineState{}
 	for _, e := range l.Engines() {
@@ -203,8 +203,8 @@
 	}
 }
 
-// crashLastRange crashes all engines that hold the last layer and returns the time until
-// all layers are served again.
+// crashLastRange crashes all engines that hold the last layer and returns the time
+// until all layers are served again.
 func (l *loaderFleet) crashLastRange(b *testing.B, ldr *loader.Loader) time.Duration {
 	b.Helper()
 	begin := time.Now()
--- a/cmd/internal/local/local.go
+++ b/cmd/internal/local/local.go
@@ -23,7 +23,7 @@
 	APIKey = "dev-key"
 	// AdminKey is the key of the administration API of every instance.
 	AdminKey = "dev-admin-key-0000"
-	// peerKey is the key that instances use between each other.
+	// peerKey is the shared key of the connections between instances.
 	peerKey = "dev-peer-key-00000"
 	// readyTimeout bounds the wait for an instance to become ready.
 	readyTimeout      = 10 * time.Second
@@ -44,8 +44,8 @@
 	// Configuration is an INI file that is published as the first revision.
 	Configuration string
 	// Listen and Admin are the client API address and the administration API
-	// address of the first instance. An empty one means a free port, which all
-	// further instances get.
+	// address of the first instance; empty means a free port. All further
+	// instances use free ports.
 	Listen string
 	Admin  string
 	// LogLevel is the log level of the instances; empty means error.
--- a/cmd/internal/local/local_test.go
+++ b/cmd/internal/local/local_test.go
@@ -196,7 +196,8 @@
 	require.Equal(t, c.expectedText("p", 30), text)
 }
 
-// requireCompletion sends a completion request and requires a complete and correct response.
+// requireCompletion sends a completion request and requires a complete and correct
+// response.
 func (c *Cluster) requireCompletion(t *testing.T, prompt string) {
 	t.Helper()
 	r := c.send(t, http.MethodPost, "/v1/completions", `{"model":"dev","prompt":"`+prompt+`","max_tokens":12}`)
@@ -231,7 +232,7 @@
 }
 
 // TestSilentUpstreamIsEjected makes one replica of a layer range unresponsive on all
-// connections. Requests to it must get it ejected.
+// connections. It must be ejected because of the requests to it that fail.
 func TestSilentUpstreamIsEjected(t *testing.T) {
 	c := startOne(t)
 	for range 8 {
@@ -291,8 +292,8 @@
 	require.Empty(t, c.Fleet.RepeatedOrders())
 }
 
-// TestOrderWhileLogIsUnavailable sends an order while the log is unavailable. It must be
-// refused as not run, while requests to models are served.
+// TestOrderWhileLogIsUnavailable sends an order while the log is unavailable. It must
+// be refused as not run, while requests to models are served.
 func TestOrderWhileLogIsUnavailable(t *testing.T) {
 	c := startOne(t)
 	c.Log.SetFaults(logservice.Faults{Down: true})
@@ -334,8 +335,8 @@
 	c.requireCompletion(t, "innocent")
 }
 
-// TestCacheEventsReachTheRouter sends one long prompt and checks that the router
-// learns from the cache events which replicas have its prefix in their cache.
+// TestCacheEventsReachTheRouter sends one long prompt. The router must find out from
+// the cache events which replicas have its prefix in their cache.
 func TestCacheEventsReachTheRouter(t *testing.T) {
 	c := startOne(t)
 	prompt := strings.Repeat("the price of a hutch with two doors and a wire floor ", 20)
@@ -355,7 +356,7 @@
 // TestCopiesOfAPoisonRequestAtDifferentInstances sends a request that crashes engines
 // to one instance after the other. While each serves it, only one engine holds the
 // first layers, so that no instance sees more than one crash. The third instance must
-// refuse the request from the crashes that the others reported.
+// refuse the request because of the crashes that the others reported.
 func TestCopiesOfAPoisonRequestAtDifferentInstances(t *testing.T) {
 	t.Parallel()
 	c, err := Start(Options{Instances: 3, Spec: fleet.Dev(), Configuration: DevConfiguration})
--- a/cmd/internal/soak/check.go
+++ b/cmd/internal/soak/check.go
@@ -105,8 +105,8 @@
 			findings = append(findings, fmt.Sprintf("%s executed %s, which no client sent", execution.Replica, execution.RequestID))
 			continue
 		}
-		at, left := rec.leavingSince[replicaProcess{r.Instance, execution.Replica, restartsBefore(execution.Replica, r.Sent)}]
-		if left && r.Sent.After(at.Add(drainTime)) && !disrupted(r.Instance, at, r.Sent) {
+		at, announced := rec.leavingSince[replicaProcess{r.Instance, execution.Replica, restartsBefore(execution.Replica, r.Sent)}]
+		if announced && r.Sent.After(at.Add(drainTime)) && !disrupted(r.Instance, at, r.Sent) {
 			findings = append(findings, fmt.Sprintf("%s executed %s, sent %v after instance %d received the announcement that it leaves", execution.Replica, execution.RequestID, r.Sent.Sub(at), r.Instance))
 		}
 	}
--- a/cmd/internal/soak/fault.go
+++ b/cmd/internal/soak/fault.go
@@ -77,7 +77,7 @@
 			}
 			restartProcess(p, rec)
 		})},
-		{"settings signal", true, processFault(func(p *process, _ *Recorder, _ *rand.Rand) { p.signal(syscall.SIGHUP) })},
+		{"settings reloaded", true, processFault(func(p *process, _ *Recorder, _ *rand.Rand) { p.signal(syscall.SIGHUP) })},
 		{"instance killed", false, processFault(func(p *process, rec *Recorder, random *rand.Rand) {
 			p.stop(os.Kill)
 			time.Sleep(randomDuration(random, 0, time.Second))
@@ -91,14 +91,14 @@
 
 func storeFaults() []fault {
 	return []fault{
-		{"configuration", true, func(env *environment, _ *Recorder, _ *rand.Rand) { env.publish() }},
-		{"store away", false, func(env *environment, _ *Recorder, random *rand.Rand) {
+		{"configuration published", true, func(env *environment, _ *Recorder, _ *rand.Rand) { env.publish() }},
+		{"store unavailable", false, func(env *environment, _ *Recorder, random *rand.Rand) {
 			env.store.Fail(http.StatusServiceUnavailable)
 			time.Sleep(randomDuration(random, 300*time.Millisecond, 3*time.Second))
 			env.store.Fail(0)
 		}},
-		{"store loses answers", false, func(env *environment, _ *Recorder, random *rand.Rand) { env.store.DropResponses(1 + random.IntN(8)) }},
-		{"store forgets history", false, func(env *environment, _ *Recorder, _ *rand.Rand) { env.store.DeleteHistory(platform.ReplicaTopic) }},
+		{"store responses lost", false, func(env *environment, _ *Recorder, random *rand.Rand) { env.store.DropResponses(1 + random.IntN(8)) }},
+		{"store history deleted", false, func(env *environment, _ *Recorder, _ *rand.Rand) { env.store.DeleteHistory(platform.ReplicaTopic) }},
 	}
 }
 
@@ -112,19 +112,19 @@
 			time.Sleep(randomDuration(random, 2500*time.Millisecond, 4*time.Second))
 			restartReplica(env, r, rec, 200*time.Millisecond)
 		})},
-		{"links", false, replicaFault(func(_ *environment, r *replica, _ *Recorder, random *rand.Rand) {
+		{"link fault", false, replicaFault(func(_ *environment, r *replica, _ *Recorder, random *rand.Rand) {
 			r.proxy.Set(Mode(1 + random.IntN(int(modeCount)-1)))
 			time.Sleep(randomDuration(random, 300*time.Millisecond, 2500*time.Millisecond))
 			r.proxy.Set(Pass)
 		})},
 		{"replica rejects", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Reject: true} })},
-		{"replica asks for a pause", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior {
+		{"replica sends Retry-After", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior {
 			return platformtest.Behavior{Reject: true, RetryAfter: "0.7"}
 		})},
-		{"answers lost", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{DropResponse: true} })},
-		{"answers of other requests", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{OtherID: true} })},
-		{"answers unsigned", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Unsigned: true} })},
-		{"streams broken off", false, temporaryBehavior(func(random *rand.Rand) platformtest.Behavior {
+		{"responses lost", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{DropResponse: true} })},
+		{"responses to other requests", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{OtherID: true} })},
+		{"responses unsigned", false, temporaryBehavior(func(*rand.Rand) platformtest.Behavior { return platformtest.Behavior{Unsigned: true} })},
+		{"streams truncated", false, temporaryBehavior(func(random *rand.Rand) platformtest.Behavior {
 			return platformtest.Behavior{BreakAfter: 1 + random.IntN(eventsPerStream-1)}
 		})},
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -71,12 +71,12 @@
 	defer cancel()
 	var background sync.WaitGroup
 	background.Go(func() { env.writeHeartbeats(ctx) })
-	callCtx, stopClients := context.WithCancel(ctx)
+	sendCtx, stopClients := context.WithCancel(ctx)
 	var clients errgroup.Group
 	for i := range instanceCount {
 		for k := range clientsPerInstance {
 			clientRand := rand.New(rand.NewPCG(seed, uint64(1000+10*i+k)))
-			clients.Go(func() error { return env.runClient(callCtx, rec, i, fmt.Sprintf("s%d-%d-%d", seed, i, k), clientRand) })
+			clients.Go(func() error { return env.runClient(sendCtx, rec, i, fmt.Sprintf("s%d-%d-%d", seed, i, k), clientRand) })
 		}
 	}
 	s.injectFaults(env, rec, random)
--- a/cmd/internal/trial/load.go
+++ b/cmd/internal/trial/load.go
@@ -277,19 +277,19 @@
 
 // errorCode returns the code in an error body, or "" if there is none.
 func errorCode(body []byte) string {
-	var a responseBody
-	if json.Unmarshal(body, &a) != nil {
+	var response responseBody
+	if json.Unmarshal(body, &response) != nil {
 		return ""
 	}
-	return a.Error.Code
+	return response.Error.Code
 }
 
 func eventText(body []byte) string {
-	var a responseBody
-	if json.Unmarshal(body, &a) != nil || len(a.Choices) == 0 {
+	var response responseBody
+	if json.Unmarshal(body, &response) != nil || len(response.Choices) == 0 {
 		return ""
 	}
-	return a.Choices[0].Text
+	return response.Choices[0].Text
 }
 
 // classifyConnectionError returns outcomeNotConnected if no connection was
--- a/cmd/internal/trial/slots.go
+++ b/cmd/internal/trial/slots.go
@@ -27,7 +27,7 @@
 	recoveryTimeout = 10 * time.Second
 )
 
-// KillResult is the result of KillOne.
+// KillResult is the result of KillLastInstance.
 type KillResult struct {
 	// Before and Survivors count the slots of all instances, and of the surviving
 	// ones, at the time of the kill. After counts the slots of the survivors at the
@@ -89,8 +89,8 @@
 	return n
 }
 
-// KillLastInstance loads all instances, kills the last one, whose process ID is pid, and
-// measures the time until the others use its slots.
+// KillLastInstance loads all instances, kills the last one, whose process ID is
+// pid, and measures the time until the others use its slots.
 func (c *Cluster) KillLastInstance(ctx context.Context, o LoadOptions, pid int) (*KillResult, error) {
 	loadCtx, stop := context.WithCancel(ctx)
 	result := make(chan *LoadResult, 1)
@@ -161,15 +161,15 @@
 // ticksPerSecond is the unit of CPU times in /proc (USER_HZ).
 const ticksPerSecond = 100
 
-// MeasureUsage measures the resource usage of the instances, with the given process IDs,
-// over the given duration.
-func (c *Cluster) MeasureUsage(ctx context.Context, pids []int, lasting time.Duration) (Usage, error) {
+// MeasureUsage measures the mean resource usage of the instances, with the given
+// process IDs, over the given duration.
+func (c *Cluster) MeasureUsage(ctx context.Context, pids []int, duration time.Duration) (Usage, error) {
 	start := time.Now()
 	before, err := c.usageTotals(ctx, pids)
 	if err != nil {
 		return Usage{}, trace.Wrap(err)
 	}
-	sleep(ctx, lasting)
+	sleep(ctx, duration)
 	after, err := c.usageTotals(ctx, pids)
 	if err != nil {
 		return Usage{}, trace.Wrap(err)
--- a/cmd/masticctl/admin.go
+++ b/cmd/masticctl/admin.go
@@ -226,7 +226,7 @@
 	case http.StatusConflict:
 		return fmt.Errorf("not published: %w", se)
 	case http.StatusAccepted:
-		return fmt.Errorf("the fate of the proposal is not known yet, look at status: %w", se)
+		return fmt.Errorf("the outcome of the proposal is not known yet, check the status: %w", se)
 	default:
 		return err
 	}
--- a/standin/engine/assignment.go
+++ b/standin/engine/assignment.go
@@ -18,8 +18,8 @@
 	weightTimeout = time.Minute
 )
 
-// applyAssignment applies a layer assignment. With fencing, an assignment with an outdated
-// fencing token is refused; without fencing, every assignment is accepted.
+// applyAssignment applies a layer assignment. With fencing, an assignment with an
+// outdated fencing token is refused; without fencing, every assignment is accepted.
 func (e *Engine) applyAssignment(a wire.LayerAssignment) wire.LayerAssignmentResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/batch_test.go
+++ b/standin/engine/batch_test.go
@@ -47,11 +47,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := wholeModelEngine(Options{Slots: 2, PrefillTokensPerSecond: 1000, StepTime: time.Second})
 		start := time.Now()
-		type ended struct {
+		type completion struct {
 			id string
 			at time.Duration
 		}
-		results := make(chan ended, 6)
+		results := make(chan completion, 6)
 		for _, c := range []struct {
 			id       string
 			priority int
@@ -61,7 +61,7 @@
 			synctest.Wait()
 			go func() {
 				<-out
-				results <- ended{c.id, time.Since(start)}
+				results <- completion{c.id, time.Since(start)}
 			}()
 		}
 		at := map[string]time.Duration{}
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -90,21 +90,21 @@
 	_, err := before.step(prefillRequest("first", 0, 1))
 	require.NoError(t, err)
 	require.NoError(t, e.Inject(fault.Fault{Kind: fault.HangConnections}))
-	silent := make(chan error, 1)
+	hung := make(chan error, 1)
 	go func() {
 		_, err := before.step(prefillRequest("silent", 0, 1))
-		silent <- err
+		hung <- err
 	}()
 	_, err = after.step(prefillRequest("new", 0, 1))
 	require.NoError(t, err)
-	require.Empty(t, silent)
+	require.Empty(t, hung)
 	e.Restore()
-	require.NoError(t, <-silent)
+	require.NoError(t, <-hung)
 	require.Equal(t, 3, e.Runs())
 }
 
-// TestPoisonCrashesEngine checks that a poisoned prompt crashes the engine, which thereby
-// loses its sequences.
+// TestPoisonCrashesEngine checks that a prompt with the poison text crashes the engine,
+// and that the engine loses its sequences.
 func TestPoisonCrashesEngine(t *testing.T) {
 	e, s := serveWholeModel(t)
 	c := newClient(t, s)
@@ -134,8 +134,8 @@
 		target.Fence, target.Version = 4, "1"
 		require.Equal(t, http.StatusOK, post(e, wire.PathLayerAssignment, target, &response))
 		require.Equal(t, wire.LayerAssignmentResponse{Accepted: !fencing, Fence: 5}, response)
-		held := map[bool]string{true: "2", false: "1"}[fencing]
-		require.Equal(t, held, e.State().Version)
+		wantVersion := map[bool]string{true: "2", false: "1"}[fencing]
+		require.Equal(t, wantVersion, e.State().Version)
 	}
 }
 
@@ -157,10 +157,10 @@
 func TestHangAll(t *testing.T) {
 	e, s := serveWholeModel(t)
 	require.NoError(t, e.Inject(fault.Fault{Kind: fault.HangAll}))
-	silent := make(chan error, 1)
+	hung := make(chan error, 1)
 	go func() {
 		_, err := newClient(t, s).step(prefillRequest("silent", 0, 1))
-		silent <- err
+		hung <- err
 	}()
 	require.Eventually(t, func() bool {
 		e.mu.Lock()
@@ -168,7 +168,7 @@
 		return len(e.faults.seenAddresses) > 0
 	}, 5*time.Second, time.Millisecond)
 	require.Zero(t, e.Runs())
-	require.Empty(t, silent)
+	require.Empty(t, hung)
 	e.Restore()
-	require.NoError(t, <-silent)
+	require.NoError(t, <-hung)
 }
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -73,9 +73,9 @@
 	return string(append(text, ' '))
 }
 
-// ExpectedTokens returns the n tokens that a model with the given number of layers generates
-// for the prompt. They do not depend on the tiling of the layers or on where an attempt
-// was resumed. The last one has finish reason "length".
+// ExpectedTokens returns the n tokens that a model with the given number of layers
+// generates for the prompt. They do not depend on the tiling of the layers or on where
+// an attempt was resumed. The last one has finish reason "length".
 func ExpectedTokens(model string, layers int, prompt string, n int) []wire.Token {
 	states := make([]layerState, layers)
 	tokens := make([]wire.Token, 0, n)
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -17,18 +17,18 @@
 	report wire.LoadReport
 }
 
-// snapshotsPerLag is the maximum number of reports kept per report lag.
-const snapshotsPerLag = 4
+// entriesPerLag is the maximum number of entries that are added per report lag.
+const entriesPerLag = 4
 
 // add records the load since the given time. Loads in quick succession share one entry,
 // so that the effective lag may be shorter by up to a quarter.
 func (h *reportHistory) add(at time.Time, lag time.Duration, report wire.LoadReport) {
 	n := len(h.entries)
-	if n > 0 && at.Sub(h.entries[n-1].at) < lag/snapshotsPerLag {
+	if n > 0 && at.Sub(h.entries[n-1].at) < lag/entriesPerLag {
 		h.entries[n-1].report = report
 		return
 	}
-	if n > 2*snapshotsPerLag {
+	if n > 2*entriesPerLag {
 		h.entries = h.entries[1:]
 	}
 	h.entries = append(h.entries, timedReport{at: at, report: report})
--- a/standin/engine/stepchecker.go
+++ b/standin/engine/stepchecker.go
@@ -7,8 +7,8 @@
 	"masticbank.example/node/wire"
 )
 
-// StepChecker checks that each position of an attempt runs through every layer once and in
-// order, across all engines that share it. It is safe for concurrent use.
+// StepChecker checks that each position of an attempt runs through every layer once and
+// in order, across all engines that share it. It is safe for concurrent use.
 type StepChecker struct {
 	layers int
 
@@ -95,7 +95,7 @@
 	return c.attempts[requestID] > 0
 }
 
-// violationCode returns the code of the violation of running got where want was expected.
+// violationCode returns the code of the violation when got ran instead of want.
 func violationCode(got, want layerPosition) string {
 	if got.position < want.position || (got.position == want.position && got.layer < want.layer) {
 		return wire.CodeRepeat
--- a/standin/engine/stepchecker_test.go
+++ b/standin/engine/stepchecker_test.go
@@ -11,8 +11,9 @@
 	"masticbank.example/standin/fault"
 )
 
-// TestStepCheckerAcrossEngines checks that a step that runs on two replicas, and one that
-// skips layers, are found although each engine sees only its own layer range.
+// TestStepCheckerAcrossEngines checks that the step checker detects a step that runs on
+// two replicas and one that skips layers. A single engine sees only its own layer range
+// and cannot detect them.
 func TestStepCheckerAcrossEngines(t *testing.T) {
 	checker := NewStepChecker(testLayers)
 	start := func(first, last int) *Engine {
--- a/standin/fleet/query.go
+++ b/standin/fleet/query.go
@@ -31,8 +31,8 @@
 // ServiceRecords returns the records of a service, or nil if there is no such service.
 func (f *Fleet) ServiceRecords(name string) *service.Records { return f.serviceRecords[name] }
 
-// ExpectedTokens returns the n tokens that a model of the fleet generates for the prompt, or
-// nil if there is no such model.
+// ExpectedTokens returns the n tokens that a model of the fleet generates for the
+// prompt, or nil if there is no such model.
 func (f *Fleet) ExpectedTokens(model, prompt string, n int) []wire.Token {
 	for _, m := range f.spec.Models {
 		if m.Name == model {
--- a/standin/logservice/service.go
+++ b/standin/logservice/service.go
@@ -31,7 +31,7 @@
 	MaxRecords int
 	// Retention is the time for which a record is kept; 0 means no limit.
 	Retention time.Duration
-	// Seed initializes the random choice of faults.
+	// Seed initializes the random generator that decides which appends are faulty.
 	Seed uint64
 }
 
@@ -42,11 +42,13 @@
 	// Slow is the delay before every request is served. In JSON it is a number of
 	// nanoseconds.
 	Slow time.Duration `json:"slow"`
-	// LoseNext is the number of next appends that take effect but get no response.
+	// LoseNext is the number of following appends that take effect but get no
+	// response.
 	LoseNext int `json:"lose_next"`
-	// LoseProbability is the share of appends that take effect but get no response.
+	// LoseProbability is the probability that an append takes effect but gets no
+	// response.
 	LoseProbability float64 `json:"lose_probability"`
-	// DuplicateProbability is the share of appends that are stored twice.
+	// DuplicateProbability is the probability that an append is stored twice.
 	DuplicateProbability float64 `json:"duplicate_probability"`
 }
 
--- a/standin/logservice/service_test.go
+++ b/standin/logservice/service_test.go
@@ -95,12 +95,12 @@
 	var running sync.WaitGroup
 	running.Go(func() { _ = appender.Run(ctx) })
 	const total = 300
-	var callers sync.WaitGroup
+	var appends sync.WaitGroup
 	errs := make(chan error, total)
 	for i := range total {
-		callers.Go(func() { errs <- appender.Append(ctx, fmt.Appendf(nil, "%d", i)) })
+		appends.Go(func() { errs <- appender.Append(ctx, fmt.Appendf(nil, "%d", i)) })
 	}
-	callers.Wait()
+	appends.Wait()
 	close(errs)
 	for err := range errs {
 		require.NoError(t, err)
--- a/standin/logservice/stream.go
+++ b/standin/logservice/stream.go
@@ -59,9 +59,9 @@
 	if first <= st.first {
 		return
 	}
-	dropped := first - st.first
-	clear(st.records[:dropped])
-	st.records = st.records[dropped:]
+	discarded := first - st.first
+	clear(st.records[:discarded])
+	st.records = st.records[discarded:]
 	st.first = first
 }
 
