--- a/node/gateway/budget_test.go
+++ b/node/gateway/budget_test.go
@@ -22,8 +22,8 @@
 	return n
 }
 
-// All instances restart at once, as after a power failure, after each has spent its
-// budget. The total of the retries before and after still stays within the limit.
+// All instances restart at the same time, as after a power failure, after each has spent
+// its budget. The total of the retries before and after still stays within the limit.
 func TestRetryLimitHoldsAfterSimultaneousRestart(t *testing.T) {
 	const instances, slack, ratio, requests = 59, 302.0, 0.2, 50
 	synctest.Test(t, func(t *testing.T) {
@@ -63,28 +63,28 @@
 		g.SetInstances(95)
 		c := &call{service: &routing.Service{Name: "s"}}
 		spendAll(g)
-		began := time.Now()
-		require.False(t, g.awaitRetry(t.Context(), c, began.Add(1500*time.Millisecond)))
+		start := time.Now()
+		require.False(t, g.awaitRetry(t.Context(), c, start.Add(1500*time.Millisecond)))
 		require.Equal(t, deniedBudget, c.denialReason)
-		require.LessOrEqual(t, time.Since(began), 1500*time.Millisecond)
+		require.LessOrEqual(t, time.Since(start), 1500*time.Millisecond)
 
-		began = time.Now()
+		start = time.Now()
 		time.AfterFunc(300*time.Millisecond, func() {
 			for range 20 {
 				g.countFirst("s")
 			}
 		})
-		require.True(t, g.awaitRetry(t.Context(), c, began.Add(1500*time.Millisecond)))
-		require.LessOrEqual(t, time.Since(began), 300*time.Millisecond+budgetPollInterval)
+		require.True(t, g.awaitRetry(t.Context(), c, start.Add(1500*time.Millisecond)))
+		require.LessOrEqual(t, time.Since(start), 300*time.Millisecond+budgetPollInterval)
 		require.Empty(t, c.denialReason)
 
 		spendAll(g)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, cancel)
-		began = time.Now()
-		require.False(t, g.awaitRetry(ctx, c, began.Add(1500*time.Millisecond)), "the client disconnected")
-		require.LessOrEqual(t, time.Since(began), 50*time.Millisecond)
+		start = time.Now()
+		require.False(t, g.awaitRetry(ctx, c, start.Add(1500*time.Millisecond)), "the client disconnected")
+		require.LessOrEqual(t, time.Since(start), 50*time.Millisecond)
 		require.Equal(t, deniedDeadline, c.denialReason)
-		require.False(t, g.awaitRetry(ctx, c, began), "the time to wait is over")
+		require.False(t, g.awaitRetry(ctx, c, start), "the time to wait is over")
 	})
 }
--- a/node/gateway/crashes.go
+++ b/node/gateway/crashes.go
@@ -18,8 +18,8 @@
 
 const (
 	// secondAttemptDelay is the time between two connection attempts that must both be refused
-	// before a replica counts as ended. One that is only full responds to other requests
-	// meanwhile.
+	// before a replica counts as ended. A replica that is only full responds to other
+	// requests in between.
 	secondAttemptDelay = 200 * time.Millisecond
 	// checkInterval is the minimum time between two checks of a replica.
 	checkInterval = time.Second
@@ -106,8 +106,8 @@
 func attemptOf(c *call) uint64 { return xxhash.Sum64String(c.ID) }
 
 // recordLostRun records a run without a complete response. processes are those that it ran
-// on, without the ones that shut down meanwhile.
-func (k *crashGuard) recordLostRun(c *call, processes []poison.Process, began time.Time, progressed bool) {
+// on, without those that have shut down since.
+func (k *crashGuard) recordLostRun(c *call, processes []poison.Process, sentAt time.Time, progressed bool) {
 	if len(processes) == 0 {
 		return
 	}
@@ -116,11 +116,11 @@
 		Run:         poison.Run{Attempt: attemptOf(c), Number: c.lostRuns},
 		Processes:   processes,
 		Progressed:  progressed,
-		SentAt:      began,
+		SentAt:      sentAt,
 	}
 	c.lostRuns++
 	k.log.Info("run lost", zap.String("request", c.ID), zap.Stringer("fingerprint", c.fingerprint), zap.Uint64("attempt", run.Run.Attempt),
-		zap.Uint32("run", run.Run.Number), zap.Strings("parts", processNames(processes)), zap.Bool("progressed", progressed), zap.Duration("after", time.Since(began)))
+		zap.Uint32("run", run.Run.Number), zap.Strings("parts", processNames(processes)), zap.Bool("progressed", progressed), zap.Duration("after", time.Since(sentAt)))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.logCrashes(k.ledger.RecordLostRun(time.Now(), run), "had already ended")
@@ -188,10 +188,10 @@
 
 // process returns the process that received a run: the listed one, or a later one if that
 // had ended before.
-func (k *crashGuard) process(listed poison.Process, began time.Time) poison.Process {
+func (k *crashGuard) process(listed poison.Process, sentAt time.Time) poison.Process {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ledger.Process(listed, began)
+	return k.ledger.Process(listed, sentAt)
 }
 
 // scheduleCheck schedules a check whether a replica still accepts connections.
@@ -258,8 +258,8 @@
 	}
 }
 
-// pending returns the evidence that was not published yet, and all crashes of those of its
-// requests that have crashed more than one replica.
+// pending returns the evidence that was not published yet. It also returns all known
+// crashes of each request in it that has crashed more than one replica.
 func (k *crashGuard) pending() (poison.Evidence, []poison.Crash) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -275,19 +275,20 @@
 	return delta, recurring
 }
 
-// recurringIncidents is the number of incidents from which a request's evidence is also
-// kept in the store. If a single crash is lost, the request crashes one more replica.
+// recurringIncidents is the minimum number of incidents for a request's evidence to be kept
+// in the store too. Evidence of a single crash is not: if it is lost, the request crashes
+// one more replica.
 const recurringIncidents = 2
 
 // merge adds the evidence of another instance.
-func (k *crashGuard) merge(s poison.Evidence) {
+func (k *crashGuard) merge(evidence poison.Evidence) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.ledger.BlockedCount()
-	k.logCrashes(k.ledger.Merge(time.Now(), s), "reported by another instance")
+	k.logCrashes(k.ledger.Merge(time.Now(), evidence), "reported by another instance")
 	if after := k.ledger.BlockedCount(); after != before {
 		k.log.Info("blocked requests", zap.Int("before", before), zap.Int("now", after), zap.String("source", "another instance"),
-			zap.Int("crashes", len(s.Crashes)), zap.Int("clears", len(s.Clearances)))
+			zap.Int("crashes", len(evidence.Crashes)), zap.Int("clears", len(evidence.Clearances)))
 	}
 }
 
--- a/node/gateway/events.go
+++ b/node/gateway/events.go
@@ -21,7 +21,7 @@
 	// maxEventBytes limits one event, which holds a few tokens. All streams of an instance
 	// may buffer one at the same time.
 	maxEventBytes = 64 << 10
-	// maxStreamBytes limits a stream; a long response has some hundred kilobytes.
+	// maxStreamBytes limits a stream; a long response has a few hundred kilobytes.
 	maxStreamBytes = 16 << 20
 )
 
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -33,8 +33,8 @@
 	// that the wait may use. Reading both takes about 200 ms.
 	maxStartupWait      = 700 * time.Millisecond
 	maxStartupWaitShare = 0.25
-	// drainingRetryAfter is the Retry-After of an instance that shuts down; other instances
-	// accept requests at once.
+	// drainingRetryAfter is the Retry-After of an instance that shuts down. It is short
+	// because other instances accept requests.
 	drainingRetryAfter = 50 * time.Millisecond
 	// defaultDeadline applies to clients that send no deadline.
 	defaultDeadline = 30 * time.Second
@@ -73,7 +73,7 @@
 	// to be sent to the other instances. recurring holds all crashes of those requests
 	// that have crashed more than one replica; they have to be stored beyond the life of
 	// this process.
-	OnEvidence func(news poison.Evidence, recurring []poison.Crash)
+	OnEvidence func(delta poison.Evidence, recurring []poison.Crash)
 }
 
 // RetryBound limits the retries of one service for all instances together: in each window,
@@ -89,7 +89,8 @@
 	opts   Options
 	log    *zap.Logger
 	routes atomic.Pointer[routing.Table]
-	// drainAfter is a Unix time in nanoseconds; 0 unless the instance shuts down.
+	// drainAfter is the Unix time in nanoseconds after which new model requests are refused;
+	// 0 unless the instance shuts down.
 	drainAfter atomic.Int64
 	// started is when the gateway was created. observed is the time from then until the
 	// reports of all replicas were last read here or received from another instance.
@@ -201,8 +202,8 @@
 func (g *Gateway) MarkReady() { g.readyOnce.Do(func() { close(g.ready) }) }
 
 // awaitReady delays a request that arrives just after the start until routes and replicas
-// are known. Clients whose connections broke with the previous process reconnect at once,
-// and some of them do not retry a second time.
+// are known. Clients whose connections broke with the previous process reconnect
+// immediately, and some of them do not retry a second time.
 func (g *Gateway) awaitReady(c *call) {
 	select {
 	case <-g.ready:
@@ -291,8 +292,8 @@
 	return host, path
 }
 
-// sendRefusal sends an error response of the router itself. The statuses 408, 421, 429 and 503
-// mean that the request did not run.
+// sendRefusal sends an error response of the router itself. The statuses 408, 421, 429 and
+// 503 mean that the request did not run.
 func (g *Gateway) sendRefusal(c *call, status int, reason string, retryAfter time.Duration, extra ...zap.Field) {
 	h := c.writer.Header()
 	for k, v := range g.opts.Codec.RouterError(c.ID, retryAfter) {
@@ -340,9 +341,9 @@
 }
 
 // newRequest builds the request to a replica.
-func (g *Gateway) newRequest(c *call, s ForwardOptions, fresh bool) *exchange.Request {
-	s.Deadline = c.remaining(time.Now())
-	s.Workspace = c.workspace
+func (g *Gateway) newRequest(c *call, opts ForwardOptions, fresh bool) *exchange.Request {
+	opts.Deadline = c.remaining(time.Now())
+	opts.Workspace = c.workspace
 	host := c.http.Header.Get("Host")
 	if host == "" {
 		host = c.http.Host
@@ -351,7 +352,7 @@
 		Method: c.http.Method,
 		Target: c.http.RequestURI,
 		Host:   host,
-		Header: g.opts.Codec.Forward(c.http.Header, s),
+		Header: g.opts.Codec.Forward(c.http.Header, opts),
 		Body:   c.body,
 		Fresh:  fresh,
 	}
--- a/node/gateway/lostrun.go
+++ b/node/gateway/lostrun.go
@@ -27,9 +27,9 @@
 	s.g.crashes.scheduleCheck(received, first.Address)
 }
 
-// progressTime is how long events must have arrived for a run to count in favor of its
-// request. A request that crashes replicas does so early in its run, sometimes after its
-// first event.
+// progressTime is how long events must have arrived for a run to count as evidence that its
+// request is harmless. A request that crashes replicas does so early in its run, sometimes
+// after its first event.
 const progressTime = 500 * time.Millisecond
 
 // progressed reports whether the current run has produced events for progressTime.
@@ -37,16 +37,17 @@
 	return !s.runFirstEvent.IsZero() && s.lastProgress.Sub(s.runFirstEvent) >= progressTime
 }
 
-// beginRun records that the request begins to run on other replicas.
+// beginRun records the start of a run: the first one, or one that continues the request on
+// other replicas.
 func (s *stream) beginRun(now time.Time) { s.runAt, s.runFirstEvent = now, time.Time{} }
 
 // recordLostStage records that the run is lost on an unresponsive stage, and schedules a
 // check of the replica.
 func (s *stream) recordLostStage(id string) {
-	for _, h := range s.grant.path() {
-		if h.ID == id {
-			s.g.crashes.recordLostRun(s.call, s.pool.listedProcesses(pipeline.Path{h}), s.runAt, s.progressed())
-			s.g.crashes.scheduleCheck(poison.Process{Replica: h.ID, StartTime: h.StartTime}, h.Address)
+	for _, stage := range s.grant.path() {
+		if stage.ID == id {
+			s.g.crashes.recordLostRun(s.call, s.pool.listedProcesses(pipeline.Path{stage}), s.runAt, s.progressed())
+			s.g.crashes.scheduleCheck(poison.Process{Replica: stage.ID, StartTime: stage.StartTime}, stage.Address)
 		}
 	}
 }
@@ -68,15 +69,15 @@
 	return true
 }
 
-// listedProcesses returns the processes of a path's replicas, without those that have shut down
-// meanwhile.
+// listedProcesses returns the processes of a path's replicas, without those that have shut
+// down since.
 func (p *modelPool) listedProcesses(path pipeline.Path) []poison.Process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []poison.Process
-	for _, h := range path {
-		if p.listed[h.ID] {
-			out = append(out, poison.Process{Replica: h.ID, StartTime: h.StartTime})
+	for _, stage := range path {
+		if p.listed[stage.ID] {
+			out = append(out, poison.Process{Replica: stage.ID, StartTime: stage.StartTime})
 		}
 	}
 	return out
--- a/node/gateway/model.go
+++ b/node/gateway/model.go
@@ -185,13 +185,13 @@
 	defer cancel()
 	path := s.grant.path()
 	first := path[0]
-	send := ForwardOptions{Replica: first.ID, Rank: s.rank, Path: path}
+	opts := ForwardOptions{Replica: first.ID, Rank: s.rank, Path: path}
 	if s.lastEventID >= 0 && s.headSent {
-		send.LastEvent = strconv.FormatInt(s.lastEventID, 10)
+		opts.LastEvent = strconv.FormatInt(s.lastEventID, 10)
 	}
 	s.lastProgress = time.Now()
 	s.beginRun(s.lastProgress)
-	resp, err := s.awaitHead(ctx, cancel, first, s.g.newRequest(s.call, send, false))
+	resp, err := s.awaitHead(ctx, cancel, first, s.g.newRequest(s.call, opts, false))
 	if err != nil {
 		s.connectionFailed(first, err)
 		return outcomeOf(err), err
@@ -206,13 +206,13 @@
 		return forward.Lost, errResponseMismatch
 	case info.NotRun:
 		drainBody(resp)
-		s.rejected(info, first)
+		s.handleRejection(info, first)
 		return forward.Rejected, nil
 	case lacksSignature(resp.Status, info):
 		resp.Discard()
 		return forward.Lost, errUnsignedResponse
 	case resp.Status != http.StatusOK:
-		return s.failed(resp)
+		return s.handleFailure(resp)
 	}
 	return s.relay(ctx, cancel, resp)
 }
@@ -266,9 +266,9 @@
 	}
 }
 
-// rejected keeps new paths away from the stage that rejected the request, and reports a
-// rejection despite free capacity to the other instances.
-func (s *stream) rejected(info Response, first pipeline.Stage) {
+// handleRejection keeps new paths away from the stage that rejected the request, and
+// reports a rejection despite free capacity to the other instances.
+func (s *stream) handleRejection(info Response, first pipeline.Stage) {
 	id := s.pool.idAt(info.FailingStage)
 	if id == "" {
 		id = first.ID
@@ -279,15 +279,15 @@
 		zap.Bool("first", id == first.ID), zap.Int("from", state.From), zap.Int("to", state.To),
 		zap.Duration("after", time.Since(s.lastProgress)),
 		zap.Float64("room", state.CacheCapacity), zap.Float64("own", state.Own.Reserved), zap.Float64("foreign", state.Remote.Reserved))
-	atOnce := time.Since(s.lastProgress) < immediateRejection && !state.RejectsForMemory()
-	if count := s.pool.rejected(id, atOnce); count > 0 && s.g.opts.OnRejected != nil {
+	immediate := time.Since(s.lastProgress) < immediateRejection && !state.RejectsForMemory()
+	if count := s.pool.recordRejection(id, immediate); count > 0 && s.g.opts.OnRejected != nil {
 		s.g.opts.OnRejected(id, count)
 	}
 }
 
-// failed handles a response that is not a stream: it is delivered unless a stream has
+// handleFailure handles a response that is not a stream: it is delivered unless a stream has
 // already begun.
-func (s *stream) failed(resp *exchange.Response) (forward.Outcome, error) {
+func (s *stream) handleFailure(resp *exchange.Response) (forward.Outcome, error) {
 	body, err := s.memory.ReadAll(resp.Body, maxResponseBytes)
 	if err != nil || s.headSent {
 		return forward.Lost, err
@@ -382,9 +382,9 @@
 // it.
 func zonesOf(p pipeline.Path) string {
 	var out []string
-	for i, h := range p {
-		if i == 0 || h.Zone != p[i-1].Zone {
-			out = append(out, h.Zone)
+	for i, stage := range p {
+		if i == 0 || stage.Zone != p[i-1].Zone {
+			out = append(out, stage.Zone)
 		}
 	}
 	return strings.Join(out, " ")
--- a/node/gateway/modelpool.go
+++ b/node/gateway/modelpool.go
@@ -47,9 +47,9 @@
 
 // waiter is a request that waits for a path.
 type waiter struct {
-	demand  pipeline.Demand
-	limit   pipeline.Constraint
-	granted chan *grant
+	demand     pipeline.Demand
+	constraint pipeline.Constraint
+	granted    chan *grant
 }
 
 // grant is a path on which load is reserved for a request.
@@ -58,7 +58,7 @@
 	demand     pipeline.Demand
 	choice     pipeline.Choice
 	prefilling bool
-	ended      bool
+	released   bool
 	// newStages lists the stages to which the request was last sent, at sentAt. A stage
 	// that shuts down finishes its earlier requests, so only an event after sentAt shows
 	// that these stages accept new ones.
@@ -66,7 +66,8 @@
 	sentAt    time.Time
 }
 
-// sharedReport is a request for a replica's report; done is closed when report and err are set.
+// sharedReport is a request for a replica's report that several streams share; done is
+// closed when report and err are set.
 type sharedReport struct {
 	requestedAt time.Time
 	done        chan struct{}
@@ -149,8 +150,8 @@
 	p.fleet.Reserve(time.Now(), choice.Path, d)
 	p.fleet.AdjustPrefill(choice.Path, d, 1)
 	g := &grant{pool: p, demand: d, choice: choice, prefilling: true, sentAt: time.Now()}
-	for _, h := range choice.Path {
-		g.newStages = append(g.newStages, h.ID)
+	for _, stage := range choice.Path {
+		g.newStages = append(g.newStages, stage.ID)
 	}
 	return g
 }
@@ -186,10 +187,10 @@
 
 // releaseLoad frees the reserved load once. The lock of the pool is held.
 func (g *grant) releaseLoad() {
-	if g.ended {
+	if g.released {
 		return
 	}
-	g.ended = true
+	g.released = true
 	if g.prefilling {
 		g.pool.fleet.AdjustPrefill(g.choice.Path, g.demand, -1)
 	}
@@ -206,14 +207,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := g.choice.Path[0]
-	limit := pipeline.Constraint{Avoid: avoid, First: first.ID, FirstTo: first.To}
-	if c, ok := p.fleet.Choose(time.Now(), g.demand, limit); ok {
+	constraint := pipeline.Constraint{Avoid: avoid, First: first.ID, FirstTo: first.To}
+	if c, ok := p.fleet.Choose(time.Now(), g.demand, constraint); ok {
 		return c, true
 	}
 	// The stage that takes over may have free capacity nevertheless, as reserved load is
 	// an estimate.
-	limit.IgnoreCapacity = true
-	return p.fleet.Choose(time.Now(), g.demand, limit)
+	constraint.IgnoreCapacity = true
+	return p.fleet.Choose(time.Now(), g.demand, constraint)
 }
 
 // switchPath replaces the path by the chosen one.
@@ -229,9 +230,9 @@
 	p.fleet.AdjustPrefill(c.Path, g.demand, 1)
 	g.prefilling = true
 	g.newStages, g.sentAt = g.newStages[:0], time.Now()
-	for _, h := range c.Path {
-		if !g.choice.Path.Uses(h.ID) {
-			g.newStages = append(g.newStages, h.ID)
+	for _, stage := range c.Path {
+		if !g.choice.Path.Uses(stage.ID) {
+			g.newStages = append(g.newStages, stage.ID)
 		}
 	}
 	p.fleet.Release(g.choice.Path, g.demand)
@@ -259,11 +260,11 @@
 	return p.fleet.State(id)
 }
 
-// rejected blocks a stage that rejected a request. If the rejection came at once although
-// the stage has free capacity, the block time grows with each one in a row, and their
-// number is returned; otherwise 0.
-func (p *modelPool) rejected(id string, atOnce bool) int {
-	if !atOnce {
+// recordRejection blocks a stage that rejected a request. If the stage rejected it
+// immediately although it has free capacity, the block time grows with each such rejection
+// in a row, and their number is returned; otherwise 0.
+func (p *modelPool) recordRejection(id string, immediate bool) int {
+	if !immediate {
 		p.block(id, rejectedBlock, "full")
 		return 0
 	}
@@ -274,8 +275,8 @@
 	return count
 }
 
-// rejectedElsewhere blocks a stage that rejected a request of another instance.
-func (p *modelPool) rejectedElsewhere(id string, count int) {
+// recordPeerRejection blocks a stage that rejected a request of another instance.
+func (p *modelPool) recordPeerRejection(id string, count int) {
 	p.mu.Lock()
 	_, known := p.fleet.Replica(id)
 	var d time.Duration
@@ -314,12 +315,12 @@
 	s.report, s.err = p.control.Report(context.WithoutCancel(ctx), r)
 	close(s.done)
 	if s.err == nil {
-		p.observe(r.ID, s.report.observed())
+		p.observe(r.ID, s.report.toPipeline())
 	}
 	return s.report, s.err
 }
 
-func (r *Report) observed() pipeline.Report {
+func (r *Report) toPipeline() pipeline.Report {
 	return pipeline.Report{
 		StepTimeRatio: r.StepTimeRatio, CacheUsed: r.CacheUsed, CacheCapacity: r.CacheCapacity, From: r.From, To: r.To, HasLayers: r.HasLayers,
 	}
--- a/node/gateway/modelpool_test.go
+++ b/node/gateway/modelpool_test.go
@@ -52,7 +52,7 @@
 			old.endPrefill()
 			if !p.fleet.Blocked("b", time.Now()) {
 				g := p.acquireAvoiding("c")
-				rejected = p.rejected("b", true)
+				rejected = p.recordRejection("b", true)
 				g.release()
 			}
 		}
@@ -68,13 +68,13 @@
 		p := newPool()
 		before := p.acquireAvoiding("c")
 		time.Sleep(time.Millisecond)
-		require.Equal(t, 1, p.rejected("b", true))
+		require.Equal(t, 1, p.recordRejection("b", true))
 		before.endPrefill()
-		require.Equal(t, 2, p.rejected("b", true))
+		require.Equal(t, 2, p.recordRejection("b", true))
 		time.Sleep(2 * time.Second)
 		after := p.acquireAvoiding("c")
 		after.endPrefill()
-		require.Equal(t, 1, p.rejected("b", true))
+		require.Equal(t, 1, p.recordRejection("b", true))
 		before.release()
 		after.release()
 	})
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
 		for range 5 {
-			require.Zero(t, p.rejected("b", false))
+			require.Zero(t, p.recordRejection("b", false))
 			time.Sleep(rejectedBlock)
 			require.False(t, p.fleet.Blocked("b", time.Now()))
 		}
@@ -96,21 +96,21 @@
 func TestStageThatRejectedAnotherInstanceIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool()
-		p.rejectedElsewhere("b", 1)
-		p.rejectedElsewhere("unknown", 1)
+		p.recordPeerRejection("b", 1)
+		p.recordPeerRejection("unknown", 1)
 		require.True(t, p.fleet.Blocked("b", time.Now()))
 		require.Equal(t, "c", p.acquireAvoiding().path()[1].ID)
 	})
 }
 
 // Two instances are rejected by the same stage and report it to each other. A received
-// report must not be sent again, or the stage would stay blocked for ever.
+// report must not be sent again, or the stage would stay blocked forever.
 func TestReceivedRejectionsAreNotReportedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two := newPool(), newPool()
 		for range 2 {
-			two.rejectedElsewhere("b", one.rejected("b", true))
-			one.rejectedElsewhere("b", two.rejected("b", true))
+			two.recordPeerRejection("b", one.recordRejection("b", true))
+			one.recordPeerRejection("b", two.recordRejection("b", true))
 		}
 		time.Sleep(3 * time.Second)
 		require.False(t, one.fleet.Blocked("b", time.Now()))
@@ -151,7 +151,7 @@
 		p := newPool()
 		p.fleet.Model().Slots = 0 // so that memory is the limit
 		p.block("c", time.Minute, "test")
-		ask := func(prompt float64) <-chan *grant {
+		request := func(prompt float64) <-chan *grant {
 			out := make(chan *grant, 1)
 			it := &waitlist.Item{Arrival: time.Now(), RefuseAt: time.Now().Add(5 * time.Second)}
 			go func() {
@@ -163,9 +163,9 @@
 		const usual, large, small = 200_000, 500_000, 150_000
 		var held []*grant
 		for range 7 {
-			held = append(held, <-ask(usual))
+			held = append(held, <-request(usual))
 		}
-		first, second := ask(large), ask(small)
+		first, second := request(large), request(small)
 		require.Empty(t, first)
 		require.Empty(t, second)
 		held[0].release()
--- a/node/gateway/pause.go
+++ b/node/gateway/pause.go
@@ -15,23 +15,23 @@
 const outcomeReplicasPaused = "replicas_paused"
 
 // reportIfLeaving reports a replica whose response says that it shuts down.
-func (g *Gateway) reportIfLeaving(r Replica, a Response) {
-	if a.Leaving {
+func (g *Gateway) reportIfLeaving(r Replica, info Response) {
+	if info.Leaving {
 		g.reportLeaving(r)
 	}
 }
 
-// applyResponseInfo handles what a response says about the first replica of the path and about
-// the stage that rejected the request. A pause applies to both: the first replica asked
-// for it, and the stage is the reason.
-func (s *stream) applyResponseInfo(first pipeline.Stage, a Response) {
-	s.g.reportIfLeaving(Replica{ID: first.ID, StartTime: first.StartTime}, a)
-	if a.Pause <= 0 {
+// applyResponseInfo handles what a response says about the first replica of the path and
+// about the stage that rejected the request. A pause applies to both: the first replica
+// asked for it, and the stage is the reason.
+func (s *stream) applyResponseInfo(first pipeline.Stage, info Response) {
+	s.g.reportIfLeaving(Replica{ID: first.ID, StartTime: first.StartTime}, info)
+	if info.Pause <= 0 {
 		return
 	}
-	s.g.logPause(s.ID, first.ID, a.Pause, s.pool.pause(first.ID, a.Pause))
-	if stage := s.pool.idAt(a.FailingStage); stage != "" && stage != first.ID {
-		s.g.logPause(s.ID, stage, a.Pause, s.pool.pause(stage, a.Pause))
+	s.g.logPause(s.ID, first.ID, info.Pause, s.pool.pause(first.ID, info.Pause))
+	if stage := s.pool.idAt(info.FailingStage); stage != "" && stage != first.ID {
+		s.g.logPause(s.ID, stage, info.Pause, s.pool.pause(stage, info.Pause))
 	}
 }
 
@@ -42,9 +42,9 @@
 	}
 }
 
-func (g *Gateway) logPause(request, replica string, asked time.Duration, until time.Time) {
+func (g *Gateway) logPause(request, replica string, requested time.Duration, until time.Time) {
 	g.log.Info("replica asked for a pause", zap.String("request", request), zap.String("replica", replica),
-		zap.Duration("asked", asked), zap.Duration("for", time.Until(until)))
+		zap.Duration("asked", requested), zap.Duration("for", time.Until(until)))
 }
 
 // pause keeps new paths away from a stage that asked for a pause, and returns its end.
--- a/node/gateway/plain.go
+++ b/node/gateway/plain.go
@@ -21,7 +21,7 @@
 	// a repeatable request before another one is tried.
 	firstAttemptShare = 0.4
 	// plainRetryAfter is the Retry-After when all replicas of a plain service are full.
-	// Their requests take some tens of milliseconds.
+	// Their requests take a few tens of milliseconds.
 	plainRetryAfter = 100 * time.Millisecond
 )
 
@@ -135,8 +135,8 @@
 
 // lacksSignature reports whether a response claims success without the signature that every
 // replica adds when it ran the request.
-func lacksSignature(status int, a Response) bool {
-	return status >= http.StatusOK && status < http.StatusMultipleChoices && !a.Signed
+func lacksSignature(status int, info Response) bool {
+	return status >= http.StatusOK && status < http.StatusMultipleChoices && !info.Signed
 }
 
 // exchangePlain sends the request, reads the response and classifies the outcome.
@@ -186,8 +186,8 @@
 // maxDrainBytes limits how much of a rejection's body is read.
 const maxDrainBytes = 64 << 10
 
-// outcomeOf classifies an error of sending a request: Unsent if it certainly did not reach the
-// replica, else Lost.
+// outcomeOf classifies an error of sending a request: Unsent if it certainly did not reach
+// the replica, else Lost.
 func outcomeOf(err error) forward.Outcome {
 	var ee *exchange.Error
 	if errors.As(err, &ee) && !ee.Sent {
@@ -197,13 +197,13 @@
 }
 
 // deliver sends a complete response of a replica to the client.
-func (g *Gateway) deliver(c *call, a *plainResponse) {
+func (g *Gateway) deliver(c *call, response *plainResponse) {
 	h := c.writer.Header()
-	for k, v := range g.opts.Codec.ToClient(a.header) {
+	for k, v := range g.opts.Codec.ToClient(response.header) {
 		h[k] = v
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	c.writer.WriteHeader(a.status)
-	_, err := c.writer.Write(a.body)
-	g.logEnd(c, a.status, "delivered", zap.Error(err))
+	h.Set("Content-Length", strconv.Itoa(len(response.body)))
+	c.writer.WriteHeader(response.status)
+	_, err := c.writer.Write(response.body)
+	g.logEnd(c, response.status, "delivered", zap.Error(err))
 }
--- a/node/gateway/plainpool.go
+++ b/node/gateway/plainpool.go
@@ -15,8 +15,8 @@
 	// An ejection lasts baseEjection, doubled for each failure in a row, up to maxEjection.
 	baseEjection = 300 * time.Millisecond
 	maxEjection  = 3 * time.Second
-	// ejectionThreshold is the number of failures in a row after which a replica is ejected. A
-	// request that could not be sent ejects it at once.
+	// ejectionThreshold is the number of failures in a row after which a replica is ejected.
+	// A request that could not be sent ejects it immediately.
 	ejectionThreshold = 2
 	// maxLoadAge is how long the load that a replica reported is used.
 	maxLoadAge = 500 * time.Millisecond
@@ -32,6 +32,7 @@
 	pauses   *pause.List
 }
 
+// plainReplica is a replica in a plainPool.
 type plainReplica struct {
 	Replica
 	zone     string
@@ -76,26 +77,26 @@
 	return p.pauses.Add(time.Now(), r.ID, r.StartTime, d, rand.Float64())
 }
 
-// paused returns the time until the first pause ends if all replicas asked for one, else
-// 0.
+// paused returns the time until the first pause ends if all replicas asked for one, else 0.
 func (p *plainPool) paused(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var least time.Duration
+	var shortest time.Duration
 	for id, r := range p.replicas {
 		end, ok := p.pauses.Until(now, id, r.StartTime)
 		if !ok {
 			return 0
 		}
-		if left := end.Sub(now); least == 0 || left < least {
-			least = left
+		if remaining := end.Sub(now); shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	return least
+	return shortest
 }
 
-// selectReplica returns the replica with the least work among those that were neither tried nor
-// asked for a pause. Ejected replicas are used only if no other is left.
+// selectReplica returns the replica with the least expected work among those that have not
+// been tried and have not asked for a pause. Ejected replicas are used only if no other is
+// left.
 func (p *plainPool) selectReplica(now time.Time, tried map[string]bool) (Replica, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,8 +115,8 @@
 
 // less orders replicas: not ejected first, then least work, then the zone of this instance.
 func (p *plainPool) less(now time.Time, a, b *plainReplica) bool {
-	if outA, outB := now.Before(a.ejectedUntil), now.Before(b.ejectedUntil); outA != outB {
-		return outB
+	if ejectedA, ejectedB := now.Before(a.ejectedUntil), now.Before(b.ejectedUntil); ejectedA != ejectedB {
+		return ejectedB
 	}
 	if la, lb := a.expectedTime(now), b.expectedTime(now); la != lb {
 		return la < lb
@@ -126,15 +127,15 @@
 	return a.ID < b.ID
 }
 
-// expectedTime is the expected time of a new request on the replica: the average response time,
-// multiplied by one plus the number of requests above its slots.
+// expectedTime is the expected time of a new request on the replica: the average response
+// time, multiplied by one plus the number of requests above its slots.
 func (r *plainReplica) expectedTime(now time.Time) float64 {
-	calls := r.inFlight
+	requests := r.inFlight
 	if now.Sub(r.reportedAt) < maxLoadAge {
-		calls = max(calls, r.reportedLoad)
+		requests = max(requests, r.reportedLoad)
 	}
 	mean := max(r.meanDuration, time.Millisecond).Seconds()
-	queued := max(0, calls+1-max(1, r.slots))
+	queued := max(0, requests+1-max(1, r.slots))
 	return mean * float64(1+queued)
 }
 
@@ -155,14 +156,14 @@
 }
 
 // recordLoad records the load that a replica reports with a response.
-func (p *plainPool) recordLoad(id string, a Response) {
-	if !a.HasLoad {
+func (p *plainPool) recordLoad(id string, info Response) {
+	if !info.HasLoad {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.replicas[id]; r != nil {
-		r.reportedLoad, r.reportedAt = a.Running+a.Waiting, time.Now()
+		r.reportedLoad, r.reportedAt = info.Running+info.Waiting, time.Now()
 	}
 }
 
--- a/node/gateway/port.go
+++ b/node/gateway/port.go
@@ -85,17 +85,18 @@
 type Replica struct {
 	ID      string
 	Address string
-	// StartTime is the start time of the process in Unix milliseconds; 0 where any process will
-	// do.
+	// StartTime is the start time of the process in Unix milliseconds; 0 if any process is
+	// meant.
 	StartTime int64
 }
 
-// Report is the state that a replica reported. It is some hundred milliseconds old.
+// Report is the state that a replica reported. It is a few hundred milliseconds old.
 type Report struct {
 	// CacheUsed and CacheCapacity are the used and the total KV cache capacity, in tokens
 	// times layers.
 	CacheUsed, CacheCapacity float64
-	// StepTimeRatio is the ratio of the replica's step time to the usual one; above 1 it is slow.
+	// StepTimeRatio is the ratio of the replica's step time to the usual one; above 1 the
+	// replica is slow.
 	StepTimeRatio float64
 	// From and To are the range of layers held; both are 0 if the replica holds none.
 	From, To int
@@ -111,7 +112,8 @@
 	Stalled map[string]string
 }
 
-// OrderStatus is a replica's result for a command: a layer assignment or a path change.
+// OrderStatus is the status with which a replica responds to a command: a layer assignment
+// or a path change.
 type OrderStatus int
 
 // Results of commands.
@@ -128,7 +130,7 @@
 	OrderOtherReplica
 )
 
-// String returns the name that logs contain.
+// String returns the name of the status in logs.
 func (s OrderStatus) String() string {
 	return [...]string{"taken", "conflict", "fenced", "unknown_request", "other_replica"}[s]
 }
--- a/node/gateway/progress_test.go
+++ b/node/gateway/progress_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Only events over progressTime count in favor of a request, not the first ones of a run.
+// Only events over progressTime count as progress, not just the first events of a run.
 func TestProgressOfARun(t *testing.T) {
 	start := time.Unix(1000, 0)
 	s := &stream{}
--- a/node/gateway/retries.go
+++ b/node/gateway/retries.go
@@ -89,12 +89,12 @@
 	// requests of one window add may be spent in the next one, so it counts twice; the
 	// rest covers requests that are counted in another window.
 	retryRatioShare = 0.4
-	// retryBankShare is the fraction of the slack that may be spent at once, as when a
+	// retryBurstShare is the fraction of the slack that may be spent at once, as when a
 	// replica dies with many streams; retryRateShare is the fraction that is refilled
 	// within one window. Their sum stays below 1 because an instance that restarts has a
-	// full bank again.
-	retryBankShare = 0.5
-	retryRateShare = 0.25
+	// full bucket again.
+	retryBurstShare = 0.5
+	retryRateShare  = 0.25
 )
 
 // budget returns this instance's share of a service's retry budget. The lock is held.
@@ -109,7 +109,7 @@
 
 // budgetConfig returns this instance's share of the limit. While the number of instances
 // is unknown, retries are limited to what this instance's own requests add: when all
-// instances start at once, each would otherwise assume that it is one of a few.
+// instances start together, each would otherwise assume that it is one of a few.
 func (g *Gateway) budgetConfig() retry.BudgetConfig {
 	if g.instances == 0 {
 		return retry.BudgetConfig{Ratio: g.opts.Retries.Ratio * retryRatioShare, Burst: 1, Window: g.opts.Retries.Window}
@@ -120,7 +120,7 @@
 	return retry.BudgetConfig{
 		Ratio:        g.opts.Retries.Ratio * retryRatioShare,
 		MinPerSecond: slack * retryRateShare / window,
-		Burst:        max(1, slack*retryBankShare),
+		Burst:        max(1, slack*retryBurstShare),
 		Window:       g.opts.Retries.Window,
 	}
 }
@@ -151,7 +151,7 @@
 		p.setSharing(g.sharingLocked())
 	}
 	if first {
-		clear(g.budgets) // recreated on demand with a full bank
+		clear(g.budgets) // recreated on demand with a full bucket
 	}
 	now := time.Now()
 	for _, b := range g.budgets {
--- a/node/gateway/state.go
+++ b/node/gateway/state.go
@@ -110,14 +110,14 @@
 
 // publishEvidence publishes new evidence about requests that crash replicas.
 func (g *Gateway) publishEvidence() {
-	news, recurring := g.crashes.pending()
-	if !news.Empty() && g.opts.OnEvidence != nil {
-		g.opts.OnEvidence(news, recurring)
+	delta, recurring := g.crashes.pending()
+	if !delta.Empty() && g.opts.OnEvidence != nil {
+		g.opts.OnEvidence(delta, recurring)
 	}
 }
 
 // MergeEvidence merges another instance's evidence about requests that crash replicas.
-func (g *Gateway) MergeEvidence(s poison.Evidence) { g.crashes.merge(s) }
+func (g *Gateway) MergeEvidence(evidence poison.Evidence) { g.crashes.merge(evidence) }
 
 // Evidence returns all evidence about requests that crash replicas.
 func (g *Gateway) Evidence() poison.Evidence { return g.crashes.state() }
@@ -130,11 +130,11 @@
 // restarted is true if a later process of the replica is listed, false if the replica is
 // no longer listed.
 func (g *Gateway) ReplicaEnded(r poison.Process, restarted bool) {
-	sign := endRemoved
+	evidence := endRemoved
 	if restarted {
-		sign = endRestarted
+		evidence = endRestarted
 	}
-	g.crashes.recordEnd(r, sign)
+	g.crashes.recordEnd(r, evidence)
 }
 
 // Loads returns the load that this instance causes, by service and replica.
@@ -148,11 +148,11 @@
 	return out
 }
 
-// ApplyPeerRejection blocks a replica that rejected a request of another instance; count is the
-// number of rejections in a row.
+// ApplyPeerRejection blocks a replica that rejected a request of another instance; count is
+// the number of rejections in a row.
 func (g *Gateway) ApplyPeerRejection(replica string, count int) {
 	for _, p := range g.modelPools() {
-		p.rejectedElsewhere(replica, count)
+		p.recordPeerRejection(replica, count)
 	}
 }
 
@@ -182,11 +182,12 @@
 	return out
 }
 
-// SetRemoteLoad sets the total load of all other instances, by replica and by link.
-func (g *Gateway) SetRemoteLoad(of func(replica string) pipeline.Load, link func(pipeline.Link) float64) {
+// SetRemoteLoad sets the total load of all other instances, by replica, and the rate of
+// what they send, by link.
+func (g *Gateway) SetRemoteLoad(loadOf func(replica string) pipeline.Load, rateOf func(pipeline.Link) float64) {
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
-		p.fleet.SetRemoteLoad(of, link)
+		p.fleet.SetRemoteLoad(loadOf, rateOf)
 		p.grantWaiting(time.Now())
 		p.mu.Unlock()
 	}
--- a/node/gateway/survey.go
+++ b/node/gateway/survey.go
@@ -12,15 +12,15 @@
 	"masticbank.example/core/roster"
 )
 
-// surveyInterval is the time between two reads of each replica's report by the instance
-// that reads for all. Replicas report with a lag of 0.2 s.
+// surveyInterval is the time between two reads of each replica's report by the leader,
+// which reads them for all instances. Replicas report with a lag of 0.2 s.
 const surveyInterval = time.Second
 
 // Survey reads the reports of all replicas that hold layers, and publishes them, until ctx
-// ends. It does so each second while wanted returns true. While designated returns true,
+// ends. It does so each second while isLeader returns true. While isStandby returns true,
 // it also does so when no reports of another instance have arrived for some time, as after
 // a start of all instances together.
-func (g *Gateway) Survey(ctx context.Context, wanted, designated func() bool, publish func(map[string]pipeline.Report)) {
+func (g *Gateway) Survey(ctx context.Context, isLeader, isStandby func() bool, publish func(map[string]pipeline.Report)) {
 	ticker := time.NewTicker(surveyInterval)
 	defer ticker.Stop()
 	timeout := randomTimeout(startReportTimeout, startReportSpread)
@@ -34,12 +34,12 @@
 			}
 			timeout = randomTimeout(remoteReportTimeout, remoteReportSpread)
 			g.markObserved()
-			if !designated() {
+			if !isStandby() {
 				continue
 			}
 			publish(withoutLayers(g.survey(ctx)))
 		case <-ticker.C:
-			if wanted() {
+			if isLeader() {
 				g.markObserved()
 				publish(g.survey(ctx))
 			}
@@ -59,13 +59,13 @@
 }
 
 const (
-	// remoteReportTimeout is the minimum time without reports of another instance after which
-	// one reads them itself. The leader publishes them each second, or half a second later
-	// if replicas do not respond.
+	// remoteReportTimeout is the minimum time without reports of another instance after
+	// which a standby instance reads them itself. The leader publishes them each second, or
+	// half a second later if replicas do not respond.
 	remoteReportTimeout = 2500 * time.Millisecond
-	// remoteReportSpread is the range of a random time that is added to it, so that the first
-	// designated reader publishes before the others read. Reading and publishing take a
-	// few tenths of a second.
+	// remoteReportSpread is the range of a random time that is added to
+	// remoteReportTimeout, so that the first standby instance publishes before the others
+	// read. Reading and publishing take a few tenths of a second.
 	remoteReportSpread = 2 * time.Second
 	// startReportTimeout and startReportSpread apply instead after a start, when clients
 	// reconnect and replicas still run what other instances have sent.
@@ -101,7 +101,7 @@
 				if report.Leaving {
 					g.reportLeaving(r)
 				}
-				o := report.observed()
+				o := report.toPipeline()
 				p.observe(r.ID, o)
 				mu.Lock()
 				defer mu.Unlock()
@@ -128,15 +128,15 @@
 	return out
 }
 
-// RecordReports records reports that another instance has read; of returns false for replicas
-// without one.
-func (g *Gateway) RecordReports(of func(replica string) (pipeline.Report, bool)) {
+// RecordReports records reports that another instance has read. reportOf returns false for
+// replicas without one.
+func (g *Gateway) RecordReports(reportOf func(replica string) (pipeline.Report, bool)) {
 	g.markObserved()
 	now := time.Now()
 	for _, p := range g.modelPools() {
 		p.mu.Lock()
 		for _, r := range p.fleet.Replicas() {
-			if o, ok := of(r.ID); ok {
+			if o, ok := reportOf(r.ID); ok {
 				p.fleet.Observe(now, r.ID, o)
 			}
 		}
--- a/node/gateway/survey_test.go
+++ b/node/gateway/survey_test.go
@@ -16,7 +16,7 @@
 	"masticbank.example/node/exchange"
 )
 
-// countingControl is a ReplicaControl that counts the reports read.
+// countingControl is a ReplicaControl that counts the report requests.
 type countingControl struct {
 	ReplicaControl
 	mu sync.Mutex
@@ -39,11 +39,11 @@
 	return n
 }
 
-// reportTime is how long reading reports takes if some replicas do not respond.
+// reportTime is how long it takes to read reports if some replicas do not respond.
 const reportTime = 250 * time.Millisecond
 
-// Forty instances start at the same moment and none is the leader. Only the two designated
-// readers read reports, so the load on replicas does not grow with the number of
+// Forty instances start at the same moment and none is the leader. Only the two standby
+// instances read reports, so the load on replicas does not grow with the number of
 // instances.
 func TestReportLoadIsIndependentOfInstanceCount(t *testing.T) {
 	const instances, replicas, seconds = 40, 10, 10
@@ -69,9 +69,9 @@
 			all = append(all, g)
 		}
 		for i, g := range all {
-			designated := func() bool { return i < 2 }
-			publish := func(states map[string]pipeline.Report) {
-				for id, o := range states {
+			isStandby := func() bool { return i < 2 }
+			publish := func(published map[string]pipeline.Report) {
+				for id, o := range published {
 					if o.HasLayers {
 						t.Errorf("layers of %s published by an instance that is not the leader", id)
 					}
@@ -83,7 +83,7 @@
 					}
 				}
 			}
-			wg.Go(func() { g.Survey(ctx, func() bool { return false }, designated, publish) })
+			wg.Go(func() { g.Survey(ctx, func() bool { return false }, isStandby, publish) })
 		}
 		time.Sleep(seconds * time.Second)
 		got := reports.reset()
--- a/node/gateway/waiting.go
+++ b/node/gateway/waiting.go
@@ -8,12 +8,13 @@
 	"masticbank.example/core/waitlist"
 )
 
-// acquire waits for a path until it.GiveUp or the end of ctx, and then returns nil.
-func (p *modelPool) acquire(ctx context.Context, it *waitlist.Item, d pipeline.Demand, limit pipeline.Constraint) *grant {
-	w := &waiter{demand: d, limit: limit, granted: make(chan *grant, 1)}
+// acquire waits for a path. It returns nil if none is granted before item.RefuseAt or the
+// end of ctx.
+func (p *modelPool) acquire(ctx context.Context, item *waitlist.Item, d pipeline.Demand, constraint pipeline.Constraint) *grant {
+	w := &waiter{demand: d, constraint: constraint, granted: make(chan *grant, 1)}
 	p.mu.Lock()
-	p.waiting.Add(it)
-	p.waiters[it] = w
+	p.waiting.Add(item)
+	p.waiters[item] = w
 	p.grantWaiting(time.Now())
 	p.mu.Unlock()
 	select {
@@ -21,7 +22,7 @@
 		return g
 	default:
 	}
-	timer := time.NewTimer(time.Until(it.RefuseAt))
+	timer := time.NewTimer(time.Until(item.RefuseAt))
 	defer timer.Stop()
 	select {
 	case g := <-w.granted:
@@ -29,15 +30,15 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return p.withdraw(it, w)
+	return p.withdraw(item, w)
 }
 
 // withdraw removes a waiter and returns a grant that arrived meanwhile, if any.
-func (p *modelPool) withdraw(it *waitlist.Item, w *waiter) *grant {
+func (p *modelPool) withdraw(item *waitlist.Item, w *waiter) *grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting.Remove(it)
-	delete(p.waiters, it)
+	p.waiting.Remove(item)
+	delete(p.waiters, item)
 	select {
 	case g := <-w.granted:
 		return g
@@ -56,12 +57,12 @@
 func (p *modelPool) grantWaiting(now time.Time) {
 	skipped := 0
 	for skipped < maxSkippedWaiters {
-		it := p.waiting.At(skipped)
-		if it == nil {
+		item := p.waiting.At(skipped)
+		if item == nil {
 			return
 		}
-		w := p.waiters[it]
-		choice, ok := p.fleet.Choose(now, w.demand, w.limit)
+		w := p.waiters[item]
+		choice, ok := p.fleet.Choose(now, w.demand, w.constraint)
 		if !ok {
 			if !p.blockedByConstraint(now, w) {
 				return
@@ -69,8 +70,8 @@
 			skipped++
 			continue
 		}
-		p.waiting.Remove(it)
-		delete(p.waiters, it)
+		p.waiting.Remove(item)
+		delete(p.waiters, item)
 		w.granted <- p.reserve(choice, w.demand)
 	}
 }
@@ -78,11 +79,11 @@
 // blockedByConstraint reports whether a waiter without a path would get one if it avoided no
 // replica.
 func (p *modelPool) blockedByConstraint(now time.Time, w *waiter) bool {
-	if len(w.limit.Avoid) == 0 {
+	if len(w.constraint.Avoid) == 0 {
 		return false
 	}
-	limit := w.limit
-	limit.Avoid = nil
-	_, ok := p.fleet.Choose(now, w.demand, limit)
+	constraint := w.constraint
+	constraint.Avoid = nil
+	_, ok := p.fleet.Choose(now, w.demand, constraint)
 	return ok
 }
--- a/node/gateway/watch.go
+++ b/node/gateway/watch.go
@@ -29,7 +29,8 @@
 	maxRepaths = 3
 )
 
-// stallWatch detects why a stream makes no progress. It is used by one goroutine.
+// stallWatch detects that a stream makes no progress, and which stage stalls it. It is used
+// by one goroutine.
 type stallWatch struct {
 	s     *stream
 	timer *time.Timer
@@ -61,9 +62,9 @@
 	w.timer.Reset(max(minGap, min(gapFactor*w.meanGap, maxGapBound)))
 }
 
-// checkStall reads the report of the first replica when the stream makes no progress, and moves
-// the request to another path if a stage is unresponsive. It returns true if the run is
-// lost.
+// checkStall reads the report of the first replica when the stream makes no progress, and
+// moves the request to another path if a stage is unresponsive. It returns true if the run
+// is lost.
 func (w *stallWatch) checkStall(ctx context.Context) (lost bool) {
 	s := w.s
 	w.timer.Reset(recheckInterval)
@@ -85,12 +86,12 @@
 	if !stalled {
 		return false
 	}
-	dead := s.pool.idAt(address)
-	if dead != "" {
-		if !s.excluded[dead] {
-			s.recordLostStage(dead)
+	failed := s.pool.idAt(address)
+	if failed != "" {
+		if !s.excluded[failed] {
+			s.recordLostStage(failed)
 		}
-		s.markUnresponsive(dead, "requests stall on it")
+		s.markUnresponsive(failed, "requests stall on it")
 	}
 	if w.repath(ctx, first) {
 		w.timer.Reset(s.grant.choice.FirstToken + firstTokenSlack)
@@ -101,9 +102,9 @@
 
 // markUnresponsive blocks an unresponsive replica on this instance and reports it to the
 // others.
-func (s *stream) markUnresponsive(id, why string) {
+func (s *stream) markUnresponsive(id, reason string) {
 	s.excluded[id] = true
-	wasBlocked := s.pool.block(id, unresponsiveBlock, why)
+	wasBlocked := s.pool.block(id, unresponsiveBlock, reason)
 	if !wasBlocked && s.g.opts.OnUnresponsive != nil {
 		s.g.opts.OnUnresponsive(id)
 	}
