--- a/node/control/orders.go
+++ b/node/control/assignments.go
@@ -16,42 +16,42 @@
 // sendAssignments sends the assignments concurrently.
 func (c *Control) sendAssignments(ctx context.Context, m *pipeline.Model, entries map[string]roster.Entry, assignments []layout.Assignment, token int64) {
 	var wg sync.WaitGroup
-	for _, o := range assignments {
-		e := entries[o.ID]
+	for _, a := range assignments {
+		e := entries[a.ID]
 		c.mu.Lock()
-		c.pending[o.ID] = assignment{from: o.From, to: o.To, born: e.StartTime, until: time.Now().Add(assignmentTimeout)}
+		c.pending[a.ID] = assignment{from: a.From, to: a.To, startTime: e.StartTime, until: time.Now().Add(assignmentTimeout)}
 		c.mu.Unlock()
-		wg.Go(func() { c.sendAssignment(ctx, m, e, o, len(assignments), token) })
+		wg.Go(func() { c.sendAssignment(ctx, m, e, a, len(assignments), token) })
 	}
 	wg.Wait()
 }
 
 // sendAssignment sends one assignment and sets when it may be repeated.
-func (c *Control) sendAssignment(ctx context.Context, m *pipeline.Model, e roster.Entry, o layout.Assignment, concurrent int, token int64) {
-	res, err := c.opts.ReplicaControl.AssignLayers(ctx, gateway.Replica{ID: e.ID, Address: e.Address}, o.From, o.To, token)
-	c.log.Info("layers assigned", zap.String("replica", o.ID), zap.String("kind", e.Kind), zap.String("zone", e.Zone),
-		zap.Int("from", o.From), zap.Int("to", o.To), zap.String("why", o.Reason), zap.Int64("fence", token),
+func (c *Control) sendAssignment(ctx context.Context, m *pipeline.Model, e roster.Entry, a layout.Assignment, concurrent int, token int64) {
+	res, err := c.opts.ReplicaControl.AssignLayers(ctx, gateway.Replica{ID: e.ID, Address: e.Address}, a.From, a.To, token)
+	c.log.Info("layers assigned", zap.String("replica", a.ID), zap.String("kind", e.Kind), zap.String("zone", e.Zone),
+		zap.Int("from", a.From), zap.Int("to", a.To), zap.String("why", a.Reason), zap.Int64("fence", token),
 		zap.Int64("heartbeat", e.Sequence), zap.Stringer("result", res.Status), zap.Duration("pause", res.Pause), zap.Error(err))
 	if res.Leaving {
 		c.ReplicaLeaves(roster.Process{ID: e.ID, StartTime: e.StartTime})
 	}
 	if err != nil {
-		c.delayAssignment(o.ID, res.Pause)
+		c.delayAssignment(a.ID, res.Pause)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch res.Status {
 	case gateway.OrderAccepted:
-		p := c.pending[o.ID]
-		p.until = time.Now().Add(loadTime(m, o.To-o.From, concurrent))
-		c.pending[o.ID] = p
+		p := c.pending[a.ID]
+		p.until = time.Now().Add(loadTime(m, a.To-a.From, concurrent))
+		c.pending[a.ID] = p
 	case gateway.OrderFenced:
 		c.leadership.rejectedToken = max(c.leadership.rejectedToken, token)
 	case gateway.OrderConflict:
-		p := c.pending[o.ID]
+		p := c.pending[a.ID]
 		p.until = time.Now().Add(conflictRetryDelay)
-		c.pending[o.ID] = p
+		c.pending[a.ID] = p
 	case gateway.OrderOtherReplica, gateway.OrderUnknownRequest:
 	}
 }
--- a/node/control/control.go
+++ b/node/control/control.go
@@ -17,8 +17,8 @@
 
 const (
 	// configPollWait is the longest wait for a new configuration in one call. If a poll
-	// misses a version, or its connection has broken unnoticed, the version still arrives
-	// in time, because peers publish which version they have.
+	// misses a version, or its connection has broken without an error, the version still
+	// arrives in time, because peers publish which version they have.
 	configPollWait = 20 * time.Second
 	// configPollWaitWithoutPeers is the same without peers. It is below the 2 s within
 	// which a version must be in force.
@@ -29,21 +29,22 @@
 	// readerCheckInterval is the time between two checks whether this instance is a
 	// designated reader of the configuration.
 	readerCheckInterval = 250 * time.Millisecond
-	// firstStartInterval is how long after the first start of the whole system replicas
-	// and configuration are read less often: there is no traffic yet, and the instances do
-	// not know each other.
+	// firstStartInterval is the length of the period after the first start of the whole
+	// system, and the time between two reads of replicas and configuration in it. They are
+	// read less often because there is no traffic yet and the instances do not know each
+	// other.
 	firstStartInterval = 3 * time.Second
-	// minPeersForConfig is the number of peers from which an instance relies on them for
-	// the configuration. A single one may have missed a version itself.
+	// minPeersForConfig is the minimum number of peers for an instance to rely on them for
+	// the configuration. A single peer may have missed a version itself.
 	minPeersForConfig = 2
 	// replicaInterval is the time between two reads of the replicas' entries. A replica
 	// that shuts down must get no new requests after 2 s.
 	replicaInterval = 800 * time.Millisecond
 	// leaderReadInterval is the same for the leader, which reads for the other instances.
 	leaderReadInterval = 400 * time.Millisecond
-	// relayedReadTimeout is how long after updates relayed by another instance this one
-	// does not read itself. Together with the transmission time it is below the 2 s after
-	// which a replica that shuts down must get no new requests.
+	// relayedReadTimeout is how long an instance that received updates relayed by another
+	// one does not read itself. Together with the transmission time it is below the 2 s
+	// after which a replica that shuts down must get no new requests.
 	relayedReadTimeout = time.Second
 	// readDelayPerPeer and maxReadDelay limit a random time that is added to
 	// relayedReadTimeout. Users with so many instances that the sum exceeds 2 s allow 3 s
@@ -54,7 +55,7 @@
 	// an outage has expired.
 	expireInterval = 200 * time.Millisecond
 	// pendingReadInterval replaces replicaInterval while replicas load layers that this
-	// instance assigned; loading a few layers takes some hundred milliseconds.
+	// instance assigned; loading a few layers takes a few hundred milliseconds.
 	pendingReadInterval = 250 * time.Millisecond
 	// joinRetryInterval is the time between two joins while the store is unavailable. A
 	// join costs a tenth of other calls.
@@ -72,9 +73,9 @@
 	startMemberReadInterval = 2500 * time.Millisecond
 	startupPeriod           = 10 * time.Second
 	// restartMemberReadInterval replaces startMemberReadInterval if the system was running
-	// before. Clients return at once, and hardly any request is retried until the number
-	// of instances is known. All instances that start together have joined within that
-	// time.
+	// before. Clients reconnect immediately, and hardly any request is retried until the
+	// number of instances is known. All instances that start together have joined within
+	// that time.
 	restartMemberReadInterval = 500 * time.Millisecond
 	// joinInterval is the time between two joins; memberTTL covers three.
 	joinInterval = time.Second
@@ -106,12 +107,13 @@
 	// OnConfig, if set, is called with each configuration that is put in force.
 	OnConfig func(version int64, content []byte)
 	// OnUpdates, if set, is called with the changes of replicas that this instance reads,
-	// without mere heartbeats.
+	// without those that are only heartbeats.
 	OnUpdates func(roster.Updates)
 	// Peers, if set, returns the number of instances that this one is connected to.
 	Peers func() int
-	// IsDesignatedReader, if set, reports whether this instance is a designated reader, which follows
-	// the configuration in the store for all; others receive it from their peers.
+	// IsDesignatedReader, if set, reports whether this instance is a designated reader,
+	// which follows the configuration in the store for all; others receive it from their
+	// peers.
 	IsDesignatedReader func() bool
 }
 
@@ -124,7 +126,7 @@
 	version int64
 	roster  *roster.Roster
 	feed    roster.Feed
-	// readDelay is added to relayedReadTimeout so that not all instances read at once.
+	// readDelay is added to relayedReadTimeout so that instances read at different times.
 	readDelay time.Duration
 	// cancelPoll ends the wait for a configuration in progress.
 	cancelPoll context.CancelFunc
@@ -145,11 +147,11 @@
 	// lastChange is when a replica last joined, left or became unresponsive, by zone.
 	lastChange map[string]time.Time
 
-	started        time.Time
-	retired        atomic.Bool
-	retireSignal   chan struct{}
-	configLoaded   atomic.Bool
-	replicasLoaded atomic.Bool
+	started            time.Time
+	leadershipReleased atomic.Bool
+	releaseSignal      chan struct{}
+	configLoaded       atomic.Bool
+	replicasLoaded     atomic.Bool
 }
 
 // leaderState is the group's last response about the leader task of assigning layers.
@@ -164,8 +166,8 @@
 // failureReport is the last heartbeat of a replica before it was found unresponsive, and
 // when the report expires.
 type failureReport struct {
-	born, heartbeat int64
-	until           time.Time
+	startTime, heartbeat int64
+	until                time.Time
 }
 
 // membershipCall names joins in the log.
@@ -180,15 +182,15 @@
 // New returns a Control that has not read anything yet.
 func New(o Options) *Control {
 	return &Control{
-		opts:         o,
-		log:          o.Logger,
-		roster:       roster.New(),
-		pending:      map[string]assignment{},
-		unresponsive: map[string]failureReport{},
-		malformed:    map[string]string{},
-		lastChange:   map[string]time.Time{},
-		retireSignal: make(chan struct{}),
-		started:      time.Now(),
+		opts:          o,
+		log:           o.Logger,
+		roster:        roster.New(),
+		pending:       map[string]assignment{},
+		unresponsive:  map[string]failureReport{},
+		malformed:     map[string]string{},
+		lastChange:    map[string]time.Time{},
+		releaseSignal: make(chan struct{}),
+		started:       time.Now(),
 	}
 }
 
@@ -283,7 +285,7 @@
 	}
 }
 
-// maxMalformed limits the unreadable keys that are remembered.
+// maxMalformed limits the number of unreadable keys that are kept.
 const maxMalformed = 256
 
 // apply puts a configuration in force if it is newer than the current one. source says in
@@ -344,9 +346,9 @@
 	return isNew
 }
 
-// ApplyPeerRemoval records another instance's report that the entry of a replica was removed. It is
-// ignored unless this instance waits for entries to return during or after an outage of
-// the store; the other instance has had access to the store all along.
+// ApplyPeerRemoval records another instance's report that the entry of a replica was
+// removed. It is ignored unless this instance waits for entries to return during or after
+// an outage of the store; the other instance has had access to the store all along.
 func (c *Control) ApplyPeerRemoval(id string) {
 	c.mu.Lock()
 	marked := c.roster.InGrace(time.Now()) && c.roster.MarkRemoved(id)
--- a/node/control/control_test.go
+++ b/node/control/control_test.go
@@ -40,23 +40,23 @@
 
 var errUnavailable = errors.New("unavailable")
 
-func (w *fakePlatform) check() error {
-	if w.unavailable {
+func (p *fakePlatform) check() error {
+	if p.unavailable {
 		return errUnavailable
 	}
 	return nil
 }
 
-func (w *fakePlatform) set(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *fakePlatform) set(f func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	f()
 }
 
-func (w *fakePlatform) tokens() []int64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]int64(nil), w.tokensUsed...)
+func (p *fakePlatform) tokens() []int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]int64(nil), p.tokensUsed...)
 }
 
 type configs struct{ *fakePlatform }
@@ -106,36 +106,36 @@
 	return u, nil, r.check()
 }
 
-func (w *fakePlatform) Join(_ context.Context, _ time.Duration, generation int64) (Membership, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.joinGenerations = append(w.joinGenerations, generation)
-	return Membership{Generation: w.generation, Leader: w.leader}, w.check()
+func (p *fakePlatform) Join(_ context.Context, _ time.Duration, generation int64) (Membership, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.joinGenerations = append(p.joinGenerations, generation)
+	return Membership{Generation: p.generation, Leader: p.leader}, p.check()
 }
 
-func (w *fakePlatform) Members(context.Context) ([]string, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.members, w.check()
+func (p *fakePlatform) Members(context.Context) ([]string, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.members, p.check()
 }
 
-func (w *fakePlatform) Leave(context.Context) error {
-	w.set(func() { w.left = true })
+func (p *fakePlatform) Leave(context.Context) error {
+	p.set(func() { p.left = true })
 	return nil
 }
 
-func (w *fakePlatform) Report(context.Context, gateway.Replica) (gateway.Report, error) {
+func (p *fakePlatform) Report(context.Context, gateway.Replica) (gateway.Report, error) {
 	return gateway.Report{}, errUnavailable
 }
 
-func (w *fakePlatform) AssignLayers(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.OrderResult, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tokensUsed = append(w.tokensUsed, fence)
-	return w.result, nil
+func (p *fakePlatform) AssignLayers(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.OrderResult, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.tokensUsed = append(p.tokensUsed, fence)
+	return p.result, nil
 }
 
-func (w *fakePlatform) Repath(context.Context, gateway.Replica, string, pipeline.Path) (gateway.OrderResult, error) {
+func (p *fakePlatform) Repath(context.Context, gateway.Replica, string, pipeline.Path) (gateway.OrderResult, error) {
 	return gateway.OrderResult{}, errUnavailable
 }
 
@@ -153,14 +153,14 @@
 }
 
 // run starts a Control under a fake clock and calls f.
-func run(t *testing.T, w *fakePlatform, f func(c *Control, g *gateway.Gateway)) {
-	runWith(t, w, Options{}, f)
+func run(t *testing.T, p *fakePlatform, f func(c *Control, g *gateway.Gateway)) {
+	runWith(t, p, Options{}, f)
 }
 
-func runWith(t *testing.T, w *fakePlatform, o Options, f func(c *Control, g *gateway.Gateway)) {
+func runWith(t *testing.T, p *fakePlatform, o Options, f func(c *Control, g *gateway.Gateway)) {
 	synctest.Test(t, func(t *testing.T) {
-		g := gateway.New(gateway.Options{Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: gateway.NewMetrics(), Control: w})
-		o.Configs, o.Replicas, o.Group, o.ReplicaControl, o.Gateway, o.Logger = configs{w}, replicas{w}, w, w, g, zap.NewNop()
+		g := gateway.New(gateway.Options{Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: gateway.NewMetrics(), Control: p})
+		o.Configs, o.Replicas, o.Group, o.ReplicaControl, o.Gateway, o.Logger = configs{p}, replicas{p}, p, p, g, zap.NewNop()
 		c := New(o)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
@@ -169,5 +169,5 @@
 		cancel()
 		require.NoError(t, <-done)
 	})
-	require.True(t, w.left, "a Control that ends leaves its group")
+	require.True(t, p.left, "a Control that ends leaves its group")
 }
--- a/node/control/evidence.go
+++ b/node/control/evidence.go
@@ -112,13 +112,13 @@
 		if err != nil {
 			return nil, cursor, err
 		}
-		return list, next, c.dropExpired(ctx, list)
+		return list, next, c.deleteExpired(ctx, list)
 	}
 	return c.opts.Evidence.Next(ctx, cursor, evidenceWait)
 }
 
-// dropExpired deletes the crashes past their retention if there are many.
-func (c *Control) dropExpired(ctx context.Context, list []poison.Crash) error {
+// deleteExpired deletes the crashes past their retention if there are many.
+func (c *Control) deleteExpired(ctx context.Context, list []poison.Crash) error {
 	var expired []poison.Crash
 	for _, crash := range list {
 		if time.Since(crash.At) >= poison.Retention {
--- a/node/control/follow.go
+++ b/node/control/follow.go
@@ -117,7 +117,7 @@
 // leader relays what it reads.
 func (c *Control) followReplicas(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if left := c.relayedReadDue(time.Now()); left > 0 {
+		if left := c.relayedReadDelay(time.Now()); left > 0 {
 			c.sleepAndExpire(ctx, left)
 			continue
 		}
@@ -153,9 +153,9 @@
 	}
 }
 
-// relayedReadDue returns how long this instance may rely on updates relayed by others
+// relayedReadDelay returns how long this instance may rely on updates relayed by others
 // before it reads itself.
-func (c *Control) relayedReadDue(now time.Time) time.Duration {
+func (c *Control) relayedReadDelay(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leadership.Leader {
--- a/node/control/follow_test.go
+++ b/node/control/follow_test.go
@@ -17,18 +17,18 @@
 )
 
 func TestOlderConfigurationsAreIgnored(t *testing.T) {
-	w := newFakePlatform()
-	run(t, w, func(_ *Control, g *gateway.Gateway) {
+	p := newFakePlatform()
+	run(t, p, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(time.Second)
 		require.Equal(t, int64(3), g.Table().Version())
-		older := *w.config
+		older := *p.config
 		older.Version = 2
-		w.set(func() { w.config = &older })
+		p.set(func() { p.config = &older })
 		time.Sleep(10 * time.Second)
 		require.Equal(t, int64(3), g.Table().Version())
 		newer := older
 		newer.Version = 5
-		w.set(func() { w.config = &newer })
+		p.set(func() { p.config = &newer })
 		time.Sleep(10 * time.Second)
 		require.Equal(t, int64(5), g.Table().Version())
 	})
@@ -37,12 +37,12 @@
 // The store responds to a poll only when its wait is over. A version must be in force 2 s
 // after it was acknowledged.
 func TestMissedVersionIsReadWithinTwoSeconds(t *testing.T) {
-	w := newFakePlatform()
-	run(t, w, func(_ *Control, g *gateway.Gateway) {
+	p := newFakePlatform()
+	run(t, p, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(100 * time.Millisecond)
-		newer := *w.config
+		newer := *p.config
 		newer.Version = 4
-		w.set(func() { w.config = &newer })
+		p.set(func() { p.config = &newer })
 		time.Sleep(2 * time.Second)
 		require.Equal(t, int64(4), g.Table().Version())
 	})
@@ -50,13 +50,13 @@
 
 // A poll that has just begun misses a version, which a peer has in force.
 func TestConfigurationFromPeer(t *testing.T) {
-	w := newFakePlatform()
+	p := newFakePlatform()
 	var published []int64
 	o := Options{
 		Peers:    func() int { return minPeersForConfig },
 		OnConfig: func(version int64, _ []byte) { published = append(published, version) },
 	}
-	runWith(t, w, o, func(c *Control, g *gateway.Gateway) {
+	runWith(t, p, o, func(c *Control, g *gateway.Gateway) {
 		time.Sleep(100 * time.Millisecond)
 		c.ApplyConfig([]byte("5"))
 		require.Equal(t, int64(5), g.Table().Version())
@@ -69,14 +69,14 @@
 
 // The store becomes unavailable during a long poll, whose connection may be lost with it.
 func TestPollEndsAfterOutage(t *testing.T) {
-	w := newFakePlatform()
-	runWith(t, w, Options{Peers: func() int { return minPeersForConfig }}, func(_ *Control, g *gateway.Gateway) {
+	p := newFakePlatform()
+	runWith(t, p, Options{Peers: func() int { return minPeersForConfig }}, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(100 * time.Millisecond)
-		w.set(func() { w.unavailable = true })
+		p.set(func() { p.unavailable = true })
 		time.Sleep(2 * time.Second)
-		newer := *w.config
+		newer := *p.config
 		newer.Version = 4
-		w.set(func() { w.unavailable, w.config = false, &newer })
+		p.set(func() { p.unavailable, p.config = false, &newer })
 		time.Sleep(configPollWait + time.Second)
 		require.Equal(t, int64(4), g.Table().Version())
 	})
@@ -100,14 +100,14 @@
 
 // The leader relays what it reads. Mere heartbeats only advance the offset.
 func TestLeaderPublishesUpdates(t *testing.T) {
-	w := newFakePlatform()
+	p := newFakePlatform()
 	published := make(chan roster.Updates, 100)
-	runWith(t, w, Options{OnUpdates: func(u roster.Updates) { published <- u }}, func(*Control, *gateway.Gateway) {
+	runWith(t, p, Options{OnUpdates: func(u roster.Updates) { published <- u }}, func(*Control, *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
 		drainUpdates(published)
-		w.set(func() { w.history = append(w.history, entryAt(0, 2, roster.Ready), entryAt(1, 3, roster.Draining)) })
+		p.set(func() { p.history = append(p.history, entryAt(0, 2, roster.Ready), entryAt(1, 3, roster.Draining)) })
 		time.Sleep(leaderReadInterval + 100*time.Millisecond)
-		require.Equal(t, roster.Updates{From: 0, To: 2, List: w.history[1:]}, <-published)
+		require.Equal(t, roster.Updates{From: 0, To: 2, List: p.history[1:]}, <-published)
 		drainUpdates(published)
 		time.Sleep(2 * time.Second)
 		require.GreaterOrEqual(t, drainUpdates(published), 4, "empty updates are published too")
@@ -131,42 +131,42 @@
 // An instance that is not the leader reads only when nothing has been relayed for a
 // second. A replica that shuts down then gets no new requests after 2 s in any case.
 func TestFollowersReadOnlyWithoutUpdates(t *testing.T) {
-	w := newFakePlatform()
-	w.leader = false
-	run(t, w, func(c *Control, g *gateway.Gateway) {
+	p := newFakePlatform()
+	p.leader = false
+	run(t, p, func(c *Control, g *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		w.set(func() { w.reads = 0 })
+		p.set(func() { p.reads = 0 })
 		for range 10 {
 			c.ApplyUpdates(roster.Updates{})
 			time.Sleep(leaderReadInterval)
 		}
-		w.set(func() { require.LessOrEqual(t, w.reads, 1, "the read that was due when the leader began") })
+		p.set(func() { require.LessOrEqual(t, p.reads, 1, "the read that was due when the leader began") })
 		c.ApplyUpdates(roster.Updates{To: 1, List: []roster.Update{entryAt(0, 2, roster.Draining)}})
 		require.True(t, c.isLeaving("r"))
-		w.set(func() {
-			w.reads = 0
-			w.history = append(w.history, entryAt(0, 2, roster.Draining), roster.Update{ID: "r", Offset: 1})
+		p.set(func() {
+			p.reads = 0
+			p.history = append(p.history, entryAt(0, 2, roster.Draining), roster.Update{ID: "r", Offset: 1})
 		})
 		time.Sleep(relayedReadTimeout + replicaInterval)
 		require.False(t, c.isListed("r"), "changes are read although the leader is unresponsive")
-		w.set(func() { require.Positive(t, w.reads) })
+		p.set(func() { require.Positive(t, p.reads) })
 	})
 }
 
 // During an outage only joins, which are cheap, probe the store often; reads are rare.
 func TestFewReadsDuringOutage(t *testing.T) {
-	w := newFakePlatform()
-	w.leader = false
-	run(t, w, func(c *Control, _ *gateway.Gateway) {
+	p := newFakePlatform()
+	p.leader = false
+	run(t, p, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		w.set(func() { w.unavailable, w.reads = true, 0 })
+		p.set(func() { p.unavailable, p.reads = true, 0 })
 		time.Sleep(10 * time.Second)
-		w.set(func() {
-			require.LessOrEqual(t, w.reads, int(10*time.Second/readRetryInterval)+2)
-			w.unavailable, w.reads = false, 0
+		p.set(func() {
+			require.LessOrEqual(t, p.reads, int(10*time.Second/readRetryInterval)+2)
+			p.unavailable, p.reads = false, 0
 		})
 		time.Sleep(joinRetryInterval + 50*time.Millisecond)
-		w.set(func() { require.Positive(t, w.reads, "read as soon as a join succeeds") })
+		p.set(func() { require.Positive(t, p.reads, "read as soon as a join succeeds") })
 	})
 }
 
@@ -174,16 +174,16 @@
 // so the number of reads does not grow with the instances.
 func TestFewReadsWithoutLeader(t *testing.T) {
 	const instances = 30
-	w := newFakePlatform()
-	w.leader = false
+	p := newFakePlatform()
+	p.leader = false
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		all := make([]*Control, instances)
 		var g errgroup.Group
 		for i := range all {
-			gw := gateway.New(gateway.Options{Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: gateway.NewMetrics(), Control: w})
+			gw := gateway.New(gateway.Options{Client: exchange.New(exchange.Options{}), Logger: zap.NewNop(), Metrics: gateway.NewMetrics(), Control: p})
 			all[i] = New(Options{
-				Configs: configs{w}, Replicas: replicas{w}, Group: w, ReplicaControl: w, Gateway: gw, Logger: zap.NewNop(),
+				Configs: configs{p}, Replicas: replicas{p}, Group: p, ReplicaControl: p, Gateway: gw, Logger: zap.NewNop(),
 				Peers: func() int { return instances - 1 },
 				OnUpdates: func(u roster.Updates) {
 					for k, other := range all {
@@ -198,31 +198,31 @@
 			g.Go(func() error { return c.Run(ctx) })
 		}
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.reads = 0 })
+		p.set(func() { p.reads = 0 })
 		time.Sleep(20 * time.Second)
-		w.set(func() {
-			require.LessOrEqual(t, w.reads, 2*20, "at most two per second for all together")
-			require.GreaterOrEqual(t, w.reads, 20/2, "at least one in two seconds")
+		p.set(func() {
+			require.LessOrEqual(t, p.reads, 2*20, "at most two per second for all together")
+			require.GreaterOrEqual(t, p.reads, 20/2, "at least one in two seconds")
 		})
 		cancel()
 		require.NoError(t, g.Wait())
 	})
 }
 
-// An instance whose peers follow the configuration polls only while it is a designated
-// reader, and once a minute.
+// An instance that is no designated reader receives the configuration from its peers and
+// polls only about once a minute.
 func TestDesignatedReadersPollConfiguration(t *testing.T) {
-	w := newFakePlatform()
-	var turn atomic.Bool
-	runWith(t, w, Options{Peers: func() int { return 94 }, IsDesignatedReader: turn.Load}, func(*Control, *gateway.Gateway) {
+	p := newFakePlatform()
+	var isReader atomic.Bool
+	runWith(t, p, Options{Peers: func() int { return 94 }, IsDesignatedReader: isReader.Load}, func(*Control, *gateway.Gateway) {
 		time.Sleep(20 * time.Second)
-		w.set(func() { require.Zero(t, w.polls) })
-		turn.Store(true)
+		p.set(func() { require.Zero(t, p.polls) })
+		isReader.Store(true)
 		time.Sleep(2 * readerCheckInterval)
-		w.set(func() { require.Equal(t, 1, w.polls) })
-		turn.Store(false)
+		p.set(func() { require.Equal(t, 1, p.polls) })
+		isReader.Store(false)
 		time.Sleep(2*maxConfigReadInterval + configPollWait)
-		w.set(func() { require.InDelta(t, 3, w.polls, 1) })
+		p.set(func() { require.InDelta(t, 3, p.polls, 1) })
 	})
 }
 
@@ -230,13 +230,13 @@
 // might come back, but another instance that has had access to the store all along reports
 // its removal.
 func TestRemovalReportedByPeerAfterOutage(t *testing.T) {
-	w := newFakePlatform()
-	w.leader = false
-	run(t, w, func(c *Control, _ *gateway.Gateway) {
+	p := newFakePlatform()
+	p.leader = false
+	run(t, p, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		w.set(func() { w.unavailable = true })
+		p.set(func() { p.unavailable = true })
 		time.Sleep(3 * time.Second)
-		w.set(func() { w.unavailable = false })
+		p.set(func() { p.unavailable = false })
 		time.Sleep(time.Second)
 		c.ApplyUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
 		require.False(t, c.isLeaving("r"), "it may come back")
@@ -248,13 +248,13 @@
 // Another instance relays its updates while the time for entries to return after an outage
 // expires.
 func TestMissingEntriesExpireAfterOutage(t *testing.T) {
-	w := newFakePlatform()
-	w.leader = false
-	run(t, w, func(c *Control, _ *gateway.Gateway) {
+	p := newFakePlatform()
+	p.leader = false
+	run(t, p, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(2 * time.Second)
-		w.set(func() { w.unavailable = true })
+		p.set(func() { p.unavailable = true })
 		time.Sleep(3 * time.Second)
-		w.set(func() { w.unavailable = false })
+		p.set(func() { p.unavailable = false })
 		back := time.Now()
 		c.ApplyUpdates(roster.Updates{To: 1, List: []roster.Update{{ID: "r"}}})
 		for time.Since(back) < 2900*time.Millisecond {
--- a/node/control/duty.go
+++ b/node/control/leadership.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// leaderMargin is how long before memberTTL after the last join expires the instance
-	// stops to act as the leader.
+	// leaderMargin is how long before the end of its membership, which lasts memberTTL from
+	// its last join, an instance stops acting as the leader.
 	leaderMargin = 700 * time.Millisecond
 	// outageLeadership is how long the leader continues while the store is unavailable.
-	// Outages last some seconds; after a longer one the view of the replicas is too old.
+	// Outages last a few seconds; after a longer one the view of the replicas is too old.
 	outageLeadership = 12 * time.Second
 	// layoutInterval is the time between two evaluations of the layout.
 	layoutInterval = 200 * time.Millisecond
@@ -46,7 +46,7 @@
 
 // membership is the state that an instance keeps between joins.
 type membership struct {
-	// generation is the last one received. Sending it with a join tells the store that
+	// generation is the last one received. A join that carries it shows the store that
 	// this member knows what it no longer owns. changedAt is when it changed.
 	generation int64
 	changedAt  time.Time
@@ -60,11 +60,11 @@
 	isRestart bool
 }
 
-// keepMembership stays in the group until ctx ends or the instance retires, and then
+// keepMembership stays in the group until ctx ends or ReleaseLeadership is called, and then
 // leaves it.
 func (c *Control) keepMembership(ctx context.Context) error {
 	m := membership{started: time.Now(), isRestart: !c.opts.FirstStart}
-	for ctx.Err() == nil && !c.retired.Load() {
+	for ctx.Err() == nil && !c.leadershipReleased.Load() {
 		sent := time.Now()
 		if err := c.join(ctx, sent, &m); err != nil {
 			c.storeFailed(ctx, membershipCall, err)
@@ -104,8 +104,8 @@
 }
 
 // join enters the group or stays in it. The generation grows with each change of the
-// members. When the whole system starts, many join at once, so the number of members is
-// used only once it has not changed for a join.
+// members. When the whole system starts, many instances join together, so the number of
+// members is used only after it has stayed the same from one join to the next.
 func (c *Control) join(ctx context.Context, sent time.Time, m *membership) error {
 	got, err := c.opts.Group.Join(ctx, c.ttl(), m.generation)
 	if err != nil {
@@ -128,22 +128,22 @@
 	return nil
 }
 
-// awaitNextJoin waits for d, or until the instance retires.
+// awaitNextJoin waits for d, or until ReleaseLeadership is called.
 func (c *Control) awaitNextJoin(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-c.retireSignal:
+	case <-c.releaseSignal:
 	case <-ctx.Done():
 	}
 }
 
-// ReleaseLeadership releases the leader task to another instance. Everything else continues until Run
-// ends.
+// ReleaseLeadership leaves the group, so that another instance becomes the leader.
+// Everything else continues until Run ends.
 func (c *Control) ReleaseLeadership() {
-	if c.retired.CompareAndSwap(false, true) {
-		close(c.retireSignal)
+	if c.leadershipReleased.CompareAndSwap(false, true) {
+		close(c.releaseSignal)
 	}
 }
 
@@ -227,9 +227,9 @@
 
 // assignment is a layer assignment in progress.
 type assignment struct {
-	from, to int
-	born     int64
-	until    time.Time
+	from, to  int
+	startTime int64
+	until     time.Time
 }
 
 // runLayout assigns layers to replicas while this instance is the leader.
@@ -259,17 +259,18 @@
 		if service.Model == nil {
 			continue
 		}
-		nodes, entries := c.nodes(service.Name)
-		if c.stillJoining(time.Now(), nodes) {
+		replicas, entries := c.layoutReplicas(service.Name)
+		if c.stillJoining(time.Now(), replicas) {
 			continue
 		}
 		now := time.Now()
-		assignments := layout.Plan(service.Model, nodes, func(zone string) bool { return c.stable(now, zone) })
+		assignments := layout.Plan(service.Model, replicas, func(zone string) bool { return c.stable(now, zone) })
 		c.sendAssignments(ctx, service.Model, entries, assignments, token)
 	}
 }
 
-// ExcludeUnresponsive leaves an unresponsive replica out of the layout before its entry expires.
+// ExcludeUnresponsive leaves an unresponsive replica out of the layout before its entry
+// expires.
 func (c *Control) ExcludeUnresponsive(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,7 +282,7 @@
 		c.lastChange[e.Zone] = time.Now()
 		c.log.Info("replica left out of the layout", zap.String("replica", id), zap.Int64("heartbeat", e.Sequence))
 	}
-	c.unresponsive[id] = failureReport{born: e.StartTime, heartbeat: e.Sequence, until: time.Now().Add(suspectedFailureTime)}
+	c.unresponsive[id] = failureReport{startTime: e.StartTime, heartbeat: e.Sequence, until: time.Now().Add(suspectedFailureTime)}
 }
 
 // suspected reports whether a replica is left out as unresponsive. The lock is held.
@@ -290,7 +291,7 @@
 	if !ok {
 		return false
 	}
-	if s.born != e.StartTime || e.Sequence >= s.heartbeat+recoveryHeartbeats || now.After(s.until) {
+	if s.startTime != e.StartTime || e.Sequence >= s.heartbeat+recoveryHeartbeats || now.After(s.until) {
 		delete(c.unresponsive, e.ID)
 		return false
 	}
@@ -299,9 +300,9 @@
 
 // stillJoining reports whether no replica holds layers yet and replicas are still joining,
 // so that a layout would soon be outdated.
-func (c *Control) stillJoining(now time.Time, nodes []layout.Replica) bool {
-	for _, n := range nodes {
-		if n.To > n.From || n.PendingTo > n.PendingFrom {
+func (c *Control) stillJoining(now time.Time, replicas []layout.Replica) bool {
+	for _, r := range replicas {
+		if r.To > r.From || r.PendingTo > r.PendingFrom {
 			return false
 		}
 	}
@@ -318,9 +319,9 @@
 	return now.Sub(c.lastChange[zone]) >= stableTime
 }
 
-// nodes returns the replicas that can hold layers: what they hold and what was assigned to
-// them.
-func (c *Control) nodes(service string) ([]layout.Replica, map[string]roster.Entry) {
+// layoutReplicas returns the replicas that can hold layers, with the layers that they hold
+// and those that were assigned to them.
+func (c *Control) layoutReplicas(service string) ([]layout.Replica, map[string]roster.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -331,21 +332,21 @@
 			continue
 		}
 		entries[e.ID] = e
-		n := layout.Replica{ID: e.ID, Zone: e.Zone, Kind: e.Kind}
+		r := layout.Replica{ID: e.ID, Zone: e.Zone, Kind: e.Kind}
 		if e.Layers != nil {
-			n.From, n.To = e.Layers.From, e.Layers.To
+			r.From, r.To = e.Layers.From, e.Layers.To
 		}
 		if from, to, ok := c.opts.Gateway.Layers(service, e.ID); ok && e.Layers != nil {
-			n.From, n.To = from, to
+			r.From, r.To = from, to
 		}
 		if p, ok := c.pending[e.ID]; ok {
-			if p.born != e.StartTime || now.After(p.until) || (p.from == n.From && p.to == n.To) {
+			if p.startTime != e.StartTime || now.After(p.until) || (p.from == r.From && p.to == r.To) {
 				delete(c.pending, e.ID)
 			} else {
-				n.PendingFrom, n.PendingTo = p.from, p.to
+				r.PendingFrom, r.PendingTo = p.from, p.to
 			}
 		}
-		out = append(out, n)
+		out = append(out, r)
 	}
 	return out, entries
 }
--- a/node/control/duty_test.go
+++ b/node/control/leadership_test.go
@@ -12,54 +12,54 @@
 )
 
 func TestAssignmentsUseTheGenerationAsToken(t *testing.T) {
-	w := newFakePlatform()
-	run(t, w, func(c *Control, _ *gateway.Gateway) {
+	p := newFakePlatform()
+	run(t, p, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(3 * time.Second)
 		require.True(t, c.Ready())
-		require.Equal(t, []int64{7}, w.tokens())
+		require.Equal(t, []int64{7}, p.tokens())
 	})
 }
 
 // A replica has seen a higher token: this one must not be used again, but a later one may.
 func TestFencedLeaderStops(t *testing.T) {
-	w := newFakePlatform()
-	w.result = gateway.OrderResult{Status: gateway.OrderFenced}
-	run(t, w, func(*Control, *gateway.Gateway) {
+	p := newFakePlatform()
+	p.result = gateway.OrderResult{Status: gateway.OrderFenced}
+	run(t, p, func(*Control, *gateway.Gateway) {
 		time.Sleep(time.Minute)
-		require.Equal(t, []int64{7}, w.tokens())
-		w.set(func() {
-			w.generation = 9
-			w.result = gateway.OrderResult{}
+		require.Equal(t, []int64{7}, p.tokens())
+		p.set(func() {
+			p.generation = 9
+			p.result = gateway.OrderResult{}
 		})
 		time.Sleep(5 * time.Second)
-		require.Equal(t, int64(9), w.tokens()[1])
+		require.Equal(t, int64(9), p.tokens()[1])
 	})
 }
 
 func TestOnlyTheLeaderAssignsLayers(t *testing.T) {
-	w := newFakePlatform()
-	w.leader = false
-	run(t, w, func(*Control, *gateway.Gateway) {
+	p := newFakePlatform()
+	p.leader = false
+	run(t, p, func(*Control, *gateway.Gateway) {
 		time.Sleep(time.Minute)
-		require.Empty(t, w.tokens())
+		require.Empty(t, p.tokens())
 	})
 }
 
 // When the store becomes unavailable, the leader continues for a while, but not against a
 // peer with a later generation.
 func TestLeadershipEndsByOutageOrNewerLeader(t *testing.T) {
-	w := newFakePlatform()
-	run(t, w, func(c *Control, _ *gateway.Gateway) {
+	p := newFakePlatform()
+	run(t, p, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(3 * time.Second)
-		w.set(func() { w.unavailable = true })
+		p.set(func() { p.unavailable = true })
 		time.Sleep(6 * time.Second)
 		require.Equal(t, int64(7), c.LeaderGeneration())
 		time.Sleep(30 * time.Second)
 		require.Zero(t, c.LeaderGeneration(), "after a long outage the view is too old")
-		w.set(func() { w.unavailable = false })
+		p.set(func() { p.unavailable = false })
 		time.Sleep(3 * time.Second)
 		require.Equal(t, int64(7), c.LeaderGeneration())
-		w.set(func() { w.unavailable = true })
+		p.set(func() { p.unavailable = true })
 		time.Sleep(time.Second)
 		c.OtherLeader(8)
 		require.Zero(t, c.LeaderGeneration())
@@ -67,14 +67,14 @@
 }
 
 func TestRetiredInstancesReleaseLeadership(t *testing.T) {
-	w := newFakePlatform()
-	run(t, w, func(c *Control, _ *gateway.Gateway) {
+	p := newFakePlatform()
+	run(t, p, func(c *Control, _ *gateway.Gateway) {
 		time.Sleep(3 * time.Second)
 		c.ReleaseLeadership()
 		time.Sleep(time.Second)
 		require.Zero(t, c.LeaderGeneration())
-		w.set(func() { w.entries = nil })
-		require.True(t, w.left)
+		p.set(func() { p.entries = nil })
+		require.True(t, p.left)
 	})
 }
 
@@ -83,7 +83,7 @@
 	now := time.Unix(1000, 0)
 	c := New(Options{Logger: zap.NewNop()})
 	e := roster.Entry{ID: "r", StartTime: 1, Sequence: 4}
-	c.unresponsive["r"] = failureReport{born: 1, heartbeat: 4, until: now.Add(time.Minute)}
+	c.unresponsive["r"] = failureReport{startTime: 1, heartbeat: 4, until: now.Add(time.Minute)}
 	require.True(t, c.suspected(now, e))
 	e.Sequence = 5
 	require.True(t, c.suspected(now, e))
@@ -95,23 +95,23 @@
 // When the generation changes, the next join sends it. Until then the store does not hand
 // over what the member no longer owns.
 func TestJoinsSendTheLastGeneration(t *testing.T) {
-	w := newFakePlatform()
-	run(t, w, func(*Control, *gateway.Gateway) {
+	p := newFakePlatform()
+	run(t, p, func(*Control, *gateway.Gateway) {
 		time.Sleep(changedGroupJoinInterval / 2)
-		w.set(func() { w.generation = 8 })
+		p.set(func() { p.generation = 8 })
 		time.Sleep(3*changedGroupJoinInterval + changedGroupJoinInterval/4)
-		w.set(func() { require.Equal(t, []int64{0, 7, 8, 8}, w.joinGenerations) })
+		p.set(func() { require.Equal(t, []int64{0, 7, 8, 8}, p.joinGenerations) })
 	})
 }
 
-// The whole system starts at once, and the first member list is incomplete.
+// All instances start at the same time, and the first member list is incomplete.
 func TestInstanceCountIsUsedOnceStable(t *testing.T) {
-	w := newFakePlatform()
-	w.members = []string{"a"}
-	runWith(t, w, Options{FirstStart: true}, func(_ *Control, g *gateway.Gateway) {
+	p := newFakePlatform()
+	p.members = []string{"a"}
+	runWith(t, p, Options{FirstStart: true}, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(changedGroupJoinInterval / 2)
 		require.Zero(t, g.Instances())
-		w.set(func() { w.generation, w.members = 8, []string{"a", "b", "c"} })
+		p.set(func() { p.generation, p.members = 8, []string{"a", "b", "c"} })
 		time.Sleep(joinInterval)
 		require.Zero(t, g.Instances())
 		time.Sleep(startMemberReadInterval + joinInterval)
@@ -119,15 +119,15 @@
 	})
 }
 
-// All instances restart together. Clients return at once, so the number of instances must
-// be known within a second, from a list that was read after all had joined.
+// All instances restart together. Clients reconnect immediately, so the number of instances
+// must be known within a second, from a list that was read after all had joined.
 func TestInstanceCountAfterRestart(t *testing.T) {
-	w := newFakePlatform()
-	w.members = []string{"a"}
-	run(t, w, func(_ *Control, g *gateway.Gateway) {
+	p := newFakePlatform()
+	p.members = []string{"a"}
+	run(t, p, func(_ *Control, g *gateway.Gateway) {
 		time.Sleep(changedGroupJoinInterval / 2)
 		require.Zero(t, g.Instances())
-		w.set(func() { w.generation, w.members = 8, []string{"a", "b", "c"} })
+		p.set(func() { p.generation, p.members = 8, []string{"a", "b", "c"} })
 		time.Sleep(time.Second)
 		require.Equal(t, 3, g.Instances())
 	})
--- a/node/control/port.go
+++ b/node/control/port.go
@@ -26,13 +26,13 @@
 // ConfigSource reads the operator's configurations in order.
 type ConfigSource interface {
 	// Newest returns the newest configuration, nil if there is none, and a cursor. For a
-	// malformed one the error has the type *Malformed.
+	// malformed one the error has the type *MalformedError.
 	Newest(ctx context.Context) (*Published, int64, error)
 	// Next waits up to wait for configurations after the cursor. Malformed ones are
 	// returned beside the valid ones.
 	Next(ctx context.Context, cursor int64, wait time.Duration) ([]*Published, []*MalformedError, int64, error)
 	// Decode decodes a configuration that another instance relayed. The error has the type
-	// *Malformed.
+	// *MalformedError.
 	Decode(content []byte) (*Published, error)
 }
 
@@ -72,6 +72,6 @@
 	Join(ctx context.Context, ttl time.Duration, generation int64) (Membership, error)
 	// Members returns the names of the members.
 	Members(ctx context.Context) ([]string, error)
-	// Leave leaves the group at once.
+	// Leave leaves the group immediately.
 	Leave(ctx context.Context) error
 }
