--- a/node/duty/duty.go
+++ b/node/duty/duty.go
@@ -67,27 +67,27 @@
 }
 
 // Want sets whether this instance should be the leader of the task.
-func (k *Keeper) Want(duty string, wanted bool) {
+func (k *Keeper) Want(task string, wanted bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.machine.SetWanted(duty, wanted)
+	k.machine.SetWanted(task, wanted)
 }
 
 // Valid reports whether this instance may act as the leader of the task now, and under
 // which epoch, the fencing token. Call it again after every wait, immediately before each
 // command: a command that is delayed after that carries an older epoch than any of the
 // next leader's.
-func (k *Keeper) Valid(duty string) (epoch uint64, ok bool) {
+func (k *Keeper) Valid(task string) (epoch uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.machine.Valid(time.Now(), duty)
+	return k.machine.Valid(time.Now(), task)
 }
 
 // Holder returns the last known leader of the task, which may have stopped.
-func (k *Keeper) Holder(duty string) (holder string, epoch uint64, ok bool) {
+func (k *Keeper) Holder(task string) (leader string, epoch uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.machine.Holder(duty)
+	return k.machine.Holder(task)
 }
 
 // Run reads the stream and acquires and renews leases until ctx ends. It returns the error
--- a/node/duty/duty_test.go
+++ b/node/duty/duty_test.go
@@ -39,8 +39,8 @@
 	return valid, epoch
 }
 
-// Exactly one instance holds a lease. It stops acting on it during an outage of the log,
-// and another instance acquires it at once when the holder releases it.
+// Exactly one instance holds a lease. It stops acting as the leader during an outage of the
+// log, and another instance acquires the lease immediately when the leader releases it.
 func TestLeaseThroughOutageAndRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -84,17 +84,17 @@
 // Renewals of all leases of an instance share one append.
 func TestRenewalsShareOneAppend(t *testing.T) {
 	const period = 10 * time.Minute
-	count := func(duties int) (appends, records int) {
+	count := func(tasks int) (appends, records int) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			log := &logtest.Log{}
-			startKeeper(ctx, log, "i", duties)
+			startKeeper(ctx, log, "i", tasks)
 			time.Sleep(period)
 			appends, records = log.Counts()
 			cancel()
 			synctest.Wait()
 		})
-		t.Logf("%d duties: %.3f appends/s, %.3f records/s", duties, float64(appends)/period.Seconds(), float64(records)/period.Seconds())
+		t.Logf("%d leader tasks: %.3f appends/s, %.3f records/s", tasks, float64(appends)/period.Seconds(), float64(records)/period.Seconds())
 		return appends, records
 	}
 	one, _ := count(1)
--- a/node/exchange/exchange.go
+++ b/node/exchange/exchange.go
@@ -316,8 +316,8 @@
 		nc.Close()
 		return nil, trace.Wrap(err, "connection to %s", address)
 	}
-	m := &headLimiter{source: nc}
-	return &conn{Conn: nc, address: address, limiter: m, reader: bufio.NewReaderSize(m, readBufferBytes)}, nil
+	limiter := &headLimiter{source: nc}
+	return &conn{Conn: nc, address: address, limiter: limiter, reader: bufio.NewReaderSize(limiter, readBufferBytes)}, nil
 }
 
 // Refused reports whether a new connection to address is refused, which means that no
--- a/node/exchange/head_limiter.go
+++ b/node/exchange/head_limiter.go
@@ -22,18 +22,18 @@
 }
 
 // setLimit sets the number of bytes that may be read from now on.
-func (m *headLimiter) setLimit(n int64) { m.remaining = n }
+func (l *headLimiter) setLimit(n int64) { l.remaining = n }
 
 // Read implements io.Reader.
-func (m *headLimiter) Read(p []byte) (int, error) {
-	if m.remaining == unlimited {
-		return m.source.Read(p)
+func (l *headLimiter) Read(p []byte) (int, error) {
+	if l.remaining == unlimited {
+		return l.source.Read(p)
 	}
-	if m.remaining == 0 {
-		m.exceeded = true
+	if l.remaining == 0 {
+		l.exceeded = true
 		return 0, ErrHeadTooLarge
 	}
-	n, err := m.source.Read(p[:min(int64(len(p)), m.remaining)])
-	m.remaining -= int64(n)
+	n, err := l.source.Read(p[:min(int64(len(p)), l.remaining)])
+	l.remaining -= int64(n)
 	return n, err
 }
--- a/node/exchange/socket.go
+++ b/node/exchange/socket.go
@@ -19,14 +19,14 @@
 	if err != nil {
 		return err
 	}
-	var set error
+	var setErr error
 	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return setErr
 }
 
 // isReusable reports whether an idle connection can be reused: its peer has not closed it,
--- a/node/follower/follower.go
+++ b/node/follower/follower.go
@@ -131,8 +131,8 @@
 	return f.machine.State()
 }
 
-// MergePeerState merges the state of a peer, which must be authenticated, and reports whether it
-// changed anything. A state whose content is not valid here is rejected.
+// MergePeerState merges the state of a peer, which must be authenticated, and reports
+// whether it changed anything. A state whose content is not valid here is rejected.
 func (f *Follower) MergePeerState(s record.Snapshot) bool {
 	if _, err := f.opts.Decode(s.Content); err != nil || len(s.Winners) > revision.MaxWinners {
 		return false
@@ -214,8 +214,8 @@
 		f.lastReadEmpty = false
 		return
 	}
-	for _, v := range f.machine.Apply(batch) {
-		f.resolve(v)
+	for _, result := range f.machine.Apply(batch) {
+		f.resolve(result)
 	}
 	f.lastReadEmpty = len(batch.Entries) == 0 && f.machine.NextRead() == from
 	f.activateRevision()
--- a/node/follower/publish.go
+++ b/node/follower/publish.go
@@ -19,7 +19,7 @@
 	ErrBaseUnknown = errors.New("base revision is not known here")
 	// ErrUndecided means that the outcome of the proposal is not known yet. It may have
 	// been accepted, or may still be.
-	ErrUndecided = errors.New("fate of the proposal is not known")
+	ErrUndecided = errors.New("outcome of the proposal is not known")
 )
 
 // LostError means that another proposal has already replaced the base revision.
@@ -64,8 +64,8 @@
 		return 0, err
 	}
 	select {
-	case v := <-w.decision:
-		return publishResult(v)
+	case result := <-w.decision:
+		return publishResult(result)
 	case <-ctx.Done():
 		return 0, trace.Wrap(ErrUndecided, ctx.Err().Error())
 	}
@@ -99,10 +99,10 @@
 }
 
 // resolve passes a decision to the waiter of the proposal. The lock is held.
-func (f *Follower) resolve(v revision.ProposalResult) {
-	if w, ok := f.waiters[v.ID]; ok {
-		w.decision <- v
-		delete(f.waiters, v.ID)
+func (f *Follower) resolve(result revision.ProposalResult) {
+	if w, ok := f.waiters[result.ID]; ok {
+		w.decision <- result
+		delete(f.waiters, result.ID)
 	}
 }
 
@@ -120,13 +120,13 @@
 }
 
 // publishResult converts a decision to the result of Publish.
-func publishResult(v revision.ProposalResult) (uint64, error) {
+func publishResult(result revision.ProposalResult) (uint64, error) {
 	switch {
-	case v.Accepted:
-		return v.Winner.Revision, nil
-	case v.Invalid:
+	case result.Accepted:
+		return result.Winner.Revision, nil
+	case result.Invalid:
 		return 0, trace.Wrap(ErrInvalid)
 	default:
-		return 0, trace.Wrap(&LostError{Winner: v.Winner, Revision: v.Revision})
+		return 0, trace.Wrap(&LostError{Winner: result.Winner, Revision: result.Revision})
 	}
 }
--- a/node/follower/subscription.go
+++ b/node/follower/subscription.go
@@ -2,7 +2,7 @@
 
 // Subscription delivers new revisions.
 type Subscription struct {
-	// C delivers the latest revision. Older ones that were not received are dropped.
+	// C delivers the latest revision. Older ones that were not received are discarded.
 	C         <-chan *Revision
 	revisions chan *Revision
 	follower  *Follower
--- a/node/mesh/evidence.go
+++ b/node/mesh/evidence.go
@@ -58,20 +58,20 @@
 func (m *Mesh) shouldSendEvidence(from string, own, digest uint64, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d, known := m.evidenceStates[from]
+	state, known := m.evidenceStates[from]
 	if own == digest {
 		m.evidenceStates[from] = evidenceState{ownDigest: own, peerDigest: digest, changedAt: now}
 		return false
 	}
-	if d.ownDigest != own || d.peerDigest != digest {
-		d.ownDigest, d.peerDigest, d.changedAt = own, digest, now
+	if state.ownDigest != own || state.peerDigest != digest {
+		state.ownDigest, state.peerDigest, state.changedAt = own, digest, now
 	}
-	due := !known || now.Sub(d.changedAt) >= settleTime && !now.Before(d.nextSend)
+	due := !known || now.Sub(state.changedAt) >= settleTime && !now.Before(state.nextSend)
 	if due {
-		d.resendInterval = min(max(2*d.resendInterval, firstResendInterval), maxResendInterval)
-		d.nextSend = now.Add(d.resendInterval)
+		state.resendInterval = min(max(2*state.resendInterval, firstResendInterval), maxResendInterval)
+		state.nextSend = now.Add(state.resendInterval)
 	}
-	m.evidenceStates[from] = d
+	m.evidenceStates[from] = state
 	return due
 }
 
--- a/node/mesh/loads_test.go
+++ b/node/mesh/loads_test.go
@@ -13,9 +13,9 @@
 	"masticbank.example/node/mesh"
 )
 
-// TestZonesExchangeLoadOverRelays has so many instances that load is exchanged between
-// zones by relays only: each instance must know the total load of all others, also after
-// the relay of a zone has ended.
+// TestZonesExchangeLoadOverRelays has so many instances that only relays exchange load
+// between zones: each instance must know the total load of all others, also after the relay
+// of a zone has ended.
 func TestZonesExchangeLoadOverRelays(t *testing.T) {
 	const instances, zones = 24, 3
 	port := freePort(t)
@@ -55,11 +55,11 @@
 	require.NoError(t, all[relay].Close(t.Context()))
 	delete(all, relay)
 	require.Eventually(t, known(instances-2), waitTimeout, 20*time.Millisecond, "another instance replaces the relay of the zone")
-	reading := 0
+	configReaders := 0
 	for _, m := range all {
 		if m.IsConfigReader() {
-			reading++
+			configReaders++
 		}
 	}
-	require.Equal(t, 6, reading, "only the designated readers follow the configuration")
+	require.Equal(t, 6, configReaders, "only the designated readers follow the configuration")
 }
--- a/node/mesh/mesh.go
+++ b/node/mesh/mesh.go
@@ -56,14 +56,15 @@
 	// Links returns the rates at which this instance's requests transfer data between
 	// zones, in prompt tokens per second.
 	Links() map[pipeline.Link]float64
-	// SetRemoteLoad sets the total load of all other instances by replica and by link.
-	SetRemoteLoad(of func(replica string) pipeline.Load, link func(pipeline.Link) float64)
-	// ApplyPeerRejection stops the use of a replica that has rejected count consecutive requests of
+	// SetRemoteLoad sets the total load of all other instances by replica, and the rate of
+	// what they send by link.
+	SetRemoteLoad(loadOf func(replica string) pipeline.Load, rateOf func(pipeline.Link) float64)
+	// ApplyPeerRejection blocks a replica that has rejected count consecutive requests of
 	// another instance.
 	ApplyPeerRejection(replica string, count int)
-	// RecordReports records the states of replicas that another instance has read.
-	RecordReports(of func(replica string) (pipeline.Report, bool))
-	// ApplyPeerUnresponsive stops the use of a replica that another instance found unresponsive.
+	// RecordReports records the reports of replicas that another instance has read.
+	RecordReports(reportOf func(replica string) (pipeline.Report, bool))
+	// ApplyPeerUnresponsive blocks a replica that another instance found unresponsive.
 	ApplyPeerUnresponsive(replica string)
 	// MergeEvidence merges the evidence of another instance on requests that crash
 	// replicas.
@@ -231,9 +232,9 @@
 	return readers.IsDesignated(m.opts.Member, candidates, configReaders)
 }
 
-// Standby reports whether this instance is one of the few that read the
-// replicas' reports if the leader does not publish them. They are chosen by rank among the
-// connected instances.
+// Standby reports whether this instance is one of the few that read the replicas' reports
+// if the leader does not publish them. They are chosen by rank among the connected
+// instances.
 func (m *Mesh) Standby() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/mesh/updates.go
+++ b/node/mesh/updates.go
@@ -68,11 +68,11 @@
 
 func decodeUpdates(m *peerpb.UpstreamChanges) roster.Updates {
 	out := roster.Updates{From: int64(m.GetFromOffset()), To: int64(m.GetToOffset())}
-	for _, one := range m.GetChanges() {
+	for _, change := range m.GetChanges() {
 		out.List = append(out.List, roster.Update{
-			ID:     one.GetUpstream(),
-			Offset: int64(one.GetOffset()),
-			Entry:  decodeEntry(one.GetUpstream(), one.GetEntry()),
+			ID:     change.GetUpstream(),
+			Offset: int64(change.GetOffset()),
+			Entry:  decodeEntry(change.GetUpstream(), change.GetEntry()),
 		})
 	}
 	return out
--- a/node/orders/bench_test.go
+++ b/node/orders/bench_test.go
@@ -24,7 +24,7 @@
 // BenchmarkDo makes calls with distinct keys through one instance. The log takes 0.25 ms
 // per append and accepts 400 appends per second.
 func BenchmarkDo(b *testing.B) {
-	for _, callers := range []int{1, 16, 256} {
+	for _, clients := range []int{1, 16, 256} {
 		for _, c := range []struct {
 			name string
 			opts logstream.AppenderOptions
@@ -32,12 +32,12 @@
 			{"single", logstream.AppenderOptions{MaxRecords: 1, MinInterval: logLimit}},
 			{"group", logstream.AppenderOptions{MinInterval: logLimit}},
 		} {
-			b.Run("callers="+strconv.Itoa(callers)+"/"+c.name, func(b *testing.B) { benchmarkDo(b, callers, c.opts) })
+			b.Run("callers="+strconv.Itoa(clients)+"/"+c.name, func(b *testing.B) { benchmarkDo(b, clients, c.opts) })
 		}
 	}
 }
 
-func benchmarkDo(b *testing.B, callers int, opts logstream.AppenderOptions) {
+func benchmarkDo(b *testing.B, clients int, opts logstream.AppenderOptions) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	log := &logtest.Log{Delay: logDelay}
@@ -48,7 +48,7 @@
 	respond := func(context.Context) order.Response { return order.Response{Status: 200, Execution: execution.Ran} }
 	var wg sync.WaitGroup
 	b.ResetTimer()
-	for range callers {
+	for range clients {
 		wg.Go(func() {
 			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
 				started := time.Now()
--- a/node/orders/do.go
+++ b/node/orders/do.go
@@ -120,8 +120,8 @@
 func (a *attempt) sendCall() []order.Effect {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(a.clientCtx), a.call.Deadline)
 	defer cancel()
-	answer := a.send(ctx)
+	response := a.send(ctx)
 	a.coordinator.mu.Lock()
 	defer a.coordinator.mu.Unlock()
-	return a.machine.HandleResponse(answer)
+	return a.machine.HandleResponse(response)
 }
--- a/node/orders/orders.go
+++ b/node/orders/orders.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Keys returns the number of keys that are remembered.
+// Keys returns the number of keys whose state is kept.
 func (c *Coordinator) Keys() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,8 +155,8 @@
 	sleep(ctx, minRetry+rand.N(maxRetry-minRetry))
 }
 
-// apply applies a batch and notifies the waiters of changed keys, or all of them if records were
-// missed.
+// apply applies a batch and notifies the waiters of changed keys, or all of them if records
+// were missed.
 func (c *Coordinator) apply(batch record.Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/orders/orders_test.go
+++ b/node/orders/orders_test.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// While the log is unavailable, a call is refused at once, and a first attempt gets the
+// While the log is unavailable, a call is refused immediately, and a first attempt gets the
 // result not_run. A call that is known to have run is still replayed.
 func TestCallsWhileLogIsUnavailable(t *testing.T) {
 	runPair(t, func(ctx context.Context, log *logtest.Log, a, b *orders.Coordinator) {
