--- a/cmd/internal/entry/crash_test.go
+++ b/cmd/internal/entry/crash_test.go
@@ -150,14 +150,14 @@
 	}, "all replicas have restarted")
 }
 
-// TestCrashingRequestReachesAtMostThreeReplicas guards against a request that
-// crashes every replica it reaches: copies sent to all instances in turn must crash at
-// most maxCrashes replicas, after which the request is blocked.
+// TestCrashingRequestReachesAtMostThreeReplicas guards against a request that crashes every
+// replica it reaches: copies sent to all instances in turn must crash at most maxCrashes
+// replicas, after which the request is blocked.
 func TestCrashingRequestReachesAtMostThreeReplicas(t *testing.T) {
 	for name, c := range map[string]struct {
 		method, path, service string
 		layers                []int
-		after                 int // events
+		after                 int // CrashAfter, in events
 	}{
 		"idempotent":            {"GET", "/look/1", "plain", nil, 0},
 		"non-idempotent":        {"POST", "/order/1", "plain", nil, 0},
@@ -247,9 +247,9 @@
 	f.eventually(func() bool { return f.send("GET", "/look/1", "key1", "x").status == 200 }, "the request is served")
 }
 
-// TestBlockedRequestDoesNotAffectOthers checks that only the blocked request is
-// rejected: the same request of another workspace, and requests of the same workspace with
-// another path or body, are served.
+// TestBlockedRequestDoesNotAffectOthers checks that only the blocked request is rejected:
+// the same request of another workspace, and requests of the same workspace with another
+// path or body, are served.
 func TestBlockedRequestDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 1)
@@ -291,18 +291,18 @@
 	require.Equal(t, 503, last.status)
 }
 
-// TestPartitionedInstanceReadsEvidenceFromTheStore has an instance that cannot
-// connect to its peers: it must read the evidence from the store.
+// TestPartitionedInstanceReadsEvidenceFromTheStore has an instance that cannot connect to
+// its peers: it must read the evidence from the store.
 func TestPartitionedInstanceReadsEvidenceFromTheStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, "plain", 4, 2)
 	f.peerPort = freePort(f.t)
 	f.addInstance()
-	alone := f.instance
+	partitioned := f.instance
 	f.sendCopies(6, "GET", "/look/1", crashBody)
-	f.eventually(func() bool { return alone.EvidenceCount() >= maxCrashes }, "the evidence is read")
+	f.eventually(func() bool { return partitioned.EvidenceCount() >= maxCrashes }, "the evidence is read")
 	before := f.crashes()
-	f.instance = alone
+	f.instance = partitioned
 	require.Equal(t, 503, f.send("GET", "/look/1", "key1", crashBody).status)
 	require.Equal(t, before, f.crashes())
 }
--- a/cmd/internal/entry/endless_test.go
+++ b/cmd/internal/entry/endless_test.go
@@ -9,19 +9,19 @@
 )
 
 // TestLongResponsesAreNeverTruncated guards against delivering a truncated response: one
-// of the maximum size is delivered whole, a longer one is replaced by an error.
+// of the maximum size is delivered completely, a longer one is replaced by an error.
 func TestLongResponsesAreNeverTruncated(t *testing.T) {
 	const longest = 16 << 20
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a, b := w.newReplica("i-a"), w.newReplica("i-b")
-	w.publishEntry(a, "plain", "ready")
-	w.publishEntry(b, "llm", "ready", 0, 4)
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a, b := env.newReplica("i-a"), env.newReplica("i-b")
+	env.publishEntry(a, "plain", "ready")
+	env.publishEntry(b, "llm", "ready", 0, 4)
+	env.start()
 	for size, delivered := range map[int]bool{longest: true, longest + 1: false} {
 		for path, r := range map[string]*platformtest.Replica{"/order/1": a, "/chat/1": b} {
 			r.SetBehavior(platformtest.Behavior{Status: 500, BodyBytes: size})
-			got := w.send("POST", path, "key1", "x")
+			got := env.send("POST", path, "key1", "x")
 			if delivered {
 				require.Equal(t, 500, got.status, path)
 				require.Len(t, got.body, size, path)
@@ -35,13 +35,13 @@
 // TestEndlessStreamsAreAborted guards against streams that never end: the instance
 // closes the connection, and the client does not see a complete stream.
 func TestEndlessStreamsAreAborted(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
 	a := platformtest.NewReplica("i-a", 1<<30)
 	t.Cleanup(a.Close)
-	w.publishEntry(a, "llm", "ready", 0, 4)
-	w.start()
-	got := w.send("POST", "/chat/1", "key1", "prompt")
+	env.publishEntry(a, "llm", "ready", 0, 4)
+	env.start()
+	got := env.send("POST", "/chat/1", "key1", "prompt")
 	require.Error(t, got.err, "a truncated stream must not look complete")
 	require.Less(t, len(got.body), 64<<20)
 }
--- a/cmd/internal/entry/entry.go
+++ b/cmd/internal/entry/entry.go
@@ -158,8 +158,8 @@
 		},
 		OnLeaving:  func(p roster.Process) { i.control.ReplicaLeaves(p) },
 		OnRejected: func(replica string, count int) { i.mesh.ReportRejection(replica, count) },
-		OnEvidence: func(news poison.Evidence, recurring []poison.Crash) {
-			i.mesh.PublishEvidence(news)
+		OnEvidence: func(delta poison.Evidence, recurring []poison.Crash) {
+			i.mesh.PublishEvidence(delta)
 			i.control.StoreEvidence(recurring)
 		},
 	})
@@ -298,17 +298,17 @@
 
 // Reload reads the settings file again and applies changes. If the file is invalid the
 // current settings stay in effect.
-func (i *Instance) Reload(why string) {
+func (i *Instance) Reload(reason string) {
 	next, err := platform.LoadSettings(i.opts.SettingsPath)
 	if err != nil {
-		i.log.Warn("settings not reloaded", zap.String("why", why), zap.Error(err))
+		i.log.Warn("settings not reloaded", zap.String("why", reason), zap.Error(err))
 		return
 	}
 	if previous := i.settings.Swap(next); *previous == *next {
 		return
 	}
 	i.gateway.SetRetryBound(retryBound(next))
-	i.log.Info("settings reloaded", zap.String("why", why), zap.Any("settings", next))
+	i.log.Info("settings reloaded", zap.String("why", reason), zap.Any("settings", next))
 }
 
 // watchSettings reloads the settings file periodically, so that changes take effect
--- a/cmd/internal/entry/entry_test.go
+++ b/cmd/internal/entry/entry_test.go
@@ -36,15 +36,15 @@
 }
 
 func newEnvironment(t *testing.T) *environment {
-	w := &environment{t: t, store: platformtest.NewStore(), startTime: 1000, sequences: map[string]int64{}, client: &http.Client{Transport: &http.Transport{}}}
-	t.Cleanup(w.store.Close)
-	t.Cleanup(w.client.CloseIdleConnections)
-	return w
+	env := &environment{t: t, store: platformtest.NewStore(), startTime: 1000, sequences: map[string]int64{}, client: &http.Client{Transport: &http.Transport{}}}
+	t.Cleanup(env.store.Close)
+	t.Cleanup(env.client.CloseIdleConnections)
+	return env
 }
 
 // publishConfig publishes a version of the configuration. extra is appended to its routes.
-func (w *environment) publishConfig(version int, extra string) {
-	w.store.Put(platform.OperatorTopic, "config", fmt.Appendf(nil, `{"version":%d,"routes":[
+func (env *environment) publishConfig(version int, extra string) {
+	env.store.Put(platform.OperatorTopic, "config", fmt.Appendf(nil, `{"version":%d,"routes":[
 	{"name":"chat","host":"h.example","pathPrefix":"/chat/","routeKind":"streaming","timeoutMs":20000,"targetLatencyMs":500,"maxAttempts":2,"resumable":true,"service":"llm"},
 	{"name":"order","host":"h.example","pathPrefix":"/order/","routeKind":"non_idempotent","timeoutMs":5000,"maxAttempts":1,"service":"plain"},
 	{"name":"look","host":"h.example","pathPrefix":"/look/","routeKind":"idempotent","timeoutMs":5000,"maxAttempts":2,"service":"plain"},
@@ -57,45 +57,46 @@
 
 // publishEntry publishes the entry of a replica that, if layers has two elements, holds
 // the layers in this half-open range.
-func (w *environment) publishEntry(r *platformtest.Replica, service, state string, layers ...int) {
-	w.sequences[r.ID]++
-	e := r.Entry(service, "z", state, w.startTime, w.sequences[r.ID])
+func (env *environment) publishEntry(r *platformtest.Replica, service, state string, layers ...int) {
+	env.sequences[r.ID]++
+	e := r.Entry(service, "z", state, env.startTime, env.sequences[r.ID])
 	if len(layers) == 2 {
 		e["routeKind"] = "k"
 		e["layers"] = map[string]int{"from": layers[0], "target": layers[1], "version": 1}
 	}
-	w.store.PutJSON(platform.ReplicaTopic, r.ID, e)
+	env.store.PutJSON(platform.ReplicaTopic, r.ID, e)
 }
 
-func (w *environment) newReplica(id string) *platformtest.Replica {
+func (env *environment) newReplica(id string) *platformtest.Replica {
 	r := platformtest.NewReplica(id, 6)
-	w.t.Cleanup(r.Close)
+	env.t.Cleanup(r.Close)
 	return r
 }
 
 // start runs the instance until the test ends, and waits until it is ready.
-func (w *environment) start() {
-	w.instance = w.launchInstance()
-	w.t.Cleanup(func() { require.NoError(w.t, w.instance.Stop()) })
-	w.eventually(func() bool {
-		resp, err := w.client.Get("http://" + w.instance.ReadyAddr() + "/-/ready")
+func (env *environment) start() {
+	env.instance = env.launchInstance()
+	env.t.Cleanup(func() { require.NoError(env.t, env.instance.Stop()) })
+	env.eventually(func() bool {
+		resp, err := env.client.Get("http://" + env.instance.ReadyAddr() + "/-/ready")
 		if err != nil {
 			return false
 		}
 		defer resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	}, "ready")
-	// Before it knows this number, its retry budget depends only on its own requests.
-	w.eventually(func() bool { return w.instance.InstanceCount() > 0 }, "the number of instances")
+	// Until the instance knows the number of instances, its retry budget depends only on its
+	// own requests.
+	env.eventually(func() bool { return env.instance.InstanceCount() > 0 }, "the number of instances")
 }
 
 // launchInstance starts an instance without waiting until it is ready.
-func (w *environment) launchInstance() *entry.Instance {
+func (env *environment) launchInstance() *entry.Instance {
 	i, err := entry.Start(entry.Options{
 		Settings: &platform.Settings{
 			Instance: "edge-1", Zone: "z", IP: "127.0.0.1", CallersAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0",
 			MaxDescriptors: 4100, MemoryMB: 1024,
-			Store: platform.StoreSettings{Address: w.store.Address()},
+			Store: platform.StoreSettings{Address: env.store.Address()},
 			Bounds: platform.Bounds{
 				Shutdown: 5 * time.Second, RetryRatio: 0.2, RetrySlack: 200, RetryWindow: 10 * time.Second,
 			},
@@ -103,13 +104,13 @@
 		Logger:      zap.NewNop(),
 		DrainNotice: 50 * time.Millisecond,
 	})
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
 	return i
 }
 
-func (w *environment) eventually(ok func() bool, what string) {
-	w.t.Helper()
-	require.Eventually(w.t, ok, waitTimeout, 10*time.Millisecond, what)
+func (env *environment) eventually(ok func() bool, what string) {
+	env.t.Helper()
+	require.Eventually(env.t, ok, waitTimeout, 10*time.Millisecond, what)
 }
 
 type response struct {
@@ -119,11 +120,11 @@
 	err    error
 }
 
-func (w *environment) send(method, path, key, body string) response {
-	w.requests++
-	req, err := platformtest.NewRequest(w.instance.ClientAddr(), method, path, fmt.Sprintf("id-%d", w.requests), key, body)
-	require.NoError(w.t, err)
-	resp, err := w.client.Do(req)
+func (env *environment) send(method, path, key, body string) response {
+	env.requests++
+	req, err := platformtest.NewRequest(env.instance.ClientAddr(), method, path, fmt.Sprintf("id-%d", env.requests), key, body)
+	require.NoError(env.t, err)
+	resp, err := env.client.Do(req)
 	if err != nil {
 		return response{err: err}
 	}
@@ -142,13 +143,13 @@
 }
 
 func TestPlainRequests(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a := w.newReplica("i-a")
-	w.publishEntry(a, "plain", "ready")
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a := env.newReplica("i-a")
+	env.publishEntry(a, "plain", "ready")
+	env.start()
 
-	got := w.send("POST", "/order/7?x=%2F", "key1", "two boards")
+	got := env.send("POST", "/order/7?x=%2F", "key1", "two boards")
 	require.NoError(t, got.err)
 	require.Equal(t, 200, got.status)
 	require.Equal(t, "answer of i-a", got.body)
@@ -160,76 +161,76 @@
 	require.Equal(t, "i-a", run.Replica())
 	require.False(t, run.HasKey())
 
-	require.Equal(t, 401, w.send("GET", "/look/1", "", "").status)
-	require.Equal(t, 401, w.send("GET", "/look/1", "key9", "").status)
-	require.Equal(t, 404, w.send("GET", "/nowhere/", "key1", "").status)
-	require.Equal(t, 200, w.send("GET", "/open/1", "", "").status)
+	require.Equal(t, 401, env.send("GET", "/look/1", "", "").status)
+	require.Equal(t, 401, env.send("GET", "/look/1", "key9", "").status)
+	require.Equal(t, 404, env.send("GET", "/nowhere/", "key1", "").status)
+	require.Equal(t, 200, env.send("GET", "/open/1", "", "").status)
 	require.Len(t, a.Runs(), 2)
 }
 
 func TestOrdersAreExecutedOnce(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a, b := w.newReplica("i-a"), w.newReplica("i-b")
-	w.publishEntry(a, "plain", "ready")
-	w.publishEntry(b, "plain", "ready")
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a, b := env.newReplica("i-a"), env.newReplica("i-b")
+	env.publishEntry(a, "plain", "ready")
+	env.publishEntry(b, "plain", "ready")
+	env.start()
 
 	a.SetBehavior(platformtest.Behavior{DropResponse: true})
 	b.SetBehavior(platformtest.Behavior{DropResponse: true})
-	got := w.send("POST", "/order/1", "key1", "x")
+	got := env.send("POST", "/order/1", "key1", "x")
 	require.Equal(t, 502, got.status, "the order may have run")
 	require.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 
 	a.SetBehavior(platformtest.Behavior{Reject: true})
 	b.SetBehavior(platformtest.Behavior{})
-	require.Equal(t, 200, w.send("POST", "/order/2", "key1", "x").status, "a rejected order is sent to another replica")
+	require.Equal(t, 200, env.send("POST", "/order/2", "key1", "x").status, "a rejected order is sent to another replica")
 
 	b.SetBehavior(platformtest.Behavior{Reject: true})
-	got = w.send("POST", "/order/3", "key1", "x")
+	got = env.send("POST", "/order/3", "key1", "x")
 	require.Equal(t, 503, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 
 	a.SetBehavior(platformtest.Behavior{OtherID: true})
-	got = w.send("POST", "/order/4", "key1", "x")
+	got = env.send("POST", "/order/4", "key1", "x")
 	require.Equal(t, 502, got.status, "a response to another request is not accepted")
 
 	a.SetBehavior(platformtest.Behavior{Unsigned: true})
-	got = w.send("POST", "/order/5", "key1", "x")
+	got = env.send("POST", "/order/5", "key1", "x")
 	require.Equal(t, 502, got.status, "a success without a signature is not accepted")
 
 	runs := len(a.Runs())
-	got = w.send("POST", "/order/6", "key1", strings.Repeat("x", 70_000))
+	got = env.send("POST", "/order/6", "key1", strings.Repeat("x", 70_000))
 	require.Equal(t, 413, got.status)
 	require.Len(t, a.Runs(), runs)
 }
 
 func TestLookupsAreRetried(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a, b := w.newReplica("i-a"), w.newReplica("i-b")
-	w.publishEntry(a, "plain", "ready")
-	w.publishEntry(b, "plain", "ready")
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a, b := env.newReplica("i-a"), env.newReplica("i-b")
+	env.publishEntry(a, "plain", "ready")
+	env.publishEntry(b, "plain", "ready")
+	env.start()
 	a.SetBehavior(platformtest.Behavior{DropResponse: true})
 	for range 4 {
-		require.Equal(t, 200, w.send("GET", "/look/1", "key1", "").status)
+		require.Equal(t, 200, env.send("GET", "/look/1", "key1", "").status)
 	}
 	a.SetBehavior(platformtest.Behavior{Status: 500})
 	b.SetBehavior(platformtest.Behavior{Status: 500})
-	got := w.send("GET", "/look/1", "key1", "")
+	got := env.send("GET", "/look/1", "key1", "")
 	require.Equal(t, 500, got.status, "the replica's own error is forwarded")
 	require.NotEmpty(t, platformtest.Signature(got.header))
 }
 
 func TestStreams(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	first, second := w.newReplica("i-1"), w.newReplica("i-2")
-	w.publishEntry(first, "llm", "ready", 0, 2)
-	w.publishEntry(second, "llm", "ready", 2, 4)
-	w.start()
-	got := w.send("POST", "/chat/1", "key1", "prompt")
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	first, second := env.newReplica("i-1"), env.newReplica("i-2")
+	env.publishEntry(first, "llm", "ready", 0, 2)
+	env.publishEntry(second, "llm", "ready", 2, 4)
+	env.start()
+	got := env.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
 	require.Equal(t, 200, got.status)
 	require.Equal(t, completeStream(), got.body)
@@ -239,24 +240,24 @@
 }
 
 func TestBrokenStreamsAreResumedElsewhere(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a, b := w.newReplica("i-a"), w.newReplica("i-b")
-	w.publishEntry(a, "llm", "ready", 0, 4)
-	w.publishEntry(b, "llm", "ready", 0, 4)
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a, b := env.newReplica("i-a"), env.newReplica("i-b")
+	env.publishEntry(a, "llm", "ready", 0, 4)
+	env.publishEntry(b, "llm", "ready", 0, 4)
+	env.start()
 	for i, set := range []platformtest.Behavior{{BreakAfter: 3}, {DropResponse: true}, {Reject: true}} {
 		a.SetBehavior(set)
 		b.SetBehavior(platformtest.Behavior{})
 		for range 3 {
-			got := w.send("POST", "/chat/1", "key1", "prompt")
+			got := env.send("POST", "/chat/1", "key1", "prompt")
 			require.NoError(t, got.err, "case %d", i)
 			require.Equal(t, completeStream(), got.body, "case %d", i)
 		}
 	}
 	a.SetBehavior(platformtest.Behavior{BreakAfter: 2})
 	b.SetBehavior(platformtest.Behavior{BreakAfter: 2})
-	got := w.send("POST", "/chat/1", "key1", "prompt")
+	got := env.send("POST", "/chat/1", "key1", "prompt")
 	require.Error(t, got.err, "a stream that cannot be resumed must not look complete")
 }
 
@@ -271,19 +272,19 @@
 }
 
 func stalledStreamIsMoved(t *testing.T, b platformtest.Behavior) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	first, dead, spare := w.newReplica("i-1"), w.newReplica("i-2"), w.newReplica("i-3")
-	w.publishEntry(first, "llm", "ready", 0, 2)
-	w.publishEntry(dead, "llm", "ready", 2, 4)
-	w.start()
-	w.publishEntry(spare, "llm", "ready", 2, 4)
-	w.eventually(func() bool {
-		return w.send("POST", "/chat/1", "key1", "prompt").status == 200 && w.store.Calls("/-/log-read") > 3
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	first, failed, spare := env.newReplica("i-1"), env.newReplica("i-2"), env.newReplica("i-3")
+	env.publishEntry(first, "llm", "ready", 0, 2)
+	env.publishEntry(failed, "llm", "ready", 2, 4)
+	env.start()
+	env.publishEntry(spare, "llm", "ready", 2, 4)
+	env.eventually(func() bool {
+		return env.send("POST", "/chat/1", "key1", "prompt").status == 200 && env.store.Calls("/-/log-read") > 3
 	}, "the entry of the spare replica is read")
-	b.StallAfter, b.UnresponsiveStage = 2, dead.Address()
+	b.StallAfter, b.UnresponsiveStage = 2, failed.Address()
 	first.SetBehavior(b)
-	got := w.send("POST", "/chat/1", "key1", "prompt")
+	got := env.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
 	require.Equal(t, completeStream(), strings.ReplaceAll(got.body, ": still here\n\n", ""))
 	found := false
@@ -297,13 +298,13 @@
 // replica pauses for more than three times the gap after which it is asked for a report,
 // and reports no stalled request.
 func TestSlowStreamsAreNotAborted(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a := w.newReplica("i-1")
-	w.publishEntry(a, "llm", "ready", 0, 4)
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a := env.newReplica("i-1")
+	env.publishEntry(a, "llm", "ready", 0, 4)
+	env.start()
 	a.SetBehavior(platformtest.Behavior{EventPause: time.Second})
-	got := w.send("POST", "/chat/1", "key1", "prompt")
+	got := env.send("POST", "/chat/1", "key1", "prompt")
 	require.NoError(t, got.err)
 	require.Equal(t, completeStream(), got.body)
 	require.Len(t, a.Runs(), 1)
@@ -311,86 +312,86 @@
 }
 
 func TestLayersAreAssigned(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a := w.newReplica("i-a")
-	e := a.Entry("llm", "z", "ready", w.startTime, 1)
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a := env.newReplica("i-a")
+	e := a.Entry("llm", "z", "ready", env.startTime, 1)
 	e["routeKind"], e["layers"] = "k", nil
-	w.store.PutJSON(platform.ReplicaTopic, a.ID, e)
-	w.start()
-	w.eventually(func() bool { return len(a.Orders()) > 0 }, "an order is received")
+	env.store.PutJSON(platform.ReplicaTopic, a.ID, e)
+	env.start()
+	env.eventually(func() bool { return len(a.Orders()) > 0 }, "an order is received")
 	require.Contains(t, a.Orders()[0], `"from":0`)
 	require.Contains(t, a.Orders()[0], `"target":4`)
 }
 
 func TestConfigurationChanges(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(5, "")
-	a := w.newReplica("i-a")
-	w.publishEntry(a, "plain", "ready")
-	w.start()
-	require.Equal(t, 404, w.send("GET", "/new/", "key1", "").status)
+	env := newEnvironment(t)
+	env.publishConfig(5, "")
+	a := env.newReplica("i-a")
+	env.publishEntry(a, "plain", "ready")
+	env.start()
+	require.Equal(t, 404, env.send("GET", "/new/", "key1", "").status)
 	extra := `,{"name":"new","host":"h.example","pathPrefix":"/new/","routeKind":"idempotent","timeoutMs":5000,"maxAttempts":2,"service":"plain"}`
-	w.publishConfig(9, extra)
-	w.eventually(func() bool { return w.send("GET", "/new/", "key1", "").status == 200 }, "the new route")
-	w.publishConfig(7, "")
-	w.store.Put(platform.OperatorTopic, "config", []byte("{"))
-	w.publishConfig(11, extra+`,{"name":"last","host":"h.example","pathPrefix":"/last/","routeKind":"idempotent","service":"plain"}`)
-	w.eventually(func() bool {
-		require.Equal(t, 200, w.send("GET", "/new/", "key1", "").status, "an older or unreadable version changes nothing")
-		return w.send("GET", "/last/", "key1", "").status == 200
+	env.publishConfig(9, extra)
+	env.eventually(func() bool { return env.send("GET", "/new/", "key1", "").status == 200 }, "the new route")
+	env.publishConfig(7, "")
+	env.store.Put(platform.OperatorTopic, "config", []byte("{"))
+	env.publishConfig(11, extra+`,{"name":"last","host":"h.example","pathPrefix":"/last/","routeKind":"idempotent","service":"plain"}`)
+	env.eventually(func() bool {
+		require.Equal(t, 200, env.send("GET", "/new/", "key1", "").status, "an older or unreadable version changes nothing")
+		return env.send("GET", "/last/", "key1", "").status == 200
 	}, "the last route")
 }
 
 func TestDrainingReplicasGetNoNewRequests(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a, b := w.newReplica("i-a"), w.newReplica("i-b")
-	w.publishEntry(a, "plain", "ready")
-	w.publishEntry(b, "plain", "ready")
-	w.start()
-	w.publishEntry(a, "plain", "draining")
-	w.eventually(func() bool {
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a, b := env.newReplica("i-a"), env.newReplica("i-b")
+	env.publishEntry(a, "plain", "ready")
+	env.publishEntry(b, "plain", "ready")
+	env.start()
+	env.publishEntry(a, "plain", "draining")
+	env.eventually(func() bool {
 		before := len(a.Runs())
 		for range 6 {
-			w.send("GET", "/look/1", "key1", "")
+			env.send("GET", "/look/1", "key1", "")
 		}
 		return len(a.Runs()) == before
 	}, "no new requests for the leaving replica")
 }
 
 func TestServesWhileTheStoreIsUnavailable(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a := w.newReplica("i-a")
-	w.publishEntry(a, "plain", "ready")
-	w.start()
-	w.store.Fail(503)
-	calls := w.store.Calls("/-/log-read")
-	w.eventually(func() bool { return w.store.Calls("/-/log-read") > calls+4 }, "failed reads")
-	require.Equal(t, 200, w.send("GET", "/look/1", "key1", "").status)
-	w.store.Fail(0)
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a := env.newReplica("i-a")
+	env.publishEntry(a, "plain", "ready")
+	env.start()
+	env.store.Fail(503)
+	calls := env.store.Calls("/-/log-read")
+	env.eventually(func() bool { return env.store.Calls("/-/log-read") > calls+4 }, "failed reads")
+	require.Equal(t, 200, env.send("GET", "/look/1", "key1", "").status)
+	env.store.Fail(0)
 }
 
 func TestStreamsCompleteBeforeTheInstanceStops(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a := w.newReplica("i-a")
-	w.publishEntry(a, "llm", "ready", 0, 4)
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a := env.newReplica("i-a")
+	env.publishEntry(a, "llm", "ready", 0, 4)
+	env.start()
 	a.SetBehavior(platformtest.Behavior{StallAfter: 2, UnresponsiveStage: "127.0.0.1:9"})
-	req, err := platformtest.NewRequest(w.instance.ClientAddr(), "POST", "/chat/1", "stopping", "key1", "prompt")
+	req, err := platformtest.NewRequest(env.instance.ClientAddr(), "POST", "/chat/1", "stopping", "key1", "prompt")
 	require.NoError(t, err)
-	resp, err := w.client.Do(req)
+	resp, err := env.client.Do(req)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	lines := bufio.NewReader(resp.Body)
 	head, err := lines.ReadString('\n')
 	require.NoError(t, err)
 	stopped := make(chan error, 1)
-	go func() { stopped <- w.instance.Stop() }()
-	w.eventually(func() bool {
-		ready, err := w.client.Get("http://" + w.instance.ReadyAddr() + "/-/ready")
+	go func() { stopped <- env.instance.Stop() }()
+	env.eventually(func() bool {
+		ready, err := env.client.Get("http://" + env.instance.ReadyAddr() + "/-/ready")
 		if err != nil {
 			return false
 		}
@@ -408,23 +409,23 @@
 // reconnect after the previous process ended.
 func TestRequestsJustAfterTheStartAreServed(t *testing.T) {
 	for range 5 {
-		w := newEnvironment(t)
-		w.publishConfig(1, "")
-		w.publishEntry(w.newReplica("i-a"), "plain", "ready")
-		w.instance = w.launchInstance()
-		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
-		require.NoError(t, w.instance.Stop())
+		env := newEnvironment(t)
+		env.publishConfig(1, "")
+		env.publishEntry(env.newReplica("i-a"), "plain", "ready")
+		env.instance = env.launchInstance()
+		require.Equal(t, http.StatusOK, env.send("GET", "/look/1", "key1", "").status)
+		require.NoError(t, env.instance.Stop())
 	}
 }
 
 // TestWaitForTheStoreIsBounded has a store that is unavailable from the start on: requests
 // must get a response instead of waiting forever.
 func TestWaitForTheStoreIsBounded(t *testing.T) {
-	w := newEnvironment(t)
-	w.store.Fail(http.StatusServiceUnavailable)
-	w.instance = w.launchInstance()
-	t.Cleanup(func() { require.NoError(t, w.instance.Stop()) })
-	got := w.send("GET", "/look/1", "key1", "")
+	env := newEnvironment(t)
+	env.store.Fail(http.StatusServiceUnavailable)
+	env.instance = env.launchInstance()
+	t.Cleanup(func() { require.NoError(t, env.instance.Stop()) })
+	got := env.send("GET", "/look/1", "key1", "")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 }
--- a/cmd/internal/entry/replica_status_test.go
+++ b/cmd/internal/entry/replica_status_test.go
@@ -27,50 +27,50 @@
 	return n
 }
 
-// TestLeavingReplicaGetsNoMoreRequests guards against sending requests to a plain
-// replica that states in its responses that it is leaving while its entry stays ready. The
-// statement must stay in effect after an outage of the store during which the entry was
-// removed and added again.
+// TestLeavingReplicaGetsNoMoreRequests guards against sending requests to a plain replica
+// whose responses say that it is leaving while its entry stays ready. It must get none
+// either after an outage of the store during which the entry was removed and added again.
 func TestLeavingReplicaGetsNoMoreRequests(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a, b := w.newReplica("i-a"), w.newReplica("i-b")
-	w.publishEntry(a, "plain", "ready")
-	w.publishEntry(b, "plain", "ready")
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a, b := env.newReplica("i-a"), env.newReplica("i-b")
+	env.publishEntry(a, "plain", "ready")
+	env.publishEntry(b, "plain", "ready")
+	env.start()
 	a.SetBehavior(platformtest.Behavior{Leaving: true})
 	before := len(a.Runs())
-	w.eventually(func() bool {
-		w.send("GET", "/look/1", "key1", "")
+	env.eventually(func() bool {
+		env.send("GET", "/look/1", "key1", "")
 		return len(a.Runs()) > before
 	}, "one response states that the replica is leaving")
 	stated := time.Now()
 	for range 20 {
-		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
+		require.Equal(t, http.StatusOK, env.send("GET", "/look/1", "key1", "").status)
 	}
-	w.store.Fail(http.StatusServiceUnavailable)
+	env.store.Fail(http.StatusServiceUnavailable)
 	time.Sleep(300 * time.Millisecond)
-	w.store.Put(platform.ReplicaTopic, a.ID, nil)
-	w.store.Fail(0)
+	env.store.Put(platform.ReplicaTopic, a.ID, nil)
+	env.store.Fail(0)
 	time.Sleep(300 * time.Millisecond)
-	w.publishEntry(a, "plain", "ready")
+	env.publishEntry(a, "plain", "ready")
 	time.Sleep(1200 * time.Millisecond)
 	for range 20 {
-		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
+		require.Equal(t, http.StatusOK, env.send("GET", "/look/1", "key1", "").status)
 	}
 	require.Zero(t, arrivedAfter(a, stated))
 
-	w.startTime++
+	env.startTime++
 	a.SetBehavior(platformtest.Behavior{})
-	w.publishEntry(a, "plain", "ready")
-	w.eventually(func() bool {
-		w.send("GET", "/look/1", "key1", "")
+	env.publishEntry(a, "plain", "ready")
+	env.eventually(func() bool {
+		env.send("GET", "/look/1", "key1", "")
 		return arrivedAfter(a, stated) > 0
 	}, "a new process of the replica is used")
 }
 
-// TestLeavingStageGetsNoMoreRequests does the same for the first stage of a path:
-// streams that run there complete, and the other instance stops sending requests too.
+// TestLeavingStageGetsNoMoreRequests guards against sending requests to the first stage of a
+// path after its responses say that it is leaving. Streams that run there must complete,
+// and the other instance must stop sending requests too.
 func TestLeavingStageGetsNoMoreRequests(t *testing.T) {
 	f := newFleet(t, "llm", 2, 2, 0, 4)
 	a, b := f.replicas[0], f.replicas[1]
@@ -95,59 +95,60 @@
 	require.Zero(t, arrivedAfter(a, stated))
 }
 
-// TestPausedReplicaGetsNoRequests guards against sending requests to plain
-// replicas that reject requests and ask for a pause with Retry-After.
+// TestPausedReplicaGetsNoRequests guards against sending requests to plain replicas that
+// reject requests and ask for a pause with Retry-After.
 func TestPausedReplicaGetsNoRequests(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	a, b := w.newReplica("i-a"), w.newReplica("i-b")
-	w.publishEntry(a, "plain", "ready")
-	w.publishEntry(b, "plain", "ready")
-	w.start()
-	asks := platformtest.Behavior{Reject: true, RetryAfter: fmt.Sprint(pauseSeconds)}
-	a.SetBehavior(asks)
-	w.eventually(func() bool {
-		w.send("GET", "/look/1", "key1", "")
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	a, b := env.newReplica("i-a"), env.newReplica("i-b")
+	env.publishEntry(a, "plain", "ready")
+	env.publishEntry(b, "plain", "ready")
+	env.start()
+	pausing := platformtest.Behavior{Reject: true, RetryAfter: fmt.Sprint(pauseSeconds)}
+	a.SetBehavior(pausing)
+	env.eventually(func() bool {
+		env.send("GET", "/look/1", "key1", "")
 		return len(a.Arrivals()) > 0
 	}, "a request reaches the replica")
-	asked := a.Arrivals()[0]
-	for time.Since(asked) < time.Second {
-		require.Equal(t, http.StatusOK, w.send("GET", "/look/1", "key1", "").status)
+	pausedAt := a.Arrivals()[0]
+	for time.Since(pausedAt) < time.Second {
+		require.Equal(t, http.StatusOK, env.send("GET", "/look/1", "key1", "").status)
 		time.Sleep(5 * time.Millisecond)
 	}
 	require.Len(t, a.Arrivals(), 1)
 
-	// All replicas ask for a pause: the client gets the shortest remaining time at once.
-	b.SetBehavior(asks)
-	w.send("GET", "/look/1", "key1", "")
-	began := time.Now()
-	got := w.send("GET", "/look/1", "key1", "")
+	// All replicas ask for a pause: the client gets the shortest remaining time immediately.
+	b.SetBehavior(pausing)
+	env.send("GET", "/look/1", "key1", "")
+	sentAt := time.Now()
+	got := env.send("GET", "/look/1", "key1", "")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
-	left := asked.Add(time.Duration(pauseSeconds * float64(time.Second))).Sub(began).Seconds()
+	left := pausedAt.Add(time.Duration(pauseSeconds * float64(time.Second))).Sub(sentAt).Seconds()
 	require.InDelta(t, left, wait, 0.25, "the rest of the first pause plus a random tenth")
-	require.Zero(t, arrivedAfter(b, began), "the replica is known to be paused and gets no request")
+	require.Zero(t, arrivedAfter(b, sentAt), "the replica is known to be paused and gets no request")
 }
 
-// TestPausedStageGetsNoRequests does the same for the second stage of a path;
-// another replica holds the same layers.
+// TestPausedStageGetsNoRequests guards against sending requests over the second stage of a
+// path that was named as the cause of a rejection with Retry-After. Another replica holds
+// the same layers.
 func TestPausedStageGetsNoRequests(t *testing.T) {
-	w := newEnvironment(t)
-	w.publishConfig(1, "")
-	first, other, stage := w.newReplica("i-0"), w.newReplica("i-1"), w.newReplica("i-2")
-	w.publishEntry(first, "llm", "ready", 0, 4)
-	w.publishEntry(other, "llm", "ready", 0, 4)
-	w.publishEntry(stage, "llm", "ready", 2, 4)
-	w.start()
+	env := newEnvironment(t)
+	env.publishConfig(1, "")
+	first, other, stage := env.newReplica("i-0"), env.newReplica("i-1"), env.newReplica("i-2")
+	env.publishEntry(first, "llm", "ready", 0, 4)
+	env.publishEntry(other, "llm", "ready", 0, 4)
+	env.publishEntry(stage, "llm", "ready", 2, 4)
+	env.start()
 	first.SetBehavior(platformtest.Behavior{Reject: true, RejectStage: stage.Address(), RetryAfter: fmt.Sprint(pauseSeconds)})
-	w.eventually(func() bool {
-		w.send("POST", "/chat/1", "key1", "x")
+	env.eventually(func() bool {
+		env.send("POST", "/chat/1", "key1", "x")
 		return len(first.Arrivals()) > 0
 	}, "a request reaches the replica")
-	asked := first.Arrivals()[0]
-	for time.Since(asked) < time.Second {
-		require.Equal(t, http.StatusOK, w.send("POST", "/chat/1", "key1", "x").status)
+	pausedAt := first.Arrivals()[0]
+	for time.Since(pausedAt) < time.Second {
+		require.Equal(t, http.StatusOK, env.send("POST", "/chat/1", "key1", "x").status)
 		time.Sleep(5 * time.Millisecond)
 	}
 	require.Len(t, first.Arrivals(), 1)
