--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -33,7 +33,7 @@
 type Crash struct {
 	Fingerprint Fingerprint
 	Run         Run
-	Replica     Process
+	Process     Process
 	Progressed  bool
 	At          time.Time
 	// Local is true if this instance dispatched the run.
--- a/core/poison/incidents.go
+++ b/core/poison/incidents.go
@@ -18,7 +18,7 @@
 func (l *Ledger) incidentWeight(f Fingerprint, incident []Crash) float64 {
 	weight := progressedWeight
 	for _, c := range incident {
-		if by, ok := l.explainedBy[c.Replica]; ok && by != f {
+		if by, ok := l.explainedBy[c.Process]; ok && by != f {
 			return 0
 		}
 		if !c.Progressed {
@@ -34,7 +34,7 @@
 	for _, c := range crashes {
 		group := []Crash{c}
 		groups = slices.DeleteFunc(groups, func(g []Crash) bool {
-			shared := slices.ContainsFunc(g, func(x Crash) bool { return x.Run == c.Run || x.Replica == c.Replica })
+			shared := slices.ContainsFunc(g, func(x Crash) bool { return x.Run == c.Run || x.Process == c.Process })
 			if shared {
 				group = append(group, g...)
 			}
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -193,7 +193,7 @@
 
 // recordCrash adds the crash of a run dispatched by this instance.
 func (l *Ledger) recordCrash(now time.Time, run LostRun, r Process) []Crash {
-	c := Crash{Fingerprint: run.Fingerprint, Run: run.Run, Replica: r, Progressed: run.Progressed, At: now, Local: true}
+	c := Crash{Fingerprint: run.Fingerprint, Run: run.Run, Process: r, Progressed: run.Progressed, At: now, Local: true}
 	if !l.add(now, c) {
 		return nil
 	}
@@ -262,7 +262,7 @@
 		r = &crashHistory{}
 		l.tracked[c.Fingerprint] = r
 	}
-	if len(r.crashes) >= maxCrashesEach || slices.ContainsFunc(r.crashes, func(x Crash) bool { return x.Run == c.Run && x.Replica == c.Replica }) {
+	if len(r.crashes) >= maxCrashesEach || slices.ContainsFunc(r.crashes, func(x Crash) bool { return x.Run == c.Run && x.Process == c.Process }) {
 		return false
 	}
 	l.digestValid = false
@@ -319,8 +319,8 @@
 	}
 	r.blocked = true
 	for _, c := range r.crashes {
-		if _, ok := l.explainedBy[c.Replica]; !ok {
-			l.explainedBy[c.Replica] = f
+		if _, ok := l.explainedBy[c.Process]; !ok {
+			l.explainedBy[c.Process] = f
 		}
 	}
 }
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -325,7 +325,7 @@
 		for range rapid.IntRange(1, 10).Draw(t, "crashes") {
 			crashes = append(crashes, Crash{
 				Run:     Run{Attempt: uint64(rapid.IntRange(0, 5).Draw(t, "run"))},
-				Replica: process(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "replica")), 1),
+				Process: process(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "replica")), 1),
 			})
 		}
 		want := len(incidents(crashes))
--- a/core/poison/state.go
+++ b/core/poison/state.go
@@ -33,7 +33,7 @@
 		}
 		c.Local = false
 		if l.add(now, c) && now.Sub(c.At) <= matchWindow {
-			proved = append(proved, l.recordEnd(now, c.Replica, c.At)...)
+			proved = append(proved, l.recordEnd(now, c.Process, c.At)...)
 		}
 	}
 	return proved
@@ -118,6 +118,6 @@
 	b = append(b, c.Fingerprint[:]...)
 	b = binary.LittleEndian.AppendUint64(b, c.Run.Attempt)
 	b = binary.LittleEndian.AppendUint32(b, c.Run.Number)
-	b = binary.LittleEndian.AppendUint64(b, uint64(c.Replica.StartTime))
-	return xxhash.Sum64(append(b, c.Replica.Replica...))
+	b = binary.LittleEndian.AppendUint64(b, uint64(c.Process.StartTime))
+	return xxhash.Sum64(append(b, c.Process.Replica...))
 }
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -58,7 +58,7 @@
 	c := t.crashOf(now, replica)
 	for _, f := range candidates {
 		if t.addCandidate(c, f) {
-			t.queueUpdate(Crash{Fingerprint: f, Replica: Process{Replica: replica}, At: now})
+			t.queueUpdate(Crash{Fingerprint: f, Process: Process{Replica: replica}, At: now})
 		}
 	}
 	decisions := make([]Decision, len(candidates))
@@ -87,7 +87,7 @@
 	t.expireCrashes(now)
 	for _, c := range evidence.Crashes {
 		if now.Sub(c.At) < t.retention {
-			t.addCandidate(t.crashOf(c.At, c.Replica.Replica), c.Fingerprint)
+			t.addCandidate(t.crashOf(c.At, c.Process.Replica), c.Fingerprint)
 		}
 	}
 	for _, c := range evidence.Clearances {
--- a/node/app/log.go
+++ b/node/app/log.go
@@ -42,7 +42,7 @@
 		Appender: a.newAppender(p.LeaseStream),
 		Stream:   p.LeaseStream,
 		Self:     a.opts.Settings.Instance.ID,
-		Terms:    duty.DefaultTerms(),
+		Timing:   duty.DefaultTiming(),
 		Logger:   a.logger,
 	})
 	a.leaderTasks.Want(duty.SnapshotTask, true)
@@ -106,7 +106,7 @@
 	flushed := a.orders.Flush(ctx)
 	// A lease expires after its time to live anyway, so waiting longer for the log
 	// gains nothing.
-	ctx, cancel := context.WithTimeout(ctx, duty.DefaultTerms().TTL)
+	ctx, cancel := context.WithTimeout(ctx, duty.DefaultTiming().TTL)
 	defer cancel()
 	if err := a.leaderTasks.Release(ctx); err != nil {
 		a.logger.Warn("failed to release leader leases; they will expire", zap.Error(err))
--- a/node/control/assignments.go
+++ b/node/control/assignments.go
@@ -42,17 +42,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch res.Status {
-	case gateway.OrderAccepted:
+	case gateway.CommandAccepted:
 		p := c.pending[a.ID]
 		p.until = time.Now().Add(loadTime(m, a.To-a.From, concurrent))
 		c.pending[a.ID] = p
-	case gateway.OrderFenced:
+	case gateway.CommandFenced:
 		c.leadership.rejectedToken = max(c.leadership.rejectedToken, token)
-	case gateway.OrderConflict:
+	case gateway.CommandConflict:
 		p := c.pending[a.ID]
 		p.until = time.Now().Add(conflictRetryDelay)
 		c.pending[a.ID] = p
-	case gateway.OrderOtherReplica, gateway.OrderUnknownRequest:
+	case gateway.CommandOtherReplica, gateway.CommandUnknownRequest:
 	}
 }
 
--- a/node/control/control_test.go
+++ b/node/control/control_test.go
@@ -33,7 +33,7 @@
 	// reads counts the reads of the history, polls those of the configuration.
 	reads           int
 	polls           int
-	result          gateway.OrderResult
+	result          gateway.CommandResult
 	tokensUsed      []int64 // fencing tokens
 	joinGenerations []int64 // generations sent with joins
 }
@@ -128,15 +128,15 @@
 	return gateway.Report{}, errUnavailable
 }
 
-func (p *fakePlatform) AssignLayers(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.OrderResult, error) {
+func (p *fakePlatform) AssignLayers(_ context.Context, _ gateway.Replica, _, _ int, fence int64) (gateway.CommandResult, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tokensUsed = append(p.tokensUsed, fence)
 	return p.result, nil
 }
 
-func (p *fakePlatform) Repath(context.Context, gateway.Replica, string, pipeline.Path) (gateway.OrderResult, error) {
-	return gateway.OrderResult{}, errUnavailable
+func (p *fakePlatform) Repath(context.Context, gateway.Replica, string, pipeline.Path) (gateway.CommandResult, error) {
+	return gateway.CommandResult{}, errUnavailable
 }
 
 func newFakePlatform() *fakePlatform {
--- a/node/control/leadership_test.go
+++ b/node/control/leadership_test.go
@@ -23,13 +23,13 @@
 // A replica has seen a higher token: this one must not be used again, but a later one may.
 func TestFencedLeaderStops(t *testing.T) {
 	p := newFakePlatform()
-	p.result = gateway.OrderResult{Status: gateway.OrderFenced}
+	p.result = gateway.CommandResult{Status: gateway.CommandFenced}
 	run(t, p, func(*Control, *gateway.Gateway) {
 		time.Sleep(time.Minute)
 		require.Equal(t, []int64{7}, p.tokens())
 		p.set(func() {
 			p.generation = 9
-			p.result = gateway.OrderResult{}
+			p.result = gateway.CommandResult{}
 		})
 		time.Sleep(5 * time.Second)
 		require.Equal(t, int64(9), p.tokens()[1])
--- a/node/duty/duty.go
+++ b/node/duty/duty.go
@@ -32,8 +32,8 @@
 	maxRetry        = 500 * time.Millisecond
 )
 
-// DefaultTerms returns the default lease durations.
-func DefaultTerms() lease.Timing {
+// DefaultTiming returns the default lease durations.
+func DefaultTiming() lease.Timing {
 	return lease.Timing{TTL: defaultTTL, Margin: defaultMargin, Renew: defaultRenewInterval}
 }
 
@@ -44,7 +44,7 @@
 	Stream   string
 	// Self is the name of this instance.
 	Self   string
-	Terms  lease.Timing
+	Timing lease.Timing
 	Logger *zap.Logger
 }
 
@@ -63,7 +63,7 @@
 	if opts.Logger == nil {
 		opts.Logger = zap.NewNop()
 	}
-	return &Keeper{opts: opts, machine: lease.New(opts.Terms, opts.Self, uuid.NewString())}
+	return &Keeper{opts: opts, machine: lease.New(opts.Timing, opts.Self, uuid.NewString())}
 }
 
 // Want sets whether this instance should be the leader of the task.
@@ -83,8 +83,8 @@
 	return k.machine.Valid(time.Now(), task)
 }
 
-// Holder returns the last known leader of the task, which may have stopped.
-func (k *Keeper) Holder(task string) (leader string, epoch uint64, ok bool) {
+// Leader returns the last known leader of the task, which may have stopped.
+func (k *Keeper) Leader(task string) (leader string, epoch uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.machine.Holder(task)
@@ -96,7 +96,7 @@
 	var reader sync.WaitGroup
 	reader.Go(func() { k.readStream(ctx) })
 	defer reader.Wait()
-	ticker := time.NewTicker(k.opts.Terms.Renew / stepsPerRenewal)
+	ticker := time.NewTicker(k.opts.Timing.Renew / stepsPerRenewal)
 	defer ticker.Stop()
 	for {
 		select {
@@ -145,7 +145,7 @@
 			continue
 		}
 		failures = 0
-		wait = k.opts.Terms.Renew
+		wait = k.opts.Timing.Renew
 		k.mu.Lock()
 		k.machine.Apply(time.Now(), batch)
 		k.mu.Unlock()
@@ -177,7 +177,7 @@
 	if len(records) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Terms.TTL)
+	ctx, cancel := context.WithTimeout(ctx, k.opts.Timing.TTL)
 	done, err := k.startAppend(ctx, records)
 	if err != nil {
 		cancel()
--- a/node/duty/duty_test.go
+++ b/node/duty/duty_test.go
@@ -18,7 +18,7 @@
 
 func startKeeper(ctx context.Context, log *logtest.Log, self string, tasks int) *duty.Keeper {
 	appender := logstream.NewAppender(log, stream, logstream.AppenderOptions{})
-	k := duty.New(duty.Options{Log: log, Appender: appender, Stream: stream, Self: self, Terms: duty.DefaultTerms()})
+	k := duty.New(duty.Options{Log: log, Appender: appender, Stream: stream, Self: self, Timing: duty.DefaultTiming()})
 	for i := range tasks {
 		k.Want(leaseName(i), true)
 	}
@@ -49,7 +49,7 @@
 		for i := range 3 {
 			keepers = append(keepers, startKeeper(ctx, log, fmt.Sprint("i", i), 1))
 		}
-		terms := duty.DefaultTerms()
+		terms := duty.DefaultTiming()
 		time.Sleep(terms.TTL + terms.Renew)
 		first, epoch := validHolders(keepers)
 		require.Len(t, first, 1)
--- a/node/gateway/crashes.go
+++ b/node/gateway/crashes.go
@@ -151,8 +151,8 @@
 func (k *crashGuard) logCrashes(crashes []poison.Crash, evidence string) {
 	for _, c := range crashes {
 		k.metrics.CountCrash()
-		k.log.Info("replica ended while running a request", zap.Stringer("fingerprint", c.Fingerprint), zap.String("replica", c.Replica.Replica),
-			zap.Int64("born", c.Replica.StartTime), zap.String("sign", evidence), zap.Bool("progressed", c.Progressed),
+		k.log.Info("replica ended while running a request", zap.Stringer("fingerprint", c.Fingerprint), zap.String("replica", c.Process.Replica),
+			zap.Int64("born", c.Process.StartTime), zap.String("sign", evidence), zap.Bool("progressed", c.Progressed),
 			zap.Uint64("attempt", c.Run.Attempt), zap.Uint32("run", c.Run.Number),
 			zap.Int("incidents", k.ledger.Incidents(c.Fingerprint)))
 		if k.ledger.IsBlocked(c.Fingerprint) {
@@ -172,7 +172,7 @@
 	}
 	list := make([]item, 0, len(crashes))
 	for _, c := range crashes {
-		list = append(list, item{c.Replica.Replica, c.Replica.StartTime, time.Since(c.At).Milliseconds(), c.Local})
+		list = append(list, item{c.Process.Replica, c.Process.StartTime, time.Since(c.At).Milliseconds(), c.Local})
 	}
 	return zap.Any("crashes", list)
 }
--- a/node/gateway/port.go
+++ b/node/gateway/port.go
@@ -112,32 +112,32 @@
 	Stalled map[string]string
 }
 
-// OrderStatus is the status with which a replica responds to a command: a layer assignment
+// CommandStatus is the status with which a replica responds to a command: a layer assignment
 // or a path change.
-type OrderStatus int
+type CommandStatus int
 
 // Results of commands.
 const (
-	// OrderAccepted means that execution has begun or is done.
-	OrderAccepted OrderStatus = iota
-	// OrderConflict means that the command does not fit the state of the replica.
-	OrderConflict
-	// OrderFenced means that the replica has seen a higher fencing token.
-	OrderFenced
-	// OrderUnknownRequest means that the replica does not run the request.
-	OrderUnknownRequest
-	// OrderOtherReplica means that the address now belongs to another replica.
-	OrderOtherReplica
+	// CommandAccepted means that execution has begun or is done.
+	CommandAccepted CommandStatus = iota
+	// CommandConflict means that the command does not fit the state of the replica.
+	CommandConflict
+	// CommandFenced means that the replica has seen a higher fencing token.
+	CommandFenced
+	// CommandUnknownRequest means that the replica does not run the request.
+	CommandUnknownRequest
+	// CommandOtherReplica means that the address now belongs to another replica.
+	CommandOtherReplica
 )
 
 // String returns the name of the status in logs.
-func (s OrderStatus) String() string {
+func (s CommandStatus) String() string {
 	return [...]string{"taken", "conflict", "fenced", "unknown_request", "other_replica"}[s]
 }
 
-// OrderResult is a replica's response to a command.
-type OrderResult struct {
-	Status OrderStatus
+// CommandResult is a replica's response to a command.
+type CommandResult struct {
+	Status CommandStatus
 	// Stage is the address of the stage that was missing or full, or "".
 	Stage string
 	// Leaving and Pause have the same meaning as in the headers of a response.
@@ -150,7 +150,7 @@
 	// Report returns the state that the replica reports.
 	Report(ctx context.Context, r Replica) (Report, error)
 	// AssignLayers assigns the layers [from, to) to the replica under the fencing token fence.
-	AssignLayers(ctx context.Context, r Replica, from, to int, fence int64) (OrderResult, error)
+	AssignLayers(ctx context.Context, r Replica, from, to int, fence int64) (CommandResult, error)
 	// Repath moves a running request, whose first stage is r, to another path.
-	Repath(ctx context.Context, r Replica, requestID string, path pipeline.Path) (OrderResult, error)
+	Repath(ctx context.Context, r Replica, requestID string, path pipeline.Path) (CommandResult, error)
 }
--- a/node/gateway/watch.go
+++ b/node/gateway/watch.go
@@ -134,13 +134,13 @@
 		switch {
 		case err != nil:
 			return false
-		case res.Status == OrderAccepted:
+		case res.Status == CommandAccepted:
 			s.grant.switchPath(choice)
 			// The continuation on the new stages counts as another run.
 			s.beginRun(time.Now())
 			s.repaths++
 			return true
-		case res.Status == OrderConflict && res.Stage != "":
+		case res.Status == CommandConflict && res.Stage != "":
 			id := s.pool.idAt(res.Stage)
 			if id == "" || s.excluded[id] {
 				return false
--- a/node/peer/evidence.go
+++ b/node/peer/evidence.go
@@ -16,8 +16,8 @@
 			Fingerprint: c.Fingerprint[:],
 			Attempt:     c.Run.Attempt,
 			Run:         c.Run.Number,
-			Upstream:    c.Replica.Replica,
-			Born:        c.Replica.StartTime,
+			Upstream:    c.Process.Replica,
+			Born:        c.Process.StartTime,
 			Progressed:  c.Progressed,
 			AgeMs:       ageMillis(now, c.At),
 		})
@@ -43,7 +43,7 @@
 		s.Crashes = append(s.Crashes, poison.Crash{
 			Fingerprint: f,
 			Run:         poison.Run{Attempt: c.GetAttempt(), Number: c.GetRun()},
-			Replica:     poison.Process{Replica: c.GetUpstream(), StartTime: c.GetBorn()},
+			Process:     poison.Process{Replica: c.GetUpstream(), StartTime: c.GetBorn()},
 			Progressed:  c.GetProgressed(),
 			At:          now.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond),
 		})
