--- a/Makefile
+++ b/Makefile
@@ -115,4 +115,4 @@
 	$(SLOPE) -bench . ./core/neighbor
 	go test -run '^$$' -benchtime=30000x -bench Table ./core/order
 	go test -count=1 -v -run 'Fleet|Covered' ./core/neighbor
-	go test -count=1 -v -run OneAppend ./node/duty
+	go test -count=1 -v -run OneAppend ./node/leader
--- a/node/app/app.go
+++ b/node/app/app.go
@@ -16,12 +16,12 @@
 	"masticbank.example/core/route"
 	"masticbank.example/node/admin"
 	"masticbank.example/node/api"
-	"masticbank.example/node/duty"
 	"masticbank.example/node/engine"
 	"masticbank.example/node/engine/httpjson"
 	"masticbank.example/node/follower"
 	"masticbank.example/node/httpserver"
 	"masticbank.example/node/instancelist"
+	"masticbank.example/node/leader"
 	"masticbank.example/node/logstream"
 	"masticbank.example/node/metrics"
 	"masticbank.example/node/orders"
@@ -63,7 +63,7 @@
 	configLog    *lagTracker         // reads the configuration stream; nil without a log
 	follower     *follower.Follower  // nil without a log
 	orders       *orders.Coordinator // nil without a log
-	leaderTasks  *duty.Keeper        // nil without a log
+	leaderTasks  *leader.Keeper      // nil without a log
 	sharer       *sharing.Sharer     // nil when listen.peers is not set
 	neighbors    *neighbor.Chooser
 	peers        *peer.Node // nil when listen.peers is not set
--- a/node/app/log.go
+++ b/node/app/log.go
@@ -6,8 +6,8 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"masticbank.example/node/duty"
 	"masticbank.example/node/follower"
+	"masticbank.example/node/leader"
 	"masticbank.example/node/loader"
 	"masticbank.example/node/logstream"
 	"masticbank.example/node/orders"
@@ -37,15 +37,15 @@
 		SnapshotEvery:    p.LogRetention / snapshotsPerRetention,
 		Logger:           a.logger,
 	})
-	a.leaderTasks = duty.New(duty.Options{
+	a.leaderTasks = leader.New(leader.Options{
 		Log:      a.platformLog,
 		Appender: a.newAppender(p.LeaseStream),
 		Stream:   p.LeaseStream,
 		Self:     a.opts.Settings.Instance.ID,
-		Timing:   duty.DefaultTiming(),
+		Timing:   leader.DefaultTiming(),
 		Logger:   a.logger,
 	})
-	a.leaderTasks.Want(duty.SnapshotTask, true)
+	a.leaderTasks.Want(leader.SnapshotTask, true)
 	var err error
 	a.orders, err = orders.New(orders.Options{
 		Log:      a.platformLog,
@@ -93,7 +93,7 @@
 // leadsSnapshots reports whether this instance is the leader that writes
 // configuration snapshots.
 func (a *App) leadsSnapshots() bool {
-	_, ok := a.leaderTasks.Valid(duty.SnapshotTask)
+	_, ok := a.leaderTasks.Valid(leader.SnapshotTask)
 	return ok
 }
 
@@ -106,7 +106,7 @@
 	flushed := a.orders.Flush(ctx)
 	// A lease expires after its time to live anyway, so waiting longer for the log
 	// gains nothing.
-	ctx, cancel := context.WithTimeout(ctx, duty.DefaultTiming().TTL)
+	ctx, cancel := context.WithTimeout(ctx, leader.DefaultTiming().TTL)
 	defer cancel()
 	if err := a.leaderTasks.Release(ctx); err != nil {
 		a.logger.Warn("failed to release leader leases; they will expire", zap.Error(err))
--- a/node/duty/duty.go
+++ b/node/leader/keeper.go
@@ -1,7 +1,7 @@
-// Package duty keeps the leases of an instance's leader tasks on a stream of the
+// Package leader keeps the leases of an instance's leader tasks on a stream of the
 // platform's log. Package core/lease decides what to append; this package reads and
 // appends the records and provides the time.
-package duty
+package leader
 
 import (
 	"context"
--- a/node/duty/duty_test.go
+++ b/node/leader/keeper_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package leader_test
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"masticbank.example/node/duty"
+	"masticbank.example/node/leader"
 	"masticbank.example/node/logstream"
 	"masticbank.example/node/logstream/logtest"
 )
 
 const stream = "leases"
 
-func startKeeper(ctx context.Context, log *logtest.Log, self string, tasks int) *duty.Keeper {
+func startKeeper(ctx context.Context, log *logtest.Log, self string, tasks int) *leader.Keeper {
 	appender := logstream.NewAppender(log, stream, logstream.AppenderOptions{})
-	k := duty.New(duty.Options{Log: log, Appender: appender, Stream: stream, Self: self, Timing: duty.DefaultTiming()})
+	k := leader.New(leader.Options{Log: log, Appender: appender, Stream: stream, Self: self, Timing: leader.DefaultTiming()})
 	for i := range tasks {
 		k.Want(leaseName(i), true)
 	}
@@ -29,7 +29,7 @@
 
 func leaseName(i int) string { return fmt.Sprint("duty", i) }
 
-func validHolders(keepers []*duty.Keeper) (valid []*duty.Keeper, epoch uint64) {
+func validHolders(keepers []*leader.Keeper) (valid []*leader.Keeper, epoch uint64) {
 	for _, k := range keepers {
 		if e, ok := k.Valid(leaseName(0)); ok {
 			valid = append(valid, k)
@@ -45,11 +45,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := &logtest.Log{Delay: time.Millisecond}
-		var keepers []*duty.Keeper
+		var keepers []*leader.Keeper
 		for i := range 3 {
 			keepers = append(keepers, startKeeper(ctx, log, fmt.Sprint("i", i), 1))
 		}
-		terms := duty.DefaultTiming()
+		terms := leader.DefaultTiming()
 		time.Sleep(terms.TTL + terms.Renew)
 		first, epoch := validHolders(keepers)
 		require.Len(t, first, 1)
