--- a/core/layout/balance.go
+++ b/core/layout/balance.go
@@ -19,22 +19,22 @@
 	})
 	pipelines := make([][]*Replica, p.pipelineCount)
 	ends := make([]int, p.pipelineCount)
-	for _, n := range loaded {
-		from, to := n.plannedRange()
+	for _, r := range loaded {
+		from, to := r.plannedRange()
 		best := 0
 		for i := range pipelines {
 			if distance(ends[i], from) < distance(ends[best], from) {
 				best = i
 			}
 		}
-		pipelines[best] = append(pipelines[best], n)
+		pipelines[best] = append(pipelines[best], r)
 		ends[best] = to
 	}
 	return pipelines
 }
 
-func middle(n *Replica) int {
-	from, to := n.plannedRange()
+func middle(r *Replica) int {
+	from, to := r.plannedRange()
 	return from + to
 }
 
@@ -45,24 +45,24 @@
 func (p *plan) fillPipeline() {
 	pipelines := p.groupPipelines()
 	for i := range p.replicas {
-		n := &p.replicas[i]
-		if !n.isEmpty() {
+		r := &p.replicas[i]
+		if !r.isEmpty() {
 			continue
 		}
 		smallest := 0
-		for r := range pipelines {
-			if p.memoryOfAll(pipelines[r]) < p.memoryOfAll(pipelines[smallest]) {
-				smallest = r
+		for j := range pipelines {
+			if p.memoryOfAll(pipelines[j]) < p.memoryOfAll(pipelines[smallest]) {
+				smallest = j
 			}
 		}
-		pipelines[smallest] = p.insertReplica(pipelines[smallest], n)
+		pipelines[smallest] = p.insertReplica(pipelines[smallest], r)
 	}
 }
 
-func (p *plan) memoryOfAll(nodes []*Replica) float64 {
+func (p *plan) memoryOfAll(replicas []*Replica) float64 {
 	sum := 0.0
-	for _, n := range nodes {
-		sum += p.memoryOf(n)
+	for _, r := range replicas {
+		sum += p.memoryOf(r)
 	}
 	return sum
 }
@@ -70,18 +70,18 @@
 // insertReplica assigns layers to an empty replica at the position in the pipeline replica that
 // leaves the others closest to what they hold. It returns the members of the pipeline replica
 // with the new one.
-func (p *plan) insertReplica(members []*Replica, n *Replica) []*Replica {
+func (p *plan) insertReplica(members []*Replica, r *Replica) []*Replica {
 	best, bestMoved := -1, 0
 	var bestFrom, bestTo int
 	for at := 0; at <= len(members); at++ {
-		with := slices.Insert(slices.Clone(members), at, n)
+		with := slices.Insert(slices.Clone(members), at, r)
 		sizes, ok := p.splitLayers(with, p.model.Layers, minCacheShare)
 		if !ok {
 			continue
 		}
 		moved, from, start := 0, 0, 0
 		for i, other := range with {
-			if other == n {
+			if other == r {
 				start = from
 			} else {
 				moved += p.missing(other, from, from+sizes[i])
@@ -94,41 +94,41 @@
 		}
 	}
 	if best < 0 {
-		return p.insertIntoGap(members, n)
+		return p.insertIntoGap(members, r)
 	}
-	p.assign(n, bestFrom, bestTo, "empty")
-	return slices.Insert(slices.Clone(members), best, n)
+	p.assign(r, bestFrom, bestTo, "empty")
+	return slices.Insert(slices.Clone(members), best, r)
 }
 
 // insertIntoGap handles groups that cannot hold the model: the replica is assigned as much as it
 // can hold of the longest gap.
-func (p *plan) insertIntoGap(members []*Replica, n *Replica) []*Replica {
+func (p *plan) insertIntoGap(members []*Replica, r *Replica) []*Replica {
 	from, to := p.longestGap()
 	if to == from {
 		return members
 	}
-	p.assign(n, from, min(to, from+maxLayers(p.model, n.Kind, minCacheShare)), "gap")
-	return append(slices.Clone(members), n)
+	p.assign(r, from, min(to, from+maxLayers(p.model, r.Kind, minCacheShare)), "gap")
+	return append(slices.Clone(members), r)
 }
 
 // missing returns how many of the layers from..to the replica does not hold.
-func (p *plan) missing(n *Replica, from, to int) int {
-	heldFrom, heldTo := n.plannedRange()
+func (p *plan) missing(r *Replica, from, to int) int {
+	heldFrom, heldTo := r.plannedRange()
 	common := max(0, min(to, heldTo)-max(from, heldFrom))
 	return to - from - common
 }
 
 // anyPending reports whether an assignment is pending.
 func (p *plan) anyPending() bool {
-	return slices.ContainsFunc(p.replicas, func(n Replica) bool { return n.pending() })
+	return slices.ContainsFunc(p.replicas, func(r Replica) bool { return r.pending() })
 }
 
 // weakestCapacity returns the number of tokens that fit at the layer with the least KV cache.
 func (p *plan) weakestCapacity() float64 { return slices.Min(p.tokenCapacity()) }
 
-// balance moves layers between working replicas if this helps the weakest layer or removes
-// redundant layers. First replicas load the layers of their target, then others release the
-// layers that are held redundantly.
+// balance moves layers between working replicas if this raises the capacity of the weakest layer
+// or removes redundant layers. First the replicas load the layers of their target; once this is
+// done, others release the layers that are held redundantly.
 func (p *plan) balance() {
 	target, ok := p.balanceTarget()
 	if !ok {
@@ -156,8 +156,8 @@
 			return nil, false
 		}
 		at := 0
-		for i, n := range members {
-			n.From, n.To = at, at+sizes[i]
+		for i, r := range members {
+			r.From, r.To = at, at+sizes[i]
 			at += sizes[i]
 		}
 	}
@@ -168,8 +168,8 @@
 // cache is smaller than necessary.
 func (p *plan) hasRedundantLayers(target *plan) bool {
 	for i := range p.replicas {
-		n, t := &p.replicas[i], &target.replicas[i]
-		if n.From <= t.From && n.To >= t.To && n.To-n.From > t.To-t.From+1 {
+		r, t := &p.replicas[i], &target.replicas[i]
+		if r.From <= t.From && r.To >= t.To && r.To-r.From > t.To-t.From+1 {
 			return true
 		}
 	}
@@ -182,36 +182,36 @@
 func (p *plan) loadTarget(target *plan) bool {
 	before := len(p.assignments)
 	for i := range p.replicas {
-		n, t := &p.replicas[i], &target.replicas[i]
-		if p.missing(n, t.From, t.To) == 0 {
+		r, t := &p.replicas[i], &target.replicas[i]
+		if p.missing(r, t.From, t.To) == 0 {
 			continue
 		}
 		if p.model.MaxConcurrentLoads > 0 && len(p.assignments)-before >= p.model.MaxConcurrentLoads {
 			break
 		}
-		from, to := p.extendToward(n, t)
-		p.assign(n, from, to, "balance")
+		from, to := p.extendToward(r, t)
+		p.assign(r, from, to, "balance")
 	}
 	return len(p.assignments) > before
 }
 
 // extendToward returns the layers held, extended by as much of the target as the replica's memory
 // allows. No layer is released.
-func (p *plan) extendToward(n, t *Replica) (from, to int) {
-	spare := max(0, maxLayers(p.model, n.Kind, balanceCacheShare)-(n.To-n.From))
-	if t.To > n.To {
-		return n.From, min(t.To, n.To+spare)
+func (p *plan) extendToward(r, t *Replica) (from, to int) {
+	spare := max(0, maxLayers(p.model, r.Kind, balanceCacheShare)-(r.To-r.From))
+	if t.To > r.To {
+		return r.From, min(t.To, r.To+spare)
 	}
-	return max(t.From, n.From-spare), n.To
+	return max(t.From, r.From-spare), r.To
 }
 
-// releaseRedundant lets replicas release the layers at their ends that are outside their target
-// and that enough other replicas hold.
+// releaseRedundant lets replicas release the layers at the ends of their range that are outside
+// their target and that enough other replicas hold.
 func (p *plan) releaseRedundant(target *plan) {
 	holders := p.remainingHolders()
 	for i := range p.replicas {
-		n, t := &p.replicas[i], &target.replicas[i]
-		from, to := n.From, n.To
+		r, t := &p.replicas[i], &target.replicas[i]
+		from, to := r.From, r.To
 		for from < min(t.From, to-1) && holders[from] > p.pipelineCount {
 			holders[from]--
 			from++
@@ -220,6 +220,6 @@
 			holders[to-1]--
 			to--
 		}
-		p.assign(n, from, to, "held twice")
+		p.assign(r, from, to, "held twice")
 	}
 }
--- a/core/layout/bench_test.go
+++ b/core/layout/bench_test.go
@@ -12,12 +12,12 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, zones := range []int{3, 8, 80} {
 		m := model()
-		var nodes []layout.Replica
+		var replicas []layout.Replica
 		for z := range zones {
-			nodes = append(nodes, zone(fmt.Sprintf("z%02d", z), map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})...)
+			replicas = append(replicas, zone(fmt.Sprintf("z%02d", z), map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})...)
 		}
-		converge(b, m, nodes)
-		for name, list := range map[string][]layout.Replica{"stable": nodes, "loss": without(nodes, nodes[3].ID)} {
+		converge(b, m, replicas)
+		for name, list := range map[string][]layout.Replica{"stable": replicas, "loss": without(replicas, replicas[3].ID)} {
 			b.Run(fmt.Sprintf("%s-%d", name, len(list)), func(b *testing.B) {
 				for b.Loop() {
 					work := append([]layout.Replica(nil), list...)
--- a/core/layout/gap.go
+++ b/core/layout/gap.go
@@ -46,7 +46,7 @@
 }
 
 // fillWithRedundant closes the rest of a gap with replicas whose layers are held redundantly. If
-// there is none, the neighbors of one replica take its layers over, so that it is free in a later
+// there are none, the neighbors of one replica take over its layers, so that it is free in a later
 // round.
 func (p *plan) fillWithRedundant() {
 	for range len(p.replicas) {
@@ -54,11 +54,11 @@
 		if to <= from {
 			return
 		}
-		n := p.redundantReplica()
-		if n == nil {
+		r := p.redundantReplica()
+		if r == nil {
 			break
 		}
-		p.assign(n, from, min(to, from+maxLayers(p.model, n.Kind, minCacheShare)), "held elsewhere")
+		p.assign(r, from, min(to, from+maxLayers(p.model, r.Kind, minCacheShare)), "held elsewhere")
 	}
 	from, to := p.longestGap()
 	if p.anyPending() {
@@ -74,20 +74,20 @@
 }
 
 // redundantReplica returns a replica without a pending assignment whose layers are all held
-// redundantly, or nil. Layers that other replicas are yet to load do not count as held.
+// redundantly, or nil. Layers that other replicas have not loaded yet do not count as held.
 func (p *plan) redundantReplica() *Replica {
 	holders := p.remainingHolders()
 	for i := range p.replicas {
-		n := &p.replicas[i]
-		if n.pending() || n.To <= n.From {
+		r := &p.replicas[i]
+		if r.pending() || r.To <= r.From {
 			continue
 		}
 		redundant := true
-		for l := n.From; l < min(n.To, len(holders)); l++ {
+		for l := r.From; l < min(r.To, len(holders)); l++ {
 			redundant = redundant && holders[l] > p.pipelineCount
 		}
 		if redundant {
-			return n
+			return r
 		}
 	}
 	return nil
@@ -98,10 +98,10 @@
 func (p *plan) remainingHolders() []int {
 	holders := make([]int, p.model.Layers)
 	for i := range p.replicas {
-		n := &p.replicas[i]
-		from, to := n.From, n.To
-		if n.pending() {
-			from, to = max(from, n.PendingFrom), min(to, n.PendingTo)
+		r := &p.replicas[i]
+		from, to := r.From, r.To
+		if r.pending() {
+			from, to = max(from, r.PendingFrom), min(to, r.PendingTo)
 		}
 		for l := from; l < min(to, len(holders)); l++ {
 			holders[l]++
@@ -118,17 +118,17 @@
 	var best, bestLeft, bestRight *Replica
 	bestByLeft := 0
 	for i := range p.replicas {
-		n := &p.replicas[i]
-		if n.pending() || n.To <= n.From || p.freed[n.ID] {
+		r := &p.replicas[i]
+		if r.pending() || r.To <= r.From || p.freed[r.ID] {
 			continue
 		}
-		left, spareLeft := p.neighbor(func(_, t int) bool { return t == n.From })
-		right, spareRight := p.neighbor(func(f, _ int) bool { return f == n.To })
-		size := n.To - n.From
-		if spareLeft+spareRight < size || (best != nil && !p.preferFreeing(n, best, layers)) {
+		left, spareLeft := p.neighbor(func(_, t int) bool { return t == r.From })
+		right, spareRight := p.neighbor(func(f, _ int) bool { return f == r.To })
+		size := r.To - r.From
+		if spareLeft+spareRight < size || (best != nil && !p.preferFreeing(r, best, layers)) {
 			continue
 		}
-		best, bestLeft, bestRight = n, left, right
+		best, bestLeft, bestRight = r, left, right
 		bestByLeft = min(spareLeft, max(size/2, size-spareRight))
 	}
 	if best == nil {
@@ -174,13 +174,13 @@
 	var best *Replica
 	spare := 0
 	for i := range p.replicas {
-		n := &p.replicas[i]
-		from, to := n.plannedRange()
-		if to <= from || n.pending() || p.freed[n.ID] || !fits(from, to) {
+		r := &p.replicas[i]
+		from, to := r.plannedRange()
+		if to <= from || r.pending() || p.freed[r.ID] || !fits(from, to) {
 			continue
 		}
-		if more := maxLayers(p.model, n.Kind, minCacheShare) - (to - from); more > spare {
-			best, spare = n, more
+		if more := maxLayers(p.model, r.Kind, minCacheShare) - (to - from); more > spare {
+			best, spare = r, more
 		}
 	}
 	return best, spare
--- a/core/layout/layout.go
+++ b/core/layout/layout.go
@@ -3,8 +3,8 @@
 // the model, so that requests need not leave it; the zones without enough memory are laid out
 // together as one group.
 //
-// Plan depends only on what the replicas hold and have been assigned, not on earlier plans, so
-// any instance can take over the leader task at any time.
+// Plan depends only on which layers the replicas hold and have been assigned, not on earlier
+// plans, so any instance can take over the leader task at any time.
 package layout
 
 import (
@@ -38,23 +38,24 @@
 	Kind string
 	// From and To bound the layers held: From <= layer < To. Both are 0 for an empty replica.
 	From, To int
-	// PendingFrom and PendingTo bound the layers of a pending assignment; both are 0 without one.
+	// PendingFrom and PendingTo bound the layers of a pending assignment; both are 0 without
+	// one.
 	PendingFrom, PendingTo int
 }
 
-func (n *Replica) isEmpty() bool { return n.From == n.To && n.PendingFrom == n.PendingTo }
+func (r *Replica) isEmpty() bool { return r.From == r.To && r.PendingFrom == r.PendingTo }
 
 // plannedRange returns the layers that the replica holds once a pending assignment is carried
 // out.
-func (n *Replica) plannedRange() (from, to int) {
-	if n.PendingFrom != n.PendingTo {
-		return n.PendingFrom, n.PendingTo
+func (r *Replica) plannedRange() (from, to int) {
+	if r.PendingFrom != r.PendingTo {
+		return r.PendingFrom, r.PendingTo
 	}
-	return n.From, n.To
+	return r.From, r.To
 }
 
 // pending reports whether an assignment is pending.
-func (n *Replica) pending() bool { return n.PendingFrom != n.PendingTo }
+func (r *Replica) pending() bool { return r.PendingFrom != r.PendingTo }
 
 // Assignment is the range of layers that a replica must hold: From <= layer < To.
 type Assignment struct {
@@ -71,28 +72,28 @@
 // rebalanced only if all zones of their group are stable, because a replica that releases layers
 // accepts no other assignment until the requests that use them have ended. Groups with several
 // pipeline replicas reinforce their weakest layers at any time.
-func Plan(m *pipeline.Model, nodes []Replica, stable func(zone string) bool) []Assignment {
+func Plan(m *pipeline.Model, replicas []Replica, stable func(zone string) bool) []Assignment {
 	var out []Assignment
-	for _, group := range groups(m, nodes) {
-		allStable := !slices.ContainsFunc(group, func(n Replica) bool { return !stable(n.Zone) })
+	for _, group := range groups(m, replicas) {
+		allStable := !slices.ContainsFunc(group, func(r Replica) bool { return !stable(r.Zone) })
 		out = append(out, planGroup(m, group, allStable)...)
 	}
 	return out
 }
 
-// groups groups the replicas by zone. All zones that cannot hold the model on their own form one
-// group.
-func groups(m *pipeline.Model, nodes []Replica) [][]Replica {
+// groups returns one group of replicas for each zone that can hold the model on its own. The
+// replicas of all other zones form one group together.
+func groups(m *pipeline.Model, replicas []Replica) [][]Replica {
 	byZone := map[string][]Replica{}
 	var zones []string
-	for _, n := range nodes {
-		if m.MaxLayers(n.Kind) == 0 {
+	for _, r := range replicas {
+		if m.MaxLayers(r.Kind) == 0 {
 			continue
 		}
-		if byZone[n.Zone] == nil {
-			zones = append(zones, n.Zone)
+		if byZone[r.Zone] == nil {
+			zones = append(zones, r.Zone)
 		}
-		byZone[n.Zone] = append(byZone[n.Zone], n)
+		byZone[r.Zone] = append(byZone[r.Zone], r)
 	}
 	slices.Sort(zones)
 	var out [][]Replica
@@ -120,10 +121,10 @@
 }
 
 // totalLayers returns the number of layers that the replicas can hold together.
-func totalLayers(m *pipeline.Model, nodes []Replica, freeShare float64) int {
+func totalLayers(m *pipeline.Model, replicas []Replica, freeShare float64) int {
 	sum := 0
-	for _, n := range nodes {
-		sum += maxLayers(m, n.Kind, freeShare)
+	for _, r := range replicas {
+		sum += maxLayers(m, r.Kind, freeShare)
 	}
 	return sum
 }
@@ -135,8 +136,8 @@
 
 func planGroup(m *pipeline.Model, group []Replica, stable bool) []Assignment {
 	p := &plan{model: m, replicas: group, pipelineCount: countPipelines(m, group), freed: map[string]bool{}}
-	for _, n := range group {
-		p.memory += m.Kinds[n.Kind].MemoryMB
+	for _, r := range group {
+		p.memory += m.Kinds[r.Kind].MemoryMB
 	}
 	if p.allEmpty() {
 		p.layOut()
@@ -150,7 +151,7 @@
 	return p.assignments
 }
 
-// planSingle plans a group with a single pipeline replica. All boundaries between its replicas can
+// planSingle plans a group with a single pipeline replica. All boundaries between its stages can
 // be moved to their target, which takes several rounds of loads.
 func (p *plan) planSingle(stable bool) {
 	p.fillPipeline()
@@ -161,8 +162,8 @@
 	}
 }
 
-// planSeveral plans a group with several pipeline replicas. After failures their stages need not
-// line up any more, so each layer is considered on its own.
+// planSeveral plans a group with several pipeline replicas. After failures their stages may no
+// longer line up, so each layer is considered on its own.
 func (p *plan) planSeveral() {
 	p.fillWeakest()
 	p.fillWithNeighbors()
@@ -178,7 +179,8 @@
 	// memory is the total memory of the group in MB.
 	memory      float64
 	assignments []Assignment
-	// freed holds the IDs of the replicas whose layers are being taken over by others.
+	// freed holds the IDs of the replicas whose layers this plan assigns to others, so that
+	// they become free.
 	freed map[string]bool
 }
 
@@ -192,12 +194,12 @@
 }
 
 // assign records an assignment, unless the replica holds or was assigned these layers already.
-func (p *plan) assign(n *Replica, from, to int, reason string) {
-	if f, t := n.plannedRange(); f == from && t == to {
+func (p *plan) assign(r *Replica, from, to int, reason string) {
+	if f, t := r.plannedRange(); f == from && t == to {
 		return
 	}
-	n.PendingFrom, n.PendingTo = from, to
-	p.assignments = append(p.assignments, Assignment{ID: n.ID, From: from, To: to, Reason: reason})
+	r.PendingFrom, r.PendingTo = from, to
+	p.assignments = append(p.assignments, Assignment{ID: r.ID, From: from, To: to, Reason: reason})
 }
 
 // layOut lays out a group that holds no layers: it forms pipeline replicas of about equal memory,
@@ -212,15 +214,15 @@
 	})
 	pipelines := make([][]*Replica, p.pipelineCount)
 	sums := make([]float64, p.pipelineCount)
-	for _, n := range byMemory {
+	for _, r := range byMemory {
 		smallest := 0
 		for i := range sums {
 			if sums[i] < sums[smallest] {
 				smallest = i
 			}
 		}
-		pipelines[smallest] = append(pipelines[smallest], n)
-		sums[smallest] += p.memoryOf(n)
+		pipelines[smallest] = append(pipelines[smallest], r)
+		sums[smallest] += p.memoryOf(r)
 	}
 	for _, members := range pipelines {
 		// The smallest replicas come first: the first replica of a path serves a
@@ -230,19 +232,19 @@
 	}
 }
 
-func (p *plan) memoryOf(n *Replica) float64 { return p.model.Kinds[n.Kind].MemoryMB }
+func (p *plan) memoryOf(r *Replica) float64 { return p.model.Kinds[r.Kind].MemoryMB }
 
 // assignInOrder assigns the layers from..to to the replicas in order, in proportion to their
 // memory. It returns false if they do not fit.
-func (p *plan) assignInOrder(nodes []*Replica, from, to int, reason string) bool {
-	sizes, ok := p.splitLayers(nodes, to-from, minCacheShare)
+func (p *plan) assignInOrder(replicas []*Replica, from, to int, reason string) bool {
+	sizes, ok := p.splitLayers(replicas, to-from, minCacheShare)
 	if !ok {
 		return false
 	}
 	at := from
-	for i, n := range nodes {
+	for i, r := range replicas {
 		if sizes[i] > 0 {
-			p.assign(n, at, at+sizes[i], reason)
+			p.assign(r, at, at+sizes[i], reason)
 		}
 		at += sizes[i]
 	}
@@ -251,31 +253,31 @@
 
 // splitLayers splits a number of layers in proportion to memory by the largest remainder method,
 // limited by what each replica can hold.
-func (p *plan) splitLayers(nodes []*Replica, layers int, freeShare float64) ([]int, bool) {
+func (p *plan) splitLayers(replicas []*Replica, layers int, freeShare float64) ([]int, bool) {
 	total := 0.0
-	limit := make([]int, len(nodes))
+	limit := make([]int, len(replicas))
 	capacity := 0
-	for i, n := range nodes {
-		total += p.memoryOf(n)
-		limit[i] = maxLayers(p.model, n.Kind, freeShare)
+	for i, r := range replicas {
+		total += p.memoryOf(r)
+		limit[i] = maxLayers(p.model, r.Kind, freeShare)
 		capacity += limit[i]
 	}
 	if capacity < layers {
 		return nil, false
 	}
-	sizes := make([]int, len(nodes))
+	sizes := make([]int, len(replicas))
 	left := layers
-	for i, n := range nodes {
-		sizes[i] = min(limit[i], int(float64(layers)*p.memoryOf(n)/total))
+	for i, r := range replicas {
+		sizes[i] = min(limit[i], int(float64(layers)*p.memoryOf(r)/total))
 		left -= sizes[i]
 	}
 	for ; left > 0; left-- {
 		best := -1
-		for i, n := range nodes {
+		for i, r := range replicas {
 			if sizes[i] >= limit[i] {
 				continue
 			}
-			if best < 0 || p.memoryOf(n)/float64(sizes[i]+1) > p.memoryOf(nodes[best])/float64(sizes[best]+1) {
+			if best < 0 || p.memoryOf(r)/float64(sizes[i]+1) > p.memoryOf(replicas[best])/float64(sizes[best]+1) {
 				best = i
 			}
 		}
@@ -289,12 +291,12 @@
 func (p *plan) tokenCapacity() []float64 {
 	out := make([]float64, p.model.Layers)
 	for i := range p.replicas {
-		n := &p.replicas[i]
-		from, to := n.plannedRange()
+		r := &p.replicas[i]
+		from, to := r.plannedRange()
 		if to <= from {
 			continue
 		}
-		each := p.model.CacheCapacity(n.Kind, to-from) / float64(to-from)
+		each := p.model.CacheCapacity(r.Kind, to-from) / float64(to-from)
 		for l := from; l < min(to, len(out)); l++ {
 			out[l] += each
 		}
--- a/core/layout/layout_test.go
+++ b/core/layout/layout_test.go
@@ -38,66 +38,66 @@
 
 // fleet returns one zone with a large accelerator and one zone with many medium ones.
 func fleet() []layout.Replica {
-	nodes := zone("quito", map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})
-	return append(nodes, zone("ambato", map[string]int{"a100s": 1, "l4": 8, "t4": 3})...)
+	replicas := zone("quito", map[string]int{"h100": 1, "a100s": 1, "l4": 5, "t4": 7})
+	return append(replicas, zone("ambato", map[string]int{"a100s": 1, "l4": 8, "t4": 3})...)
 }
 
 // apply carries out the assignments as if all loads had finished.
-func apply(nodes []layout.Replica, orders []layout.Assignment) {
-	for _, o := range orders {
-		for i := range nodes {
-			if nodes[i].ID == o.ID {
-				nodes[i].From, nodes[i].To = o.From, o.To
+func apply(replicas []layout.Replica, assignments []layout.Assignment) {
+	for _, a := range assignments {
+		for i := range replicas {
+			if replicas[i].ID == a.ID {
+				replicas[i].From, replicas[i].To = a.From, a.To
 			}
 		}
 	}
 }
 
 // converge plans and applies assignments until none is left. It returns the number of rounds.
-func converge(t require.TestingT, m *pipeline.Model, nodes []layout.Replica) int {
+func converge(t require.TestingT, m *pipeline.Model, replicas []layout.Replica) int {
 	for round := range 60 {
-		orders := layout.Plan(m, nodes, always)
-		if len(orders) == 0 {
+		assignments := layout.Plan(m, replicas, always)
+		if len(assignments) == 0 {
 			return round
 		}
-		apply(nodes, orders)
+		apply(replicas, assignments)
 	}
-	require.Fail(t, "the layout does not converge", "%v", layout.Plan(m, nodes, always))
+	require.Fail(t, "the layout does not converge", "%v", layout.Plan(m, replicas, always))
 	return 0
 }
 
-func requireFits(t require.TestingT, m *pipeline.Model, nodes []layout.Replica) {
-	for _, n := range nodes {
-		require.LessOrEqual(t, n.To-n.From, m.MaxLayers(n.Kind), "%s", n.ID)
-		require.GreaterOrEqual(t, n.From, 0)
-		require.LessOrEqual(t, n.To, m.Layers)
+func requireFits(t require.TestingT, m *pipeline.Model, replicas []layout.Replica) {
+	for _, r := range replicas {
+		require.LessOrEqual(t, r.To-r.From, m.MaxLayers(r.Kind), "%s", r.ID)
+		require.GreaterOrEqual(t, r.From, 0)
+		require.LessOrEqual(t, r.To, m.Layers)
 	}
 }
 
-func holders(m *pipeline.Model, nodes []layout.Replica, zone string) []int {
+func holders(m *pipeline.Model, replicas []layout.Replica, zone string) []int {
 	out := make([]int, m.Layers)
-	for _, n := range nodes {
-		if zone != "" && n.Zone != zone {
+	for _, r := range replicas {
+		if zone != "" && r.Zone != zone {
 			continue
 		}
-		for l := n.From; l < n.To; l++ {
+		for l := r.From; l < r.To; l++ {
 			out[l]++
 		}
 	}
 	return out
 }
 
-func requireCovered(t require.TestingT, m *pipeline.Model, nodes []layout.Replica, zone string) {
-	for l, d := range holders(m, nodes, zone) {
-		require.Positive(t, d, "layer %d in zone %q", l, zone)
+func requireCovered(t require.TestingT, m *pipeline.Model, replicas []layout.Replica, zone string) {
+	for l, count := range holders(m, replicas, zone) {
+		require.Positive(t, count, "layer %d in zone %q", l, zone)
 	}
 }
 
-func without(nodes []layout.Replica, id string) []layout.Replica {
+func without(replicas []layout.Replica, id string) []layout.Replica {
 	var out []layout.Replica
-	for _, n := range nodes {
-		if n.ID != id {
-			out = append(out, n)
+	for _, r := range replicas {
+		if r.ID != id {
+			out = append(out, r)
 		}
 	}
 	return out
@@ -105,39 +105,39 @@
 
 func TestNewZonesHoldCompleteModels(t *testing.T) {
 	m := model()
-	nodes := fleet()
-	apply(nodes, layout.Plan(m, nodes, always))
-	requireFits(t, m, nodes)
+	replicas := fleet()
+	apply(replicas, layout.Plan(m, replicas, always))
+	requireFits(t, m, replicas)
 	for _, z := range []string{"quito", "ambato"} {
-		requireCovered(t, m, nodes, z)
+		requireCovered(t, m, replicas, z)
 	}
-	require.Empty(t, layout.Plan(m, nodes, always), "a new layout is not changed")
+	require.Empty(t, layout.Plan(m, replicas, always), "a new layout is not changed")
 }
 
 func TestNewLayoutFollowsMemory(t *testing.T) {
 	m := model()
-	nodes := fleet()
-	apply(nodes, layout.Plan(m, nodes, always))
-	for _, n := range nodes {
-		capacity := m.CacheCapacity(n.Kind, n.To-n.From) / float64(n.To-n.From)
-		require.Greater(t, capacity, 50_000.0, "tokens that fit beside the layers of %s", n.ID)
+	replicas := fleet()
+	apply(replicas, layout.Plan(m, replicas, always))
+	for _, r := range replicas {
+		capacity := m.CacheCapacity(r.Kind, r.To-r.From) / float64(r.To-r.From)
+		require.Greater(t, capacity, 50_000.0, "tokens that fit beside the layers of %s", r.ID)
 	}
 }
 
 // weakest returns the number of tokens that fit at the layer of a zone with the least KV cache.
-func weakest(m *pipeline.Model, nodes []layout.Replica, zone string) float64 {
+func weakest(m *pipeline.Model, replicas []layout.Replica, zone string) float64 {
 	tokens := make([]float64, m.Layers)
-	for _, n := range nodes {
-		for l := n.From; n.Zone == zone && l < n.To; l++ {
-			tokens[l] += m.CacheCapacity(n.Kind, n.To-n.From) / float64(n.To-n.From)
+	for _, r := range replicas {
+		for l := r.From; r.Zone == zone && l < r.To; l++ {
+			tokens[l] += m.CacheCapacity(r.Kind, r.To-r.From) / float64(r.To-r.From)
 		}
 	}
 	return slices.Min(tokens)
 }
 
-// rounds is the number of consecutive rounds of loads in which a zone must hold all layers again
-// after the loss of its largest replica. A round takes about a second, and the users allow 12 s
-// for recovery.
+// rounds is the maximum number of consecutive rounds of loads after which a zone must hold all
+// layers again when it has lost its largest replica. A round takes about a second, and the users
+// allow 12 s for recovery.
 const rounds = 12
 
 // After the loss of any single replica, a few rounds of assignments close the gap, and in the end
@@ -145,81 +145,81 @@
 func TestAnyOneReplicaIsReplaced(t *testing.T) {
 	m := model()
 	for _, lost := range fleet() {
-		nodes := fleet()
-		converge(t, m, nodes)
-		nodes = without(nodes, lost.ID)
+		replicas := fleet()
+		converge(t, m, replicas)
+		replicas = without(replicas, lost.ID)
 		for range rounds {
-			apply(nodes, layout.Plan(m, nodes, always))
+			apply(replicas, layout.Plan(m, replicas, always))
 		}
-		requireCovered(t, m, nodes, lost.Zone)
-		converge(t, m, nodes)
-		requireFits(t, m, nodes)
-		requireCovered(t, m, nodes, lost.Zone)
-		fresh := without(fleet(), lost.ID)
-		converge(t, m, fresh)
-		require.GreaterOrEqual(t, weakest(m, nodes, lost.Zone), 0.8*weakest(m, fresh, lost.Zone), "after the loss of %s", lost.ID)
+		requireCovered(t, m, replicas, lost.Zone)
+		converge(t, m, replicas)
+		requireFits(t, m, replicas)
+		requireCovered(t, m, replicas, lost.Zone)
+		newLayout := without(fleet(), lost.ID)
+		converge(t, m, newLayout)
+		require.GreaterOrEqual(t, weakest(m, replicas, lost.Zone), 0.8*weakest(m, newLayout, lost.Zone), "after the loss of %s", lost.ID)
 	}
 }
 
 func TestReturnedReplicaGetsLayers(t *testing.T) {
 	m := model()
-	nodes := fleet()
-	converge(t, m, nodes)
-	lost := nodes[1]
-	nodes = without(nodes, lost.ID)
-	converge(t, m, nodes)
-	nodes = append(nodes, layout.Replica{ID: lost.ID, Zone: lost.Zone, Kind: lost.Kind})
-	converge(t, m, nodes)
-	requireCovered(t, m, nodes, lost.Zone)
-	require.Positive(t, nodes[len(nodes)-1].To)
+	replicas := fleet()
+	converge(t, m, replicas)
+	lost := replicas[1]
+	replicas = without(replicas, lost.ID)
+	converge(t, m, replicas)
+	replicas = append(replicas, layout.Replica{ID: lost.ID, Zone: lost.Zone, Kind: lost.Kind})
+	converge(t, m, replicas)
+	requireCovered(t, m, replicas, lost.Zone)
+	require.Positive(t, replicas[len(replicas)-1].To)
 }
 
 func TestZonesStayCompleteAfterRandomLosses(t *testing.T) {
 	m := model()
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := fleet()
-		converge(t, m, nodes)
+		replicas := fleet()
+		converge(t, m, replicas)
 		for range rapid.IntRange(1, 4).Draw(t, "losses") {
-			lost := rapid.IntRange(0, len(nodes)-1).Draw(t, "lost")
-			nodes = without(nodes, nodes[lost].ID)
-			if rapid.Bool().Draw(t, "settles") {
-				converge(t, m, nodes)
+			lost := rapid.IntRange(0, len(replicas)-1).Draw(t, "lost")
+			replicas = without(replicas, replicas[lost].ID)
+			if rapid.Bool().Draw(t, "converges") {
+				converge(t, m, replicas)
 			}
 		}
-		converge(t, m, nodes)
-		requireFits(t, m, nodes)
-		requireCovered(t, m, nodes, "")
+		converge(t, m, replicas)
+		requireFits(t, m, replicas)
+		requireCovered(t, m, replicas, "")
 	})
 }
 
 func TestSmallZonesFormOneGroup(t *testing.T) {
 	m := model()
-	nodes := zone("a", map[string]int{"l4": 5})
-	nodes = append(nodes, zone("b", map[string]int{"l4": 5})...)
-	converge(t, m, nodes)
-	requireFits(t, m, nodes)
-	requireCovered(t, m, nodes, "")
+	replicas := zone("a", map[string]int{"l4": 5})
+	replicas = append(replicas, zone("b", map[string]int{"l4": 5})...)
+	converge(t, m, replicas)
+	requireFits(t, m, replicas)
+	requireCovered(t, m, replicas, "")
 }
 
 func TestUnknownKindsGetNoAssignments(t *testing.T) {
 	m := model()
-	nodes := append(fleet(), layout.Replica{ID: "x", Zone: "quito", Kind: "unknown"})
-	for _, o := range layout.Plan(m, nodes, always) {
-		require.NotEqual(t, "x", o.ID)
+	replicas := append(fleet(), layout.Replica{ID: "x", Zone: "quito", Kind: "unknown"})
+	for _, a := range layout.Plan(m, replicas, always) {
+		require.NotEqual(t, "x", a.ID)
 	}
 }
 
 func TestPendingAssignmentsAreNotRepeated(t *testing.T) {
 	m := model()
-	nodes := fleet()
-	for _, o := range layout.Plan(m, nodes, always) {
-		for i := range nodes {
-			if nodes[i].ID == o.ID {
-				nodes[i].PendingFrom, nodes[i].PendingTo = o.From, o.To
+	replicas := fleet()
+	for _, a := range layout.Plan(m, replicas, always) {
+		for i := range replicas {
+			if replicas[i].ID == a.ID {
+				replicas[i].PendingFrom, replicas[i].PendingTo = a.From, a.To
 			}
 		}
 	}
-	require.Empty(t, layout.Plan(m, nodes, always))
+	require.Empty(t, layout.Plan(m, replicas, always))
 }
 
 // A large zone that never becomes stable loses four replicas. Within a few rounds the weakest
@@ -229,17 +229,17 @@
 	m.MaxConcurrentLoads = 4
 	large := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
 	for k := range large {
-		nodes := slices.Clone(large)
-		converge(t, m, nodes)
-		before := weakest(m, nodes, "quito")
+		replicas := slices.Clone(large)
+		converge(t, m, replicas)
+		before := weakest(m, replicas, "quito")
 		for _, lost := range []int{k, k + 1, k + 7, k + 15} {
-			nodes = without(nodes, large[lost%len(large)].ID)
+			replicas = without(replicas, large[lost%len(large)].ID)
 		}
 		for range 5 {
-			apply(nodes, layout.Plan(m, nodes, never))
+			apply(replicas, layout.Plan(m, replicas, never))
 		}
-		requireFits(t, m, nodes)
-		require.GreaterOrEqual(t, weakest(m, nodes, "quito"), 0.6*before, "after the loss of %s", large[k].ID)
+		requireFits(t, m, replicas)
+		require.GreaterOrEqual(t, weakest(m, replicas, "quito"), 0.6*before, "after the loss of %s", large[k].ID)
 	}
 }
 
@@ -248,28 +248,28 @@
 func TestReinforcementEnds(t *testing.T) {
 	m := model()
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
-		converge(t, m, nodes)
+		replicas := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
+		converge(t, m, replicas)
 		for range rapid.IntRange(1, 6).Draw(t, "losses") {
-			nodes = without(nodes, nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "lost")].ID)
+			replicas = without(replicas, replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "lost")].ID)
 		}
 		for range 40 {
-			apply(nodes, layout.Plan(m, nodes, never))
+			apply(replicas, layout.Plan(m, replicas, never))
 		}
-		requireFits(t, m, nodes)
-		require.Empty(t, layout.Plan(m, nodes, never))
+		requireFits(t, m, replicas)
+		require.Empty(t, layout.Plan(m, replicas, never))
 	})
 }
 
 // A replica that returns after its layers were assigned to others must get the weakest layers.
 func TestEmptyReplicaGoesToTheWeakestLayers(t *testing.T) {
 	m := model()
-	nodes := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
-	converge(t, m, nodes)
-	lost := nodes[9]
-	nodes = without(nodes, lost.ID)
-	weak := weakest(m, nodes, "quito")
-	nodes = append(nodes, layout.Replica{ID: "new", Zone: lost.Zone, Kind: lost.Kind})
-	apply(nodes, layout.Plan(m, nodes, never))
-	require.Greater(t, weakest(m, nodes, "quito"), 1.2*weak)
+	replicas := zone("quito", map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18})
+	converge(t, m, replicas)
+	lost := replicas[9]
+	replicas = without(replicas, lost.ID)
+	weak := weakest(m, replicas, "quito")
+	replicas = append(replicas, layout.Replica{ID: "new", Zone: lost.Zone, Kind: lost.Kind})
+	apply(replicas, layout.Plan(m, replicas, never))
+	require.Greater(t, weakest(m, replicas, "quito"), 1.2*weak)
 }
--- a/core/layout/reinforce.go
+++ b/core/layout/reinforce.go
@@ -13,10 +13,11 @@
 	minShortageGain = 0.05
 	// shortageExponent is the exponent that gives the weakest layers the most weight.
 	shortageExponent = 4
-	// weakRangeFactor is the factor up to which a layer's capacity counts as equal to that of
-	// the weakest layer.
+	// weakRangeFactor defines which layers count as weak as the weakest one: those with at most
+	// this multiple of its capacity.
 	weakRangeFactor = 1.3
-	// minEvenShare is the share of the even capacity that is assumed for layers with less.
+	// minEvenShare is the lower bound of a layer's capacity in the shortage, as a share of the
+	// even capacity. It keeps the shortage finite for layers that no replica holds.
 	minEvenShare = 0.02
 )
 
@@ -65,26 +66,27 @@
 	return s
 }
 
-// evaluate evaluates one move.
-func (s *search) evaluate(n *Replica, from, to int, reason string) {
+// evaluate computes the shortage that a move would leave, and keeps the move if it is the best one
+// so far.
+func (s *search) evaluate(r *Replica, from, to int, reason string) {
 	if from < 0 || to > s.model.Layers || to <= from {
 		return
 	}
 	copy(s.buffer, s.current)
-	heldFrom, heldTo := n.plannedRange()
-	s.addCapacity(n, heldFrom, heldTo, -1)
-	s.addCapacity(n, from, to, 1)
+	heldFrom, heldTo := r.plannedRange()
+	s.addCapacity(r, heldFrom, heldTo, -1)
+	s.addCapacity(r, from, to, 1)
 	if v := shortage(s.buffer, s.evenTokens); v < s.best.shortage {
-		s.best = move{replica: n, from: from, to: to, shortage: v, reason: reason}
+		s.best = move{replica: r, from: from, to: to, shortage: v, reason: reason}
 	}
 }
 
 // addCapacity adds (sign 1) or removes (sign -1) the capacity of a replica that holds the layers.
-func (s *search) addCapacity(n *Replica, from, to int, sign float64) {
+func (s *search) addCapacity(r *Replica, from, to int, sign float64) {
 	if to <= from {
 		return
 	}
-	each := sign * s.model.CacheCapacity(n.Kind, to-from) / float64(to-from)
+	each := sign * s.model.CacheCapacity(r.Kind, to-from) / float64(to-from)
 	for l := from; l < min(to, len(s.buffer)); l++ {
 		s.buffer[l] += each
 	}
@@ -119,34 +121,35 @@
 
 // evaluateBoundaryMove evaluates loading layers at an end of another replica's range, which that
 // replica releases afterwards: the first half of moving the boundary between the two.
-func (s *search) evaluateBoundaryMove(n *Replica) {
-	spare := maxLayers(s.model, n.Kind, minCacheShare) - (n.To - n.From)
+func (s *search) evaluateBoundaryMove(r *Replica) {
+	spare := maxLayers(s.model, r.Kind, minCacheShare) - (r.To - r.From)
 	if spare <= 0 {
 		return
 	}
 	for i := range s.replicas {
 		o := &s.replicas[i]
 		from, to := o.plannedRange()
-		if o == n || to <= from {
+		if o == r || to <= from {
 			continue
 		}
 		for k := 1; k <= spare; k++ {
-			if t := n.To + k; n.To >= from && t > from && t < to {
-				s.evaluatePair(n, n.From, t, o, t, to)
+			if t := r.To + k; r.To >= from && t > from && t < to {
+				s.evaluatePair(r, r.From, t, o, t, to)
 			}
-			if f := n.From - k; n.From <= to && f < to && f > from {
-				s.evaluatePair(n, f, n.To, o, from, f)
+			if f := r.From - k; r.From <= to && f < to && f > from {
+				s.evaluatePair(r, f, r.To, o, from, f)
 			}
 		}
 	}
 }
 
-// evaluatePair evaluates a move of one replica that allows a later move of another one.
-func (s *search) evaluatePair(n *Replica, from, to int, o *Replica, otherFrom, otherTo int) {
+// evaluatePair evaluates a move of one replica that allows a later move of another one, by the
+// shortage after both. The first move alone must not lower the capacity of the weakest layer.
+func (s *search) evaluatePair(r *Replica, from, to int, o *Replica, otherFrom, otherTo int) {
 	copy(s.buffer, s.current)
-	heldFrom, heldTo := n.plannedRange()
-	s.addCapacity(n, heldFrom, heldTo, -1)
-	s.addCapacity(n, from, to, 1)
+	heldFrom, heldTo := r.plannedRange()
+	s.addCapacity(r, heldFrom, heldTo, -1)
+	s.addCapacity(r, from, to, 1)
 	if slices.Min(s.buffer) < s.currentWeakest {
 		return
 	}
@@ -154,7 +157,7 @@
 	s.addCapacity(o, heldFrom, heldTo, -1)
 	s.addCapacity(o, otherFrom, otherTo, 1)
 	if v := shortage(s.buffer, s.evenTokens); v < s.best.shortage {
-		s.best = move{replica: n, from: from, to: to, shortage: v, reason: "relieves"}
+		s.best = move{replica: r, from: from, to: to, shortage: v, reason: "relieves"}
 	}
 }
 
@@ -166,50 +169,50 @@
 	holders := s.remainingHolders()
 	weakFrom, weakTo := s.weakestRange()
 	for i := range s.replicas {
-		n := &s.replicas[i]
-		if n.pending() || n.To <= n.From {
+		r := &s.replicas[i]
+		if r.pending() || r.To <= r.From {
 			continue
 		}
-		s.evaluateExtension(n)
-		s.evaluateBoundaryMove(n)
-		s.evaluateRelease(n, holders)
-		s.evaluateRelocation(n, holders, weakFrom, weakTo)
+		s.evaluateExtension(r)
+		s.evaluateBoundaryMove(r)
+		s.evaluateRelease(r, holders)
+		s.evaluateRelocation(r, holders, weakFrom, weakTo)
 	}
 }
 
 // evaluateExtension evaluates loading layers next to those held.
-func (s *search) evaluateExtension(n *Replica) {
-	spare := maxLayers(s.model, n.Kind, minCacheShare) - (n.To - n.From)
+func (s *search) evaluateExtension(r *Replica) {
+	spare := maxLayers(s.model, r.Kind, minCacheShare) - (r.To - r.From)
 	for k := 1; k <= spare; k++ {
-		s.evaluate(n, n.From-k, n.To, "reinforces")
-		s.evaluate(n, n.From, n.To+k, "reinforces")
+		s.evaluate(r, r.From-k, r.To, "reinforces")
+		s.evaluate(r, r.From, r.To+k, "reinforces")
 	}
 }
 
 // evaluateRelease evaluates releasing layers at an end that another replica holds too.
-func (s *search) evaluateRelease(n *Replica, holders []int) {
-	for from := n.From; from < n.To-1 && holders[from] > 1; from++ {
-		s.evaluate(n, from+1, n.To, "held twice")
+func (s *search) evaluateRelease(r *Replica, holders []int) {
+	for from := r.From; from < r.To-1 && holders[from] > 1; from++ {
+		s.evaluate(r, from+1, r.To, "held twice")
 	}
-	for to := n.To; to > n.From+1 && holders[to-1] > 1; to-- {
-		s.evaluate(n, n.From, to-1, "held twice")
+	for to := r.To; to > r.From+1 && holders[to-1] > 1; to-- {
+		s.evaluate(r, r.From, to-1, "held twice")
 	}
 }
 
 // evaluateRelocation evaluates replacing a replica's layers with the weakest ones, if its own
 // layers keep more capacity without it than the weakest layer has now.
-func (s *search) evaluateRelocation(n *Replica, holders []int, weakFrom, weakTo int) {
-	each := s.model.CacheCapacity(n.Kind, n.To-n.From) / float64(n.To-n.From)
-	for l := n.From; l < n.To; l++ {
+func (s *search) evaluateRelocation(r *Replica, holders []int, weakFrom, weakTo int) {
+	each := s.model.CacheCapacity(r.Kind, r.To-r.From) / float64(r.To-r.From)
+	for l := r.From; l < r.To; l++ {
 		if holders[l] < 2 || s.current[l]-each <= s.currentWeakest {
 			return
 		}
 	}
-	limit := maxLayers(s.model, n.Kind, minCacheShare)
-	for _, size := range []int{n.To - n.From, limit, (limit + 1) / 2, weakTo - weakFrom} {
+	limit := maxLayers(s.model, r.Kind, minCacheShare)
+	for _, size := range []int{r.To - r.From, limit, (limit + 1) / 2, weakTo - weakFrom} {
 		size = min(size, limit)
-		s.evaluate(n, weakFrom, min(weakFrom+size, s.model.Layers), "needed elsewhere")
-		s.evaluate(n, max(0, weakTo-size), weakTo, "needed elsewhere")
+		s.evaluate(r, weakFrom, min(weakFrom+size, s.model.Layers), "needed elsewhere")
+		s.evaluate(r, max(0, weakTo-size), weakTo, "needed elsewhere")
 	}
 }
 
@@ -236,19 +239,19 @@
 // fillWeakest assigns each empty replica the layers with which it reduces the shortage most.
 func (p *plan) fillWeakest() {
 	for i := range p.replicas {
-		n := &p.replicas[i]
-		if !n.isEmpty() {
+		r := &p.replicas[i]
+		if !r.isEmpty() {
 			continue
 		}
 		s := p.newSearch()
 		s.best.shortage = math.Inf(1)
-		for size := 1; size <= maxLayers(p.model, n.Kind, minCacheShare); size++ {
+		for size := 1; size <= maxLayers(p.model, r.Kind, minCacheShare); size++ {
 			for from := 0; from+size <= p.model.Layers; from++ {
-				s.evaluate(n, from, from+size, "empty")
+				s.evaluate(r, from, from+size, "empty")
 			}
 		}
 		if s.best.replica != nil {
-			p.assign(n, s.best.from, s.best.to, s.best.reason)
+			p.assign(r, s.best.from, s.best.to, s.best.reason)
 		}
 	}
 }
--- a/core/pipeline/choose.go
+++ b/core/pipeline/choose.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// zoneTransferMS is the delay of passing one token to the next stage within a zone. The
-	// published link delays between zones are of the same size.
+	// zoneTransferMS is the delay, in milliseconds, of passing one token to the next stage
+	// within a zone. The published link delays between zones are about as large.
 	zoneTransferMS = 0.2
 	// crossZoneTransferMS is the additional cost of passing one token to another zone over an
-	// idle link. All requests share the links between zones; in trials on the users' bench, 3
-	// ms gave the best service.
+	// idle link. It is higher than the delay because all requests share the links between
+	// zones; in trials on the users' test bench, 3 ms gave the best service.
 	crossZoneTransferMS = 3.0
 	// maxReservedShare is the share of the KV cache that may be reserved; the rest covers
 	// outputs that are longer than expected.
@@ -81,15 +81,16 @@
 	return out
 }
 
-// detourStart returns the first replica of a detour, after which the path comes back to a replica
-// that it has left, or "". Engines refuse such paths.
+// detourStart returns the first replica of a detour, that is, of a part of the path that leaves a
+// replica and returns to it later. It returns "" if there is none. Engines refuse paths with
+// detours.
 func detourStart(p Path) string {
 	seen := make(map[string]int, len(p))
-	for i, h := range p {
-		if at, ok := seen[h.ID]; ok {
+	for i, stage := range p {
+		if at, ok := seen[stage.ID]; ok {
 			return p[at+1].ID
 		}
-		seen[h.ID] = i
+		seen[stage.ID] = i
 	}
 	return ""
 }
@@ -307,10 +308,10 @@
 // included.
 func (s *search) timeToFirstToken(p Path) time.Duration {
 	ms := 0.0
-	for i, h := range p {
-		ms += s.fleet.prefillMS(h, s.demand)
-		if i > 0 && h.Zone != p[i-1].Zone {
-			ms += s.fleet.linkTransferMS(s.now, h.Zone, p[i-1].Zone, s.demand)
+	for i, stage := range p {
+		ms += s.fleet.prefillMS(stage, s.demand)
+		if i > 0 && stage.Zone != p[i-1].Zone {
+			ms += s.fleet.linkTransferMS(s.now, stage.Zone, p[i-1].Zone, s.demand)
 		}
 	}
 	return time.Duration(ms * float64(time.Millisecond))
@@ -318,12 +319,12 @@
 
 // prefillMS returns the time in milliseconds until a stage has finished the prefill of a request,
 // queued behind the pending prefill work of the replica.
-func (f *Fleet) prefillMS(h Stage, d Demand) float64 {
-	m := f.replicas[h.ID]
+func (f *Fleet) prefillMS(stage Stage, d Demand) float64 {
+	m := f.replicas[stage.ID]
 	if m == nil {
 		return 0
 	}
-	work := d.Prompt*float64(h.To-h.From) + m.prefill + m.remotePrefill
+	work := d.Prompt*float64(stage.To-stage.From) + m.prefill + m.remotePrefill
 	return work / f.model.PrefillTokensPerMS * f.model.Kinds[m.Kind].PrefillFactor / float64(f.model.Layers) * m.stepTimeRatio
 }
 
--- a/core/pipeline/cluster_test.go
+++ b/core/pipeline/cluster_test.go
@@ -22,9 +22,9 @@
 	// reserved is the KV cache reserved by the requests of all instances, by replica.
 	reserved map[string]float64
 	running  []runningRequest
-	// placed counts all requests, overCapacity those that exceeded the capacity of a replica
+	// requests counts all requests, overCapacity those that exceeded the capacity of a replica
 	// on their path, and refused those without a path.
-	placed, overCapacity, refused int
+	requests, overCapacity, refused int
 }
 
 type runningRequest struct {
@@ -82,10 +82,10 @@
 }
 
 func (c *cluster) reserve(p pipeline.Path, d pipeline.Demand, sign float64) (exceeded bool) {
-	for _, h := range p {
-		c.reserved[h.ID] += sign * (d.Prompt + 0.6*d.Output) * float64(h.To-h.From)
-		capacity := c.model.CacheCapacity(c.kind(h.ID), 20)
-		exceeded = exceeded || c.reserved[h.ID] > capacity
+	for _, stage := range p {
+		c.reserved[stage.ID] += sign * (d.Prompt + 0.6*d.Output) * float64(stage.To-stage.From)
+		capacity := c.model.CacheCapacity(c.kind(stage.ID), 20)
+		exceeded = exceeded || c.reserved[stage.ID] > capacity
 	}
 	return exceeded
 }
@@ -126,7 +126,7 @@
 		i := c.random.IntN(len(c.instances))
 		d := pipeline.Demand{Prompt: 200 + 1100*c.random.Float64(), Output: 60 + 160*c.random.Float64()}
 		choice, ok := c.instances[i].Choose(now, d, pipeline.Constraint{})
-		c.placed++
+		c.requests++
 		if !ok {
 			c.refused++
 			continue
@@ -135,8 +135,8 @@
 		if c.reserve(choice.Path, d, 1) {
 			c.overCapacity++
 		}
-		lasts := time.Duration((4 + 2*c.random.Float64()) * float64(time.Second))
-		c.running = append(c.running, runningRequest{endsAt: now.Add(lasts), instance: i, path: choice.Path, demand: d})
+		duration := time.Duration((4 + 2*c.random.Float64()) * float64(time.Second))
+		c.running = append(c.running, runningRequest{endsAt: now.Add(duration), instance: i, path: choice.Path, demand: d})
 	}
 }
 
@@ -144,13 +144,13 @@
 // the load of the others. The requests need half of the capacity and must not all go to the
 // fastest replicas.
 func TestUninformedInstancesSpreadTheirRequests(t *testing.T) {
-	overCapacityShare := func(blind bool) float64 {
+	overCapacityShare := func(uninformed bool) float64 {
 		c := newCluster(t, 66, 1.25)
 		for _, f := range c.instances {
-			f.SetSharing(pipeline.Sharing{Random: c.random.Float64, Uninformed: blind})
+			f.SetSharing(pipeline.Sharing{Random: c.random.Float64, Uninformed: uninformed})
 		}
 		c.run(1, int(c.capacity()*0.5), time.Hour)
-		return float64(c.overCapacity) / float64(c.placed)
+		return float64(c.overCapacity) / float64(c.requests)
 	}
 	require.GreaterOrEqual(t, overCapacityShare(false), 0.2, "all choose the fastest replicas")
 	require.LessOrEqual(t, overCapacityShare(true), 0.02)
@@ -167,8 +167,8 @@
 		perSecond := int(c.capacity() * 0.6 / 5)
 		period := max(200*time.Millisecond, time.Duration(instances)*10*time.Millisecond)
 		c.run(8, perSecond, period)
-		t.Logf("%d instances, %d requests: %.4f exceeded a replica's capacity, %.4f found no path", instances, c.placed,
-			float64(c.overCapacity)/float64(c.placed), float64(c.refused)/float64(c.placed))
-		require.LessOrEqual(t, c.overCapacity+c.refused, c.placed/100)
+		t.Logf("%d instances, %d requests: %.4f exceeded a replica's capacity, %.4f found no path", instances, c.requests,
+			float64(c.overCapacity)/float64(c.requests), float64(c.refused)/float64(c.requests))
+		require.LessOrEqual(t, c.overCapacity+c.refused, c.requests/100)
 	}
 }
--- a/core/pipeline/link.go
+++ b/core/pipeline/link.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// linkTimeConstant is the time constant of the moving average of the prompt tokens sent between
-	// two zones. The transfer of a prompt of a thousand tokens takes about 20 ms.
+	// linkTimeConstant is the time constant of the moving average of the prompt tokens sent
+	// between two zones. The transfer of a prompt of a thousand tokens takes about 20 ms.
 	linkTimeConstant = time.Second
 	// maxLinkUtilization is the upper bound of the link utilization in the cost of a transfer.
 	maxLinkUtilization = 0.9
--- a/core/pipeline/model.go
+++ b/core/pipeline/model.go
@@ -1,5 +1,5 @@
 // Package pipeline chooses the replicas that a request passes through when the layers of its
-// model are spread over several replicas, and keeps track of the load that this requires. It
+// model are spread over several replicas, and keeps track of the load on each replica. It
 // performs no I/O and reads no clock.
 package pipeline
 
@@ -33,23 +33,24 @@
 	PrefillTokensPerMS float64
 	// LoadSeconds is the time to load all layers on one replica.
 	LoadSeconds float64
-	// MaxConcurrentLoads is the number of replicas that can load weights concurrently at full speed.
+	// MaxConcurrentLoads is the number of replicas that can load weights concurrently at full
+	// speed.
 	MaxConcurrentLoads int
 	// Slots is the maximum number of running requests whose path starts at a replica.
 	Slots int
 	// LinkMbps is the bandwidth between zones, shared by all transfers.
 	LinkMbps float64
-	// MeanPromptTokens and UsualOutput are the mean numbers of prompt and output tokens.
+	// MeanPromptTokens and MeanOutputTokens are the mean numbers of prompt and output tokens.
 	MeanPromptTokens float64
 	MeanOutputTokens float64
 	Kinds            map[string]Kind
 }
 
-// bytesPerMB is the number of bytes in a megabyte, also of bits in a megabit.
+// bytesPerMB is the number of bytes in a megabyte, and also the number of bits in a megabit.
 const bytesPerMB = 1e6
 
-// CacheCapacity returns the capacity of the KV cache, in tokens times layers, of a replica of the kind
-// that holds the number of layers.
+// CacheCapacity returns the capacity of the KV cache, in tokens times layers, of a replica of the
+// kind that holds the given number of layers.
 func (m *Model) CacheCapacity(kind string, layers int) float64 {
 	k, ok := m.Kinds[kind]
 	if !ok || layers <= 0 || m.KVTokenBytes <= 0 {
--- a/core/pipeline/observed.go
+++ b/core/pipeline/observed.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Report is the content of a report about a replica.
+// Report holds the measured state of a replica: the replica's own measurements, received directly
+// or relayed by another instance.
 type Report struct {
 	// StepTimeRatio is the step time divided by the usual step time; 0 if unknown.
 	StepTimeRatio float64
@@ -17,24 +18,25 @@
 // maxReportAge is the maximum age of a report that is taken into account.
 const maxReportAge = 3 * time.Second
 
-// Observe records the report of a replica.
-func (f *Fleet) Observe(now time.Time, id string, o Report) {
+// Observe replaces the last report of a replica. Layers that differ from those in the replica list
+// apply at once.
+func (f *Fleet) Observe(now time.Time, id string, report Report) {
 	m := f.replicas[id]
 	if m == nil {
 		return
 	}
-	if o.HasLayers {
+	if report.HasLayers {
 		m.layersReportedAt = now
 	} else {
-		o.HasLayers, o.From, o.To = m.observed.HasLayers, m.observed.From, m.observed.To
+		report.HasLayers, report.From, report.To = m.observed.HasLayers, m.observed.From, m.observed.To
 	}
-	m.observed, m.observedAt = o, now
+	m.observed, m.observedAt = report, now
 	m.stepTimeRatio = 1
-	if o.StepTimeRatio > 0 {
-		m.stepTimeRatio = o.StepTimeRatio
+	if report.StepTimeRatio > 0 {
+		m.stepTimeRatio = report.StepTimeRatio
 	}
-	if m.layersReportedAt.Equal(now) && (o.From != m.From || o.To != m.To) {
-		m.From, m.To = o.From, o.To
+	if m.layersReportedAt.Equal(now) && (report.From != m.From || report.To != m.To) {
+		m.From, m.To = report.From, report.To
 		m.setCapacity(now, f.model.CacheCapacity(m.Kind, m.To-m.From), false)
 		f.rebuildIndex()
 	}
@@ -70,8 +72,8 @@
 	return capacity, used
 }
 
-// StepTimeRatio returns the step time of a replica divided by the usual step time, or 1 without a recent
-// report.
+// StepTimeRatio returns the step time of a replica divided by the usual step time, or 1 without a
+// recent report.
 func (f *Fleet) StepTimeRatio(now time.Time, id string) float64 {
 	m := f.replicas[id]
 	if m == nil || m.observedAt.IsZero() || now.Sub(m.observedAt) > maxReportAge {
--- a/core/pipeline/pipeline.go
+++ b/core/pipeline/pipeline.go
@@ -10,8 +10,8 @@
 	Address string
 	Zone    string
 	Kind    string
-	// StartTime is the start time of the process in Unix milliseconds; it changes when the replica
-	// restarts.
+	// StartTime is the start time of the process in Unix milliseconds; it changes when the
+	// replica restarts.
 	StartTime int64
 	// From and To bound the layers that serve requests: From <= layer < To.
 	From, To int
@@ -23,8 +23,8 @@
 	Address  string
 	Zone     string
 	From, To int
-	// StartTime is the start time of the replica's process; it distinguishes the process from an
-	// earlier one of the same replica.
+	// StartTime is the start time of the replica's process; it distinguishes the process from
+	// an earlier one of the same replica.
 	StartTime int64
 }
 
@@ -33,8 +33,8 @@
 
 // Uses reports whether the path includes the replica.
 func (p Path) Uses(id string) bool {
-	for _, h := range p {
-		if h.ID == id {
+	for _, stage := range p {
+		if stage.ID == id {
 			return true
 		}
 	}
@@ -95,8 +95,8 @@
 	// zones holds the names of the zones; members refer to them by index.
 	zones []string
 	links map[Link]*linkLoad
-	// orphansUntil is the time until which replicas may still run requests that ended
-	// processes of instances left behind and that no reservation covers.
+	// orphansUntil is the time until which replicas may still run orphaned requests: those of
+	// ended instance processes, which no reservation covers.
 	orphansUntil time.Time
 	sharing      Sharing
 }
@@ -119,8 +119,9 @@
 // the duration of a long request.
 const orphanDuration = 8 * time.Second
 
-// ExpectOrphans makes the KV cache usage that replicas report count for orphanDuration after the
-// start of the process. After that only reservations count, because reports lag behind them.
+// ExpectOrphans must be called at the start of the process. For orphanDuration from then on, the
+// KV cache usage that replicas report is taken into account, because orphaned requests may still
+// run. After that only reservations count, because reports lag behind them.
 func (f *Fleet) ExpectOrphans(now time.Time) { f.orphansUntil = now.Add(orphanDuration) }
 
 // Model returns the model's parameters.
@@ -141,8 +142,8 @@
 
 // setCapacity applies a lower capacity at once and a higher one after releaseDelay, when the memory
 // is free. For a new process of the replica both apply at once.
-func (m *member) setCapacity(now time.Time, capacity float64, fresh bool) {
-	if fresh || capacity <= m.cacheCapacity {
+func (m *member) setCapacity(now time.Time, capacity float64, newProcess bool) {
+	if newProcess || capacity <= m.cacheCapacity {
 		m.cacheCapacity, m.nextCapacityAt = capacity, time.Time{}
 		return
 	}
@@ -158,25 +159,25 @@
 	}
 }
 
-// SetReplicas replaces the list of replicas and keeps the load of replicas that stay. Recently reported
-// layers take precedence over those in the list, unless the replica has restarted.
+// SetReplicas replaces the list of replicas and keeps the load of replicas that stay. Recently
+// reported layers take precedence over those in the list, unless the replica has restarted.
 func (f *Fleet) SetReplicas(now time.Time, list []Replica) {
 	for _, m := range f.replicas {
 		m.listed = false
 	}
 	for _, r := range list {
 		m := f.replicas[r.ID]
-		fresh := m == nil || m.StartTime != r.StartTime
+		newProcess := m == nil || m.StartTime != r.StartTime
 		if m == nil {
 			m = &member{load: load{stepTimeRatio: 1}}
 			f.replicas[r.ID] = m
 		}
-		if from, to, ok := f.Layers(now, r.ID); ok && !fresh {
+		if from, to, ok := f.Layers(now, r.ID); ok && !newProcess {
 			r.From, r.To = from, to
 		}
 		m.Replica = r
 		m.listed = true
-		m.setCapacity(now, f.model.CacheCapacity(r.Kind, r.To-r.From), fresh)
+		m.setCapacity(now, f.model.CacheCapacity(r.Kind, r.To-r.From), newProcess)
 	}
 	for id, m := range f.replicas {
 		if !m.listed && m.sequences == 0 {
@@ -313,12 +314,12 @@
 
 // adjustLoad adds (sign 1) or removes (sign -1) the reservation of a request.
 func (f *Fleet) adjustLoad(p Path, d Demand, sign float64) {
-	for i, h := range p {
-		m := f.replicas[h.ID]
+	for i, stage := range p {
+		m := f.replicas[stage.ID]
 		if m == nil {
 			continue
 		}
-		m.reserved = max(0, m.reserved+sign*d.reservedTokens()*float64(h.To-h.From))
+		m.reserved = max(0, m.reserved+sign*d.reservedTokens()*float64(stage.To-stage.From))
 		m.sequences = max(0, m.sequences+sign)
 		if i == 0 {
 			m.entering = max(0, m.entering+int(sign))
@@ -326,17 +327,17 @@
 	}
 }
 
-// AdjustPrefill adds (sign 1) or removes (sign -1) the prefill work of a request on all replicas of its
-// path.
+// AdjustPrefill adds (sign 1) or removes (sign -1) the prefill work of a request on all replicas
+// of its path.
 func (f *Fleet) AdjustPrefill(p Path, d Demand, sign float64) {
-	for _, h := range p {
-		if m := f.replicas[h.ID]; m != nil {
-			m.prefill = max(0, m.prefill+sign*d.Prompt*float64(h.To-h.From))
+	for _, stage := range p {
+		if m := f.replicas[stage.ID]; m != nil {
+			m.prefill = max(0, m.prefill+sign*d.Prompt*float64(stage.To-stage.From))
 		}
 	}
 }
 
-// Load is the load that requests of one instance, or of several, put on one replica.
+// Load sums the requests of one or several instances on one replica.
 type Load struct {
 	// Reserved is the reserved KV cache in tokens times layers.
 	Reserved  float64
@@ -387,8 +388,8 @@
 	return out
 }
 
-// SetRemoteLoad sets the total load of all other instances: by replica, and by link in prompt tokens
-// per second.
+// SetRemoteLoad sets the total load of all other instances: by replica, and by link in prompt
+// tokens per second.
 func (f *Fleet) SetRemoteLoad(of func(id string) Load, link func(Link) float64) {
 	for k, l := range f.links {
 		l.remoteRate = link(k)
--- a/core/pipeline/pipeline_test.go
+++ b/core/pipeline/pipeline_test.go
@@ -38,14 +38,14 @@
 	}
 	seen := map[string]bool{}
 	at := 0
-	for _, h := range p {
-		require.Equal(t, at, h.From)
-		require.Less(t, h.From, h.To)
-		require.False(t, seen[h.ID], "replica %s twice", h.ID)
-		seen[h.ID] = true
-		require.GreaterOrEqual(t, h.From, held[h.ID].From)
-		require.LessOrEqual(t, h.To, held[h.ID].To)
-		at = h.To
+	for _, stage := range p {
+		require.Equal(t, at, stage.From)
+		require.Less(t, stage.From, stage.To)
+		require.False(t, seen[stage.ID], "replica %s twice", stage.ID)
+		seen[stage.ID] = true
+		require.GreaterOrEqual(t, stage.From, held[stage.ID].From)
+		require.LessOrEqual(t, stage.To, held[stage.ID].To)
+		at = stage.To
 	}
 	require.Equal(t, layers, at)
 }
--- a/core/pipeline/rejections.go
+++ b/core/pipeline/rejections.go
@@ -7,7 +7,7 @@
 	// it has capacity. It is leaving or releasing layers, which its entry shows within one
 	// read interval.
 	initialBlock = 300 * time.Millisecond
-	// maxDoublings is how many times that period doubles while the replica accepts nothing.
+	// maxDoublings is how many times initialBlock doubles while the replica accepts nothing.
 	// It is bounded because the replica's entry may be outdated while the store is
 	// unavailable.
 	maxDoublings = 2
@@ -63,9 +63,9 @@
 	return d
 }
 
-// RecordAccepted records that a replica runs a request that was sent to it at the given time. A request
-// sent before the last rejection is ignored: a replica that is leaving continues the requests
-// that it has.
+// RecordAccepted records that a replica runs a request that was sent to it at the given time. A
+// request sent before the last rejection is ignored: a replica that is leaving continues the
+// requests that it has.
 func (r *Rejections) RecordAccepted(id string, sent time.Time) {
 	if r.replicas[id].last.Before(sent) {
 		delete(r.replicas, id)
--- a/core/pipeline/rejections_test.go
+++ b/core/pipeline/rejections_test.go
@@ -11,8 +11,8 @@
 )
 
 // While the store is unavailable a replica leaves, and each of sixty instances always has a
-// request for it. Only few requests may reach it: the other instances retry later than the one
-// that was rejected.
+// request for it. Only a few requests may reach it, because the other instances retry later than
+// the one that was rejected.
 func TestManyInstancesRarelyRetryALeavingReplica(t *testing.T) {
 	const instances = 60
 	random := rand.New(rand.NewPCG(1, 2))
--- a/core/pipeline/sharing.go
+++ b/core/pipeline/sharing.go
@@ -14,8 +14,8 @@
 const (
 	// skipWidthPerPeer is the share of a replica's KV cache, per other instance, over which
 	// the probability of skipping the replica rises to 1. It lies below the reservation
-	// limit. It grows with the number of instances because with more of them each learns
-	// later of the others' requests.
+	// limit. It grows with the number of instances because the more there are, the later each
+	// receives the load of the others.
 	skipWidthPerPeer = 0.01
 	// maxSkipWidth is the upper bound of that share, so that a nearly empty replica is always
 	// used.
@@ -41,7 +41,7 @@
 
 // skip reports whether a choice skips a replica that has capacity and whose KV cache is
 // used to the given share. The fastest replicas are the cheapest ones until they are full, and
-// the requests that other instances have placed there become known some tenths of a second late.
+// the requests that other instances have placed there become known a few tenths of a second late.
 // Without skipping, all instances would together reserve far more than the capacity of such a
 // replica, and requests would wait there for memory. As with random early detection, the replica
 // fills ever more slowly.
--- a/core/placement/benchmark_test.go
+++ b/core/placement/benchmark_test.go
@@ -56,8 +56,8 @@
 				b.ReportAllocs()
 				orders := 0
 				for b.Loop() {
-					q := New(DefaultMargins())
-					orders = len(q.Step(in).Orders)
+					p := New(DefaultMargins())
+					orders = len(p.Step(in).Orders)
 				}
 				b.ReportMetric(float64(orders), "orders/op")
 			})
--- a/core/placement/extend.go
+++ b/core/placement/extend.go
@@ -133,7 +133,7 @@
 
 // cheapestPath returns the ranges to load along a shortest augmenting path (Ford and Fulkerson,
 // 1956), or nil if there is no path. A range with spare units costs nothing, a version change in
-// place little, and an engine from elsewhere much.
+// place has a low cost, and moving an engine from elsewhere a high one.
 func (v *view) cheapestPath(m *Model, banned map[Assignment]bool) []Assignment {
 	g := v.graph(m)
 	g.saturate()
@@ -198,11 +198,11 @@
 // splitLongRanges adds boundaries where two of them are more than longest layers apart.
 func splitLongRanges(bounds []int, longest int) []int {
 	out := bounds[:1:1]
-	for _, c := range bounds[1:] {
-		for out[len(out)-1]+longest < c {
+	for _, b := range bounds[1:] {
+		for out[len(out)-1]+longest < b {
 			out = append(out, out[len(out)-1]+longest)
 		}
-		out = append(out, c)
+		out = append(out, b)
 	}
 	return out
 }
--- a/core/placement/limit.go
+++ b/core/placement/limit.go
@@ -1,8 +1,8 @@
 package placement
 
-// LoadLimit estimates the number of concurrent loads that the weight store allows. A refusal lowers
-// it to the number of loads that were running, and each time as many loads as the limit have
-// finished without a refusal, it rises by one. It is not safe for concurrent use.
+// LoadLimit estimates the number of concurrent loads that the weight store allows. A refusal
+// lowers it to the number of loads that were running. It rises by one each time as many loads as
+// the limit have finished without a refusal. It is not safe for concurrent use.
 type LoadLimit struct {
 	maximum  int
 	value    int
@@ -18,7 +18,8 @@
 // Value returns the number of concurrent loads.
 func (l *LoadLimit) Value() int { return l.value }
 
-// RecordRefused records that the store refused a load while the given number of others was running.
+// RecordRefused records that the store refused a load while the given number of others was
+// running.
 func (l *LoadLimit) RecordRefused(running int) {
 	l.value = max(1, min(l.value, running))
 	l.finished = 0
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,21 +1,21 @@
 // Package placement decides which engine holds which layers of which model. It performs no I/O.
 //
-// A Planner compares what the engines report to hold with the wanted models and returns orders.
-// An order contains the complete target state of one engine and the epoch of the leader as its
-// fencing number, so repeating it changes nothing.
+// A Planner compares the assignments that the engines report with the wanted models and returns
+// orders. An order contains the complete target state of one engine and the epoch of the leader as
+// its fencing number, so repeating it changes nothing.
 //
 // Invariants during one leader's epoch:
 //
 //  1. At most MaxLoads engines load at the same time. Engines that were loading before the leader
 //     took over count.
-//  2. The units that exact tilings of a model carry, summed over its versions, never fall through
-//     an order below the smaller of their previous value and a floor, which is at least one unit.
-//     For a version change the floor is RollShare times the demand, or times what the model's
-//     engines would carry with a single version if that is less, so that an overloaded model can
-//     change its version too. For any other change it is Slack times the demand. So the last
-//     replicas of a range that is in use are never reassigned, and a model that can be served
-//     remains so.
-//  3. With steady demand and engines, orders end. Every change of range or model lowers the sum
+//  2. No order lowers the units that exact tilings of a model carry, summed over its versions,
+//     below a floor of at least one unit; if they are below the floor already, no order lowers
+//     them further. For a version change the floor is RollShare times the demand, or times what
+//     the model's engines would carry with a single version if that is less, so that an
+//     overloaded model can change its version too. For any other change it is Slack times the
+//     demand. So the last replicas of a range that is in use are never reassigned, and a model
+//     that can be served remains so.
+//  3. With constant demand and engines, orders end. Every change of range or model lowers the sum
 //     of the models' shortages; every other change lowers the number of engines with an old
 //     version.
 //  4. An engine that a late order of another leader has changed is ordered back to its target,
@@ -61,8 +61,8 @@
 	ChecksFence bool
 	// Live is false if the engine is down; Held and Loading are then the last known values.
 	Live bool
-	// Unresponsive is true if the last attempt to read the state failed, which does not prove that
-	// the engine is down: its capacity is not relied on, and it is not replaced either.
+	// Unresponsive is true if the last attempt to read the state failed, which does not prove
+	// that the engine is down: its capacity is not relied on, and it is not replaced either.
 	Unresponsive bool
 	// Leaving is true if the engine accepts no new work.
 	Leaving bool
@@ -90,7 +90,7 @@
 
 func (m *Model) demand() int { return max(m.Demand, 1) }
 
-// Margins holds the planner's margins.
+// Margins holds the shares of its demand that a model keeps serving while its engines change.
 type Margins struct {
 	// RollShare is the share of its demand that a model still carries during a version
 	// change.
@@ -101,7 +101,7 @@
 	Slack float64
 }
 
-// DefaultMargins returns the default margins.
+// DefaultMargins returns a RollShare of 0.8 and a Slack of 1.25.
 func DefaultMargins() Margins { return Margins{RollShare: 0.8, Slack: 1.25} }
 
 // Input holds the state on which one planning step is based.
@@ -141,8 +141,8 @@
 	Orders []Order
 	// Loading is the number of engines that were loading before Orders.
 	Loading int
-	// Shortages holds the models whose planned capacity is below their demand, the one with the
-	// smallest ratio first.
+	// Shortages holds the models whose planned capacity is below their demand, the one with
+	// the smallest ratio first.
 	Shortages []Shortage
 	// Outdated is the number of engines with an old version of a wanted model.
 	Outdated int
@@ -158,14 +158,14 @@
 // Planner holds the targets of the engines during one leader's epoch. It is not safe for
 // concurrent use.
 type Planner struct {
-	terms   Margins
+	margins Margins
 	epoch   uint64
 	targets map[string]Assignment
 }
 
 // New returns a Planner without targets.
-func New(terms Margins) *Planner {
-	return &Planner{terms: terms, targets: map[string]Assignment{}}
+func New(margins Margins) *Planner {
+	return &Planner{margins: margins, targets: map[string]Assignment{}}
 }
 
 // Target returns the target of an engine, or false before its state has been read.
@@ -178,15 +178,15 @@
 // with the state read afterwards, and then repeats orders that were lost.
 func (p *Planner) Step(in Input) Plan {
 	p.syncTargets(in)
-	v := newView(p.terms, in, p.targets)
+	v := newView(p.margins, in, p.targets)
 	plan := Plan{Loading: v.loading}
 	v.restoreTargets(p.targets)
 	for v.loadBudget > 0 && v.relieveShortage() {
 	}
 	for v.loadBudget > 0 && v.rollOneEngine() {
 	}
-	for _, c := range v.orders {
-		p.targets[c.Engine] = c.Target
+	for _, o := range v.orders {
+		p.targets[o.Engine] = o.Target
 	}
 	plan.Orders = append(v.orders, fenceOrders(in, p.targets, v.reassigned)...)
 	plan.Shortages = v.shortages()
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -129,14 +129,14 @@
 		if lossy && rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 			continue
 		}
-		before, whole := map[string]int{}, map[string]int{}
+		before, oneVersion := map[string]int{}, map[string]int{}
 		for _, m := range f.models {
-			before[m.Name], whole[m.Name] = f.served(m.Name), f.servedWithOneVersion(m.Name)
+			before[m.Name], oneVersion[m.Name] = f.served(m.Name), f.servedWithOneVersion(m.Name)
 		}
 		held := f.engines[f.index(o.Engine)].Held
 		f.deliver(t, o)
 		for _, m := range f.models {
-			keep := DefaultMargins().RollShare * float64(min(m.Demand, whole[m.Name]))
+			keep := DefaultMargins().RollShare * float64(min(m.Demand, oneVersion[m.Name]))
 			if o.Reason == ReasonShortage && held.Model == m.Name && held.Version == m.Version {
 				keep = DefaultMargins().Slack * float64(m.Demand)
 			}
@@ -327,7 +327,7 @@
 		for _, o := range newer.Step(f.read(f.epoch)).Orders {
 			f.deliver(t, o)
 		}
-		for range rapid.IntRange(0, min(len(late), 3)).Draw(t, "wakes") {
+		for range rapid.IntRange(0, min(len(late), 3)).Draw(t, "late orders") {
 			o := rapid.SampledFrom(late).Draw(t, "late")
 			accepted := f.deliver(t, o)
 			require.False(t, accepted && f.engines[f.index(o.Engine)].ChecksFence, "round %d: a late order was accepted", round)
--- a/core/placement/view.go
+++ b/core/placement/view.go
@@ -12,7 +12,7 @@
 // view is the state of one planning step: what the engines hold, and their targets including the
 // changes decided so far.
 type view struct {
-	terms      Margins
+	margins    Margins
 	epoch      uint64
 	engines    []Engine
 	models     map[string]*Model
@@ -34,16 +34,16 @@
 // unitCounts holds the number of units of each assignment.
 type unitCounts map[Assignment]int
 
-func (t unitCounts) add(a Assignment, units int) {
-	t[a] += units
-	if t[a] == 0 {
-		delete(t, a)
+func (c unitCounts) add(a Assignment, units int) {
+	c[a] += units
+	if c[a] == 0 {
+		delete(c, a)
 	}
 }
 
-func newView(terms Margins, in Input, targets map[string]Assignment) *view {
+func newView(margins Margins, in Input, targets map[string]Assignment) *view {
 	v := &view{
-		terms: terms, epoch: in.Epoch, engines: in.Engines,
+		margins: margins, epoch: in.Epoch, engines: in.Engines,
 		models: map[string]*Model{}, target: make([]Assignment, len(in.Engines)),
 		held: unitCounts{}, planned: unitCounts{}, longestHeld: map[string]int{}, reassigned: map[string]bool{},
 	}
@@ -144,8 +144,8 @@
 		versions[a.Version][a] = units
 	}
 	total := 0
-	for _, t := range versions {
-		total += maxFlow(m.Layers, slices.Collect(maps.Keys(t)), t)
+	for _, counts := range versions {
+		total += maxFlow(m.Layers, slices.Collect(maps.Keys(counts)), counts)
 	}
 	return total
 }
@@ -183,12 +183,12 @@
 // rollFloor returns the units that the model must keep during a version change.
 func (v *view) rollFloor(m *Model) int {
 	need := min(m.demand(), v.allVersions(m))
-	return max(1, int(math.Ceil(v.terms.RollShare*float64(need))))
+	return max(1, int(math.Ceil(v.margins.RollShare*float64(need))))
 }
 
 // moveFloor returns the units that the model must keep when an engine is reassigned.
 func (v *view) moveFloor(m *Model) int {
-	return max(1, int(math.Ceil(v.terms.Slack*float64(m.demand()))))
+	return max(1, int(math.Ceil(v.margins.Slack*float64(m.demand()))))
 }
 
 // mayReassign reports whether the engine may be reassigned.
@@ -205,7 +205,7 @@
 }
 
 // mayChangeRange reports whether an engine with the wanted version of m may change to another
-// range, so that more than before is planned with the rest of the path.
+// range: the planned units, including the rest of the path, must then exceed before.
 func (v *view) mayChangeRange(m *Model, e *Engine, before int) bool {
 	return v.keepsServing(m, e) && v.plannedWithout(e) > before
 }
@@ -237,8 +237,8 @@
 	return least
 }
 
-// group is a set of interchangeable engines: they hold the same, in the same zone, with the same
-// size.
+// group is a set of interchangeable engines: they have the same assignment, zone, units and maximum
+// number of layers.
 type group struct {
 	// engine is the index of the engine with the lowest ID.
 	engine int
