--- a/core/demand/demand_test.go
+++ b/core/demand/demand_test.go
@@ -107,7 +107,7 @@
 	for i := range rapid.IntRange(1, 10).Draw(t, "instances") {
 		id := fmt.Sprintf("m%d", i)
 		s.live = append(s.live, id)
-		if !allReported && rapid.Bool().Draw(t, "unheard") {
+		if !allReported && rapid.Bool().Draw(t, "unreported") {
 			continue
 		}
 		s.digests = append(s.digests, drawDigest(t, id, ranks))
@@ -161,7 +161,7 @@
 		for _, allocation := range allocations {
 			sum += allocation.Total()
 			if own := s.ownAllocation(allocation.Instance); own.Total() != allocation.Total() {
-				t.Fatalf("%s computes %d for itself, the table has %d", allocation.Instance, own.Total(), allocation.Total())
+				t.Fatalf("%s computes %d for itself, Allocations has %d", allocation.Instance, own.Total(), allocation.Total())
 			}
 			for rank, slots := range allocation.Ranks {
 				demand, ok := s.demandOf(allocation.Instance, rank)
--- a/core/demand/fill.go
+++ b/core/demand/fill.go
@@ -10,8 +10,8 @@
 	index  int
 	demand int
 	weight int64
-	// remainder is the fraction of a slot that rounding removed, in units of 1/sum of
-	// weights.
+	// remainder is the numerator of the fraction of a slot that rounding removed; the
+	// denominator is the sum of the weights.
 	remainder int64
 }
 
--- a/core/demand/publisher.go
+++ b/core/demand/publisher.go
@@ -7,7 +7,7 @@
 	// MinPeriod is the minimum time between two digests.
 	MinPeriod time.Duration
 	// MaxPeriod is the time after which a digest is published even if nothing has changed.
-	// Receivers treat a digest as stale after several periods.
+	// Receivers treat a digest as stale after several such periods.
 	MaxPeriod time.Duration
 	// BytesPerSecond is the maximum rate of digest traffic to all peers together; 0 means no
 	// limit.
@@ -26,8 +26,8 @@
 // over: one part in changeDivisor.
 const changeDivisor = 8
 
-// Publisher decides when an instance publishes a digest to its peers: soon after demand has changed,
-// periodically if it has not, and always within the bandwidth limit. It is not safe for
+// Publisher decides when an instance publishes a digest to its peers: soon after demand has
+// changed, periodically if it has not, and always within the bandwidth limit. It is not safe for
 // concurrent use.
 type Publisher struct {
 	config      PublisherConfig
@@ -37,7 +37,7 @@
 	balance     float64
 }
 
-// NewPublisher returns one that has published nothing.
+// NewPublisher returns a Publisher that has published nothing.
 func NewPublisher(config PublisherConfig) *Publisher {
 	return &Publisher{config: config, balance: config.Burst}
 }
@@ -45,41 +45,42 @@
 // Due reports whether digest must be published at now. size is the bandwidth that this needs: the
 // bytes of the message times the number of peers. If Due returns true, the digest counts as
 // published.
-func (t *Publisher) Due(now time.Time, digest Digest, size int) bool {
-	if t.started && !t.isDue(now, &digest) {
+func (p *Publisher) Due(now time.Time, digest Digest, size int) bool {
+	if p.started && !p.isDue(now, &digest) {
 		return false
 	}
-	if !t.spend(now, float64(size)) {
+	if !p.spend(now, float64(size)) {
 		return false
 	}
-	t.published, t.publishedAt, t.started = digest, now, true
+	p.published, p.publishedAt, p.started = digest, now, true
 	return true
 }
 
 // isDue reports whether the period or a change requires a new digest.
-func (t *Publisher) isDue(now time.Time, digest *Digest) bool {
-	passed := now.Sub(t.publishedAt)
-	if passed >= t.config.MaxPeriod {
+func (p *Publisher) isDue(now time.Time, digest *Digest) bool {
+	elapsed := now.Sub(p.publishedAt)
+	if elapsed >= p.config.MaxPeriod {
 		return true
 	}
-	return passed >= t.config.MinPeriod && changed(&t.published, digest)
+	return elapsed >= p.config.MinPeriod && changed(&p.published, digest)
 }
 
-// spend withdraws size from the bytes that have accumulated since the last digest. A digest larger
-// than the burst is due once a full burst has accumulated, and leaves a negative balance.
-func (t *Publisher) spend(now time.Time, size float64) bool {
-	if t.config.BytesPerSecond <= 0 {
+// spend withdraws size from the bytes that have accumulated since the last digest, or returns false
+// if they are too few. A digest larger than the burst is due once a full burst has accumulated, and
+// leaves a negative balance.
+func (p *Publisher) spend(now time.Time, size float64) bool {
+	if p.config.BytesPerSecond <= 0 {
 		return true
 	}
-	available := t.balance
-	if t.started {
-		available += now.Sub(t.publishedAt).Seconds() * t.config.BytesPerSecond
+	available := p.balance
+	if p.started {
+		available += now.Sub(p.publishedAt).Seconds() * p.config.BytesPerSecond
 	}
-	available = min(available, t.config.Burst)
-	if available < min(size, t.config.Burst) {
+	available = min(available, p.config.Burst)
+	if available < min(size, p.config.Burst) {
 		return false
 	}
-	t.balance = available - size
+	p.balance = available - size
 	return true
 }
 
--- a/core/demand/publisher_test.go
+++ b/core/demand/publisher_test.go
@@ -55,8 +55,8 @@
 		var digests []publishedDigest
 		for range 200 {
 			pause := rapid.SampledFrom([]int{1, 50, 200, 400, 400, 60_000}).Draw(t, "ms")
-			passed := time.Duration(pause) * time.Millisecond
-			now = now.Add(passed)
+			elapsed := time.Duration(pause) * time.Millisecond
+			now = now.Add(elapsed)
 			size := rapid.IntRange(1, 9000).Draw(t, "size")
 			largest = max(largest, float64(size))
 			if publisher.Due(now, queuedDigest(rapid.IntRange(0, 50).Draw(t, "queued")), size) {
@@ -70,7 +70,7 @@
 					t.Fatalf("%.0f bytes in %v, allowed %.0f", bytesSince(digests, i), now.Sub(s.at), allowed)
 				}
 			}
-			longest := max(config.MaxPeriod.Seconds(), (config.Burst+excess)/config.BytesPerSecond) + passed.Seconds()
+			longest := max(config.MaxPeriod.Seconds(), (config.Burst+excess)/config.BytesPerSecond) + elapsed.Seconds()
 			if now.Sub(last).Seconds() > longest+0.001 {
 				t.Fatalf("nothing published for %v", now.Sub(last))
 			}
--- a/core/demand/shares.go
+++ b/core/demand/shares.go
@@ -44,13 +44,13 @@
 // Instances with the same published digests together use no more than the capacity, plus the
 // growth of demand since it was published, plus one slot per rank and instance due to rounding.
 func Shares(pool Pool, live []string, published []Digest, self string, current PoolDemand) Allocation {
-	t := newAllocator(pool, withSelf(live, self), published)
-	own := t.indexOf(self)
-	if reportedIndex, ok := slices.BinarySearch(t.reported, own); ok {
-		t.demands[reportedIndex] = current
+	a := newAllocator(pool, withSelf(live, self), published)
+	own := a.indexOf(self)
+	if reportedIndex, ok := slices.BinarySearch(a.reported, own); ok {
+		a.demands[reportedIndex] = current
 	}
-	t.allocate()
-	return t.allocations[own]
+	a.allocate()
+	return a.allocations[own]
 }
 
 // Allocations returns the allocations of all live instances in the order of their IDs.
@@ -64,9 +64,9 @@
 //     with the weights of the workspaces that have requests there.
 //   - What is left when all demand is covered is divided equally as spare slots.
 func Allocations(pool Pool, live []string, digests []Digest) []Allocation {
-	t := newAllocator(pool, live, digests)
-	t.allocate()
-	return t.allocations
+	a := newAllocator(pool, live, digests)
+	a.allocate()
+	return a.allocations
 }
 
 // allocator is the state of one computation of all allocations.
@@ -86,39 +86,39 @@
 	byID := newestByInstance(digests)
 	ids := slices.Compact(slices.Sorted(slices.Values(live)))
 	key := KeyOf(pool.Name)
-	t := &allocator{pool: pool}
-	t.allocations = make([]Allocation, len(ids))
-	t.members = make([]int64, len(ids))
+	a := &allocator{pool: pool}
+	a.allocations = make([]Allocation, len(ids))
+	a.members = make([]int64, len(ids))
 	for i, id := range ids {
-		t.allocations[i] = Allocation{Instance: id, Ranks: make([]int, len(pool.MinShares))}
-		t.members[i] = 1
+		a.allocations[i] = Allocation{Instance: id, Ranks: make([]int, len(pool.MinShares))}
+		a.members[i] = 1
 		digest, ok := byID[id]
 		if !ok {
 			continue
 		}
-		t.members[i] = int64(clampSlots(digest.members()))
-		t.reported = append(t.reported, i)
-		t.demands = append(t.demands, digest.Pool(key))
+		a.members[i] = int64(clampSlots(digest.members()))
+		a.reported = append(a.reported, i)
+		a.demands = append(a.demands, digest.Pool(key))
 	}
-	t.weights = instanceWeights(t.demands, len(pool.MinShares))
-	return t
+	a.weights = instanceWeights(a.demands, len(pool.MinShares))
+	return a
 }
 
 // indexOf returns the index of the allocation of id, which must exist.
-func (t *allocator) indexOf(id string) int {
-	return slices.IndexFunc(t.allocations, func(r Allocation) bool { return r.Instance == id })
+func (a *allocator) indexOf(id string) int {
+	return slices.IndexFunc(a.allocations, func(allocation Allocation) bool { return allocation.Instance == id })
 }
 
-func (t *allocator) allocate() {
-	rest := t.reserveUnreported(clampSlots(t.pool.Capacity))
-	if len(t.reported) == 0 {
+func (a *allocator) allocate() {
+	rest := a.reserveUnreported(clampSlots(a.pool.Capacity))
+	if len(a.reported) == 0 {
 		return
 	}
-	for rank, budget := range t.rankBudgets(rest) {
-		t.divideRank(rank, budget)
+	for rank, budget := range a.rankBudgets(rest) {
+		a.divideRank(rank, budget)
 		rest -= budget
 	}
-	t.addSpare(rest)
+	a.addSpare(rest)
 }
 
 func newestByInstance(digests []Digest) map[string]*Digest {
@@ -139,16 +139,16 @@
 
 // reserveUnreported assigns equal shares to the instances without a digest and returns what is
 // left of capacity.
-func (t *allocator) reserveUnreported(capacity int) int {
-	equal := divideProportionally(capacity, t.members)
+func (a *allocator) reserveUnreported(capacity int) int {
+	equal := divideProportionally(capacity, a.members)
 	rest := capacity
 	next := 0
-	for index := range t.allocations {
-		if next < len(t.reported) && t.reported[next] == index {
+	for index := range a.allocations {
+		if next < len(a.reported) && a.reported[next] == index {
 			next++
 			continue
 		}
-		t.allocations[index].Spare = equal[index]
+		a.allocations[index].Spare = equal[index]
 		rest -= equal[index]
 	}
 	return rest
@@ -156,15 +156,15 @@
 
 // rankBudgets divides capacity among the ranks: first the guaranteed minimums, then the demand in
 // the order of urgency.
-func (t *allocator) rankBudgets(capacity int) []int {
-	budgets := make([]int, len(t.pool.MinShares))
+func (a *allocator) rankBudgets(capacity int) []int {
+	budgets := make([]int, len(a.pool.MinShares))
 	rest := capacity
 	for rank := range budgets {
-		budgets[rank] = min(t.totalRankDemand(rank), minSlots(t.pool.MinShares[rank], capacity), rest)
+		budgets[rank] = min(a.totalRankDemand(rank), minSlots(a.pool.MinShares[rank], capacity), rest)
 		rest -= budgets[rank]
 	}
 	for rank := range budgets {
-		more := min(t.totalRankDemand(rank)-budgets[rank], rest)
+		more := min(a.totalRankDemand(rank)-budgets[rank], rest)
 		budgets[rank] += more
 		rest -= more
 	}
@@ -180,53 +180,53 @@
 	return max(1, int(math.Floor(min(share, 1)*float64(capacity))))
 }
 
-func (t *allocator) totalRankDemand(rank int) int {
+func (a *allocator) totalRankDemand(rank int) int {
 	sum := 0
-	for i := range t.demands {
-		sum += t.demands[i].rankDemand(rank).slots()
+	for i := range a.demands {
+		sum += a.demands[i].rankDemand(rank).slots()
 	}
 	return sum
 }
 
 // divideRank divides the budget of one rank among the instances.
-func (t *allocator) divideRank(rank, budget int) {
+func (a *allocator) divideRank(rank, budget int) {
 	if budget == 0 {
 		return
 	}
-	unmet := make([]int, len(t.reported))
-	weights := make([]int64, len(t.reported))
+	unmet := make([]int, len(a.reported))
+	weights := make([]int64, len(a.reported))
 	rest := budget
-	members := t.reportedMembers()
-	for i, index := range t.reported {
-		demand := t.demands[i].rankDemand(rank).slots()
-		equal := int(int64(budget) * t.members[index] / members)
+	members := a.reportedMembers()
+	for i, index := range a.reported {
+		demand := a.demands[i].rankDemand(rank).slots()
+		equal := int(int64(budget) * a.members[index] / members)
 		granted := min(demand, equal)
-		t.allocations[index].Ranks[rank] = granted
+		a.allocations[index].Ranks[rank] = granted
 		rest -= granted
 		unmet[i] = demand - granted
-		weights[i] = t.weights[i][rank]
+		weights[i] = a.weights[i][rank]
 	}
 	for i, more := range maxMinFill(rest, unmet, weights) {
-		t.allocations[t.reported[i]].Ranks[rank] += more
+		a.allocations[a.reported[i]].Ranks[rank] += more
 	}
 }
 
-func (t *allocator) reportedMembers() int64 {
+func (a *allocator) reportedMembers() int64 {
 	var sum int64
-	for _, index := range t.reported {
-		sum += t.members[index]
+	for _, index := range a.reported {
+		sum += a.members[index]
 	}
 	return sum
 }
 
 // addSpare divides the slots left over from all demand equally.
-func (t *allocator) addSpare(rest int) {
-	members := make([]int64, len(t.reported))
-	for i, index := range t.reported {
-		members[i] = t.members[index]
+func (a *allocator) addSpare(rest int) {
+	members := make([]int64, len(a.reported))
+	for i, index := range a.reported {
+		members[i] = a.members[index]
 	}
 	for i, slots := range divideProportionally(rest, members) {
-		t.allocations[t.reported[i]].Spare += slots
+		a.allocations[a.reported[i]].Spare += slots
 	}
 }
 
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// State is the state of an instance. Within one incarnation it only increases, except that
-// a message brings an instance that was considered failed back to its reported state.
+// State is the life cycle state of an instance. Within one incarnation it only increases,
+// except that a message brings an instance that was considered failed back to its reported
+// state.
 type State int
 
 // States of an instance.
@@ -52,8 +53,8 @@
 	DefaultMissedHeartbeats  = 4
 )
 
-// Event is an input of Members: a list, a message of a peer, a change of the own state, or
-// the passing of time.
+// Event is an input of Members: the platform's list, a message of a peer, a change of this
+// instance's own state, or the passing of time.
 type Event interface{ isEvent() }
 
 // Listed is a snapshot of the platform's list of entry instances.
@@ -68,7 +69,7 @@
 	Leaving bool
 }
 
-// Received reports a message of a peer with the state that the peer claims.
+// Received is a message of a peer, with the state that the peer reports.
 type Received struct {
 	ID          string
 	Incarnation uint64
@@ -141,8 +142,8 @@
 	return time.Duration(m.config.MissedHeartbeats) * m.config.HeartbeatInterval
 }
 
-// Step advances the time to now and then applies event. The changes of each of the two
-// steps are sorted by instance ID.
+// Step advances the time to now and then applies event. It returns first the changes that
+// are due to the time and then those due to the event, each sorted by instance ID.
 func (m *Members) Step(now time.Time, event Event) []StateChange {
 	expired := m.refresh(now, "")
 	replaced := ""
--- a/core/neighbor/neighbor_test.go
+++ b/core/neighbor/neighbor_test.go
@@ -14,7 +14,7 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261204") }
 
-// The required size of the largest deployment.
+// The size of the largest deployment that must be supported.
 const (
 	fleetInstances = 1900
 	fleetZones     = 15
@@ -58,7 +58,7 @@
 	return g
 }
 
-// fleetSessions is the graph at the required size.
+// fleetSessions returns the graph of the largest deployment.
 var fleetSessions = sync.OnceValue(func() graph { return sessions(fleet(fleetInstances, fleetZones)) })
 
 // reach returns how many instances a message from start reaches, and in how many hops, when
@@ -86,8 +86,8 @@
 	}
 }
 
-// diameter returns the longest shortest path that starts at any sampled instance, one of
-// every sample instances.
+// diameter returns the length of the longest shortest path that starts at a sampled
+// instance. Every sample-th instance is sampled.
 func (g graph) diameter(t *testing.T, failed []bool, sample int) int {
 	t.Helper()
 	alive := 0
@@ -215,7 +215,7 @@
 		for i := range replicas {
 			replicas[i] = fmt.Sprintf("replica-%d", i)
 		}
-		removed := rapid.IntRange(0, n-1).Draw(t, "gone")
+		removed := rapid.IntRange(0, n-1).Draw(t, "removed")
 		before := Subset("m1", replicas, k)
 		after := Subset("m1", slices.Delete(slices.Clone(replicas), removed, removed+1), k)
 		if len(before) != min(n, k) || !slices.IsSorted(before) {
@@ -276,7 +276,7 @@
 }
 
 func TestEveryReplicaIsCoveredByCells(t *testing.T) {
-	const copies = 2
+	const cellsPerReplica = 2
 	all := fleet(fleetInstances, fleetZones)
 	served, largest := map[string]int{}, 0
 	cells := map[string]int{}
@@ -289,7 +289,7 @@
 		key := fmt.Sprint(in.Zone, cell)
 		subset, known := subsets[key]
 		if !known {
-			subset = CellSubset(cell, depth, zoneReplicas(in.Zone), copies)
+			subset = CellSubset(cell, depth, zoneReplicas(in.Zone), cellsPerReplica)
 			subsets[key] = subset
 			for _, id := range subset {
 				cells[id]++
@@ -304,7 +304,7 @@
 	t.Logf("by cell: least %d, mean %.1f, most %d; replicas of one instance at most %d", least, mean, most, largest)
 	require.GreaterOrEqual(t, least, 3)
 	for id, count := range cells {
-		require.Equal(t, copies, count, id)
+		require.Equal(t, cellsPerReplica, count, id)
 	}
 }
 
--- a/core/neighbor/subset.go
+++ b/core/neighbor/subset.go
@@ -24,13 +24,13 @@
 }
 
 // CellSubset returns the sorted IDs of the replicas that all instances of a cell serve.
-// Each replica is served by copies of the 2^depth cells, so all replicas are covered
+// Of the 2^depth cells, cellsPerReplica serve each replica, so all replicas are covered
 // equally, and instances that share a replica are neighbors or exchange summed digests.
 // Adding or removing a replica does not affect the others.
-func CellSubset(cell uint64, depth int, replicas []string, copies int) []string {
+func CellSubset(cell uint64, depth int, replicas []string, cellsPerReplica int) []string {
 	var subset []string
 	for _, id := range replicas {
-		if servesReplica(cell, depth, id, copies) {
+		if servesReplica(cell, depth, id, cellsPerReplica) {
 			subset = append(subset, id)
 		}
 	}
@@ -38,9 +38,9 @@
 	return subset
 }
 
-// servesReplica reports whether fewer than copies cells have a higher score for the
-// replica.
-func servesReplica(cell uint64, depth int, replica string, copies int) bool {
+// servesReplica reports whether fewer than cellsPerReplica cells have a higher score for
+// the replica.
+func servesReplica(cell uint64, depth int, replica string, cellsPerReplica int) bool {
 	hash := xxhash.Sum64String(replica)
 	own := score(cell, hash)
 	higher := 0
@@ -49,5 +49,5 @@
 			higher++
 		}
 	}
-	return higher < copies
+	return higher < cellsPerReplica
 }
