--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -44,7 +44,7 @@
 // Machine is the state machine of one instance for one lease stream. It is not safe for
 // concurrent use.
 type Machine struct {
-	terms  Timing
+	timing Timing
 	self   string
 	prefix string
 	lastID uint64
@@ -73,19 +73,19 @@
 	// held is set while this instance holds the lease of epoch.
 	held       bool
 	validUntil time.Time
-	// pending are records of this instance that were not read back yet, oldest first.
+	// pending holds the records of this instance that were not read back yet, oldest first.
 	pending []pending
 }
 
 type pending struct {
-	id      record.ID
-	started time.Time
+	id        record.ID
+	writtenAt time.Time
 }
 
 // New returns a Machine for the instance self. prefix must be unique to this process of the
 // instance; record IDs start with it.
-func New(terms Timing, self, prefix string) *Machine {
-	return &Machine{terms: terms, self: self, prefix: prefix, tasks: map[string]*task{}}
+func New(timing Timing, self, prefix string) *Machine {
+	return &Machine{timing: timing, self: self, prefix: prefix, tasks: map[string]*task{}}
 }
 
 // SetWanted sets whether the instance should acquire and renew the lease of a task.
@@ -152,11 +152,11 @@
 		inView := l.ReadOffset >= m.viewStart
 		if inView && t.last <= l.ReadOffset {
 			t.accept(offset+1, l.Holder)
-			t.confirm(id, m.terms)
+			t.confirm(id, m.timing)
 		}
 	case record.LeaseRenew:
 		if t.known && l.Epoch == t.epoch {
-			t.confirm(id, m.terms)
+			t.confirm(id, m.timing)
 		}
 	case record.LeaseRelease:
 		if t.known && l.Epoch == t.epoch {
@@ -178,11 +178,11 @@
 
 // confirm extends the lease after a record of this instance was accepted. Records written
 // before it can no longer extend the lease.
-func (t *task) confirm(id record.ID, terms Timing) {
+func (t *task) confirm(id record.ID, timing Timing) {
 	for i, p := range t.pending {
 		if p.id == id {
 			t.held = !t.released
-			t.validUntil = p.started.Add(terms.TTL - terms.Margin)
+			t.validUntil = p.writtenAt.Add(timing.TTL - timing.Margin)
 			t.pending = t.pending[i+1:]
 			return
 		}
@@ -202,7 +202,7 @@
 		case !t.wanted:
 		case t.held && renew:
 			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseRenew, Epoch: t.epoch}))
-		case !t.held && m.free(now, t) && t.mayWrite(now, m.terms.TTL):
+		case !t.held && m.free(now, t) && t.mayWrite(now, m.timing.TTL):
 			records = append(records, m.newRecord(now, t, record.Lease{Op: record.LeaseAcquire, ReadOffset: m.next}))
 		}
 	}
@@ -211,8 +211,8 @@
 
 func (m *Machine) renewalDue(now time.Time) bool {
 	for _, t := range m.tasks {
-		renewAt := t.validUntil.Add(m.terms.Margin - m.terms.TTL + m.terms.Renew)
-		if t.wanted && t.held && !now.Before(renewAt) && t.mayWrite(now, m.terms.Renew) {
+		renewAt := t.validUntil.Add(m.timing.Margin - m.timing.TTL + m.timing.Renew)
+		if t.wanted && t.held && !now.Before(renewAt) && t.mayWrite(now, m.timing.Renew) {
 			return true
 		}
 	}
@@ -228,14 +228,14 @@
 	if t.lastReadAt.After(last) {
 		last = t.lastReadAt
 	}
-	return now.Sub(last) >= m.terms.TTL
+	return now.Sub(last) >= m.timing.TTL
 }
 
 // mayWrite reports whether no record is pending or the last one was written at least the
 // given time ago.
 func (t *task) mayWrite(now time.Time, after time.Duration) bool {
 	n := len(t.pending)
-	return n == 0 || now.Sub(t.pending[n-1].started) >= after
+	return n == 0 || now.Sub(t.pending[n-1].writtenAt) >= after
 }
 
 // Release ends all leases and returns the records to append. The instance wants no task
@@ -258,7 +258,7 @@
 	id := record.ID(m.prefix + "/" + strconv.FormatUint(m.lastID, 10))
 	l.Task = t.name
 	l.Holder = m.self
-	t.pending = append(t.pending, pending{id: id, started: now})
+	t.pending = append(t.pending, pending{id: id, writtenAt: now})
 	t.pending = t.pending[max(0, len(t.pending)-maxPending):]
 	return record.Record{ID: id, Lease: &l}
 }
--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -6,9 +6,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// IsDesignated reports whether self is one of the count instances with the highest weights among
-// itself and the others. The weight is a hash of the name, so that each name is equally
-// likely to be selected.
+// IsDesignated reports whether self is one of the count instances with the highest weights
+// among itself and the others. The weight is a hash of the name, so that each name is
+// equally likely to be selected.
 func IsDesignated(self string, others []string, count int) bool {
 	higher := 0
 	for _, o := range others {
@@ -21,13 +21,13 @@
 
 // Highest returns the name with the highest weight, or "" if there are no names.
 func Highest(names []string) string {
-	first := ""
+	highest := ""
 	for i, name := range names {
-		if i == 0 || outranks(name, first) {
-			first = name
+		if i == 0 || outranks(name, highest) {
+			highest = name
 		}
 	}
-	return first
+	return highest
 }
 
 // outranks reports whether a has a higher weight than b. Equal weights are ordered by name.
--- a/core/readers/readers_test.go
+++ b/core/readers/readers_test.go
@@ -21,15 +21,15 @@
 			groups[g] = append(groups[g], fmt.Sprintf("instance-%d", i))
 		}
 		for _, names := range groups {
-			reading := 0
+			designated := 0
 			for i, self := range names {
 				others := append(append([]string(nil), names[:i]...), names[i+1:]...)
 				if readers.IsDesignated(self, others, count) {
-					reading++
+					designated++
 				}
 				require.Equal(t, readers.Highest(names) == self, readers.IsDesignated(self, others, 1))
 			}
-			require.Equal(t, min(count, len(names)), reading)
+			require.Equal(t, min(count, len(names)), designated)
 		}
 	})
 }
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -80,10 +80,10 @@
 	caughtUp    bool
 	offered     bool
 	unavailable bool
-	started     bool
+	ready       bool
 	truncated   bool
 
-	snapshot     uint64
+	snapshotNext uint64
 	haveSnapshot bool
 }
 
@@ -109,7 +109,7 @@
 func (m *Machine) CaughtUp() bool { return m.caughtUp && m.attached }
 
 // SnapshotNext returns the highest Next among the snapshot records read.
-func (m *Machine) SnapshotNext() (next uint64, ok bool) { return m.snapshot, m.haveSnapshot }
+func (m *Machine) SnapshotNext() (next uint64, ok bool) { return m.snapshotNext, m.haveSnapshot }
 
 // Offer passes the state of a peer to the Machine and reports whether it was newer.
 func (m *Machine) Offer(s record.Snapshot) bool {
@@ -133,9 +133,9 @@
 // Status reports whether the configuration may be used.
 func (m *Machine) Status() Status {
 	if m.state.Revision > 0 && (m.caughtUp || m.offered && m.unavailable) {
-		m.started = true
+		m.ready = true
 	}
-	return Status{Ready: m.started, Reason: m.reason()}
+	return Status{Ready: m.ready, Reason: m.reason()}
 }
 
 func (m *Machine) reason() Reason {
@@ -174,9 +174,9 @@
 	return nil
 }
 
-func (m *Machine) detach(scan uint64, reason Reason) {
+func (m *Machine) detach(from uint64, reason Reason) {
 	m.attached = false
-	m.searchNext = scan
+	m.searchNext = from
 	m.detachReason = reason
 }
 
@@ -205,7 +205,7 @@
 		case r.Proposal != nil:
 			results = append(results, m.evaluate(r.ID, r.Proposal))
 		case r.Snapshot != nil:
-			m.noteSnapshot(r.Snapshot)
+			m.recordSnapshot(r.Snapshot)
 		}
 	}
 	return results
@@ -251,9 +251,9 @@
 	return append(append(make([]record.Winner, 0, MaxWinners), kept...), w)
 }
 
-func (m *Machine) noteSnapshot(s *record.Snapshot) {
+func (m *Machine) recordSnapshot(s *record.Snapshot) {
 	m.haveSnapshot = true
-	m.snapshot = max(m.snapshot, s.Next)
+	m.snapshotNext = max(m.snapshotNext, s.Next)
 }
 
 // search looks for a snapshot to start from according to the anchor rule.
@@ -264,9 +264,9 @@
 		if err != nil || r.Snapshot == nil {
 			continue
 		}
-		m.noteSnapshot(r.Snapshot)
-		kept := r.Snapshot.Next >= b.First
-		if kept && m.adopt(*r.Snapshot) {
+		m.recordSnapshot(r.Snapshot)
+		retained := r.Snapshot.Next >= b.First
+		if retained && m.adopt(*r.Snapshot) {
 			return
 		}
 	}
--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -75,15 +75,15 @@
 
 func (m *model) apply(t *rapid.T, i int) {
 	r := m.readers[i]
-	for _, v := range r.Apply(m.read(r.NextRead(), maxBatch)) {
-		undecided := !v.Accepted && !v.Invalid && v.Winner.ID == ""
+	for _, result := range r.Apply(m.read(r.NextRead(), maxBatch)) {
+		undecided := !result.Accepted && !result.Invalid && result.Winner.ID == ""
 		if undecided {
 			continue
 		}
-		if won, ok := m.results[v.ID]; ok {
-			require.Equal(t, won, v.Accepted, "different results of proposal %s", v.ID)
+		if won, ok := m.results[result.ID]; ok {
+			require.Equal(t, won, result.Accepted, "different results of proposal %s", result.ID)
 		}
-		m.results[v.ID] = v.Accepted
+		m.results[result.ID] = result.Accepted
 	}
 	m.check(t, i)
 }
@@ -123,7 +123,7 @@
 			}
 			i := rapid.IntRange(0, len(m.delayed)-1).Draw(t, "record")
 			m.records = append(m.records, m.delayed[i])
-			lost := rapid.Bool().Draw(t, "answer lost")
+			lost := rapid.Bool().Draw(t, "response lost")
 			if !lost {
 				m.delayed = append(m.delayed[:i], m.delayed[i+1:]...)
 			}
@@ -144,7 +144,8 @@
 	}
 }
 
-// Readers that start at any offset agree on every revision, and no reader goes back.
+// Readers that start at any offset agree on every revision, and no reader's revision
+// decreases.
 func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
--- a/core/zoneload/zoneload.go
+++ b/core/zoneload/zoneload.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// Sums holds the loads that one instance received. It is not safe for concurrent use.
+// Sums holds the loads that one instance received from others and computes their sums. It is
+// not safe for concurrent use.
 type Sums struct {
 	zone       string
 	peers      map[string]received
