--- a/core/demand/limit.go
+++ b/core/demand/limit.go
@@ -45,7 +45,7 @@
 
 // Limit returns how many requests self may run concurrently: the result of PacedLimit, raised,
 // within its allocation, to what lets the queued requests of the most urgent rank start now. A
-// queue with strict ranks starts those first, and engines run them before the excess.
+// queue with strict ranks starts those first, and engines run them before the excess requests.
 func Limit(pool Pool, live []string, published []Digest, self string, current PoolDemand) int {
 	allocation := Shares(pool, live, published, self, current).Total()
 	inUse, share := unusedShare(pool, withSelf(live, self), published, self)
--- a/core/layout/balance.go
+++ b/core/layout/balance.go
@@ -164,8 +164,8 @@
 	return target, true
 }
 
-// hasRedundantLayers reports whether a replica holds layers beyond its target, so that its KV
-// cache is smaller than necessary.
+// hasRedundantLayers reports whether a replica holds its target and at least two layers more, so
+// that its KV cache is smaller than necessary.
 func (p *plan) hasRedundantLayers(target *plan) bool {
 	for i := range p.replicas {
 		r, t := &p.replicas[i], &target.replicas[i]
--- a/core/layout/gap.go
+++ b/core/layout/gap.go
@@ -13,7 +13,8 @@
 	return holders
 }
 
-// longestGap returns the longest run of layers that no replica holds or has been assigned.
+// longestGap returns the longest run of layers that no replica holds once pending assignments are
+// carried out.
 func (p *plan) longestGap() (from, to int) {
 	holders := p.plannedHolders()
 	for l := 0; l < len(holders); {
@@ -74,7 +75,8 @@
 }
 
 // redundantReplica returns a replica without a pending assignment whose layers are all held
-// redundantly, or nil. Layers that other replicas have not loaded yet do not count as held.
+// redundantly, that is, by more replicas than the group has pipeline replicas. It returns nil if
+// there is none. Layers that other replicas have not loaded yet do not count as held.
 func (p *plan) redundantReplica() *Replica {
 	holders := p.remainingHolders()
 	for i := range p.replicas {
--- a/core/pipeline/sharing.go
+++ b/core/pipeline/sharing.go
@@ -12,13 +12,13 @@
 }
 
 const (
-	// skipWidthPerPeer is the share of a replica's KV cache, per other instance, over which
-	// the probability of skipping the replica rises to 1. It lies below the reservation
-	// limit. It grows with the number of instances because the more there are, the later each
-	// receives the load of the others.
+	// skipWidthPerPeer sets the range of utilization, directly below maxReservedShare, in
+	// which the probability of skipping a replica rises from 0 to 1: its width is this share
+	// of the KV cache for each other instance. It grows with the number of instances because
+	// the more there are, the later each receives the load of the others.
 	skipWidthPerPeer = 0.01
-	// maxSkipWidth is the upper bound of that share, so that a nearly empty replica is always
-	// used.
+	// maxSkipWidth is the upper bound of that width, so that a nearly empty replica is never
+	// skipped.
 	maxSkipWidth = 0.9
 )
 
--- a/core/placement/extend.go
+++ b/core/placement/extend.go
@@ -22,7 +22,7 @@
 }
 
 // extend returns the smallest set of loads that raises the planned capacity of the wanted
-// version. It returns nil if no path can be provided with engines.
+// version. It returns nil if there is no path for which engines are available.
 func (v *view) extend(m *Model) []step {
 	banned := map[Assignment]bool{}
 	for range maxPaths {
@@ -113,7 +113,8 @@
 	return units
 }
 
-// preference returns the order in which chooseEngine considers a group; lower is better.
+// preference returns the position of a group in the order of preference of chooseEngine; lower is
+// better.
 func (v *view) preference(m *Model, target Assignment, g group) int {
 	held := v.engines[g.engine].Held
 	other, wanted := v.models[held.Model]
--- a/core/revision/revision.go
+++ b/core/revision/revision.go
@@ -72,7 +72,9 @@
 type Machine struct {
 	validate func(content []byte) error
 
-	state        record.Snapshot
+	state record.Snapshot
+	// attached is true while state follows the log record by record. Otherwise searchNext is
+	// the offset from which to search for a snapshot, and detachReason why it stopped.
 	attached     bool
 	searchNext   uint64
 	detachReason Reason
@@ -80,8 +82,9 @@
 	caughtUp    bool
 	offered     bool
 	unavailable bool
-	ready       bool
-	truncated   bool
+	// ready is set once the configuration may be used, and stays set.
+	ready     bool
+	truncated bool
 
 	snapshotNext uint64
 	haveSnapshot bool
