--- a/core/placement/extend.go
+++ b/core/placement/extend.go
@@ -22,7 +22,7 @@
 }
 
 // extend returns the smallest set of loads that raises the planned capacity of the wanted
-// version. It returns nil if no path can be provided with engines.
+// version. It returns nil if there is no path for which engines are available.
 func (v *view) extend(m *Model) []step {
 	banned := map[Assignment]bool{}
 	for range maxPaths {
@@ -113,7 +113,8 @@
 	return units
 }
 
-// preference returns the order in which chooseEngine considers a group; lower is better.
+// preference returns the position of a group in the order of preference of chooseEngine; lower is
+// better.
 func (v *view) preference(m *Model, target Assignment, g group) int {
 	held := v.engines[g.engine].Held
 	other, wanted := v.models[held.Model]
@@ -133,7 +134,7 @@
 
 // cheapestPath returns the ranges to load along a shortest augmenting path (Ford and Fulkerson,
 // 1956), or nil if there is no path. A range with spare units costs nothing, a version change in
-// place little, and an engine from elsewhere much.
+// place has a low cost, and moving an engine from elsewhere a high one.
 func (v *view) cheapestPath(m *Model, banned map[Assignment]bool) []Assignment {
 	g := v.graph(m)
 	g.saturate()
@@ -198,11 +199,11 @@
 // splitLongRanges adds boundaries where two of them are more than longest layers apart.
 func splitLongRanges(bounds []int, longest int) []int {
 	out := bounds[:1:1]
-	for _, c := range bounds[1:] {
-		for out[len(out)-1]+longest < c {
+	for _, b := range bounds[1:] {
+		for out[len(out)-1]+longest < b {
 			out = append(out, out[len(out)-1]+longest)
 		}
-		out = append(out, c)
+		out = append(out, b)
 	}
 	return out
 }
