--- a/cmd/internal/soak/fault.go
+++ b/cmd/internal/soak/fault.go
@@ -91,7 +91,7 @@
 
 func storeFaults() []fault {
 	return []fault{
-		{"configuration published", true, func(env *environment, _ *Recorder, _ *rand.Rand) { env.publish() }},
+		{"configuration", true, func(env *environment, _ *Recorder, _ *rand.Rand) { env.publish() }},
 		{"store unavailable", false, func(env *environment, _ *Recorder, random *rand.Rand) {
 			env.store.Fail(http.StatusServiceUnavailable)
 			time.Sleep(randomDuration(random, 300*time.Millisecond, 3*time.Second))
@@ -112,7 +112,7 @@
 			time.Sleep(randomDuration(random, 2500*time.Millisecond, 4*time.Second))
 			restartReplica(env, r, rec, 200*time.Millisecond)
 		})},
-		{"link fault", false, replicaFault(func(_ *environment, r *replica, _ *Recorder, random *rand.Rand) {
+		{"links", false, replicaFault(func(_ *environment, r *replica, _ *Recorder, random *rand.Rand) {
 			r.proxy.Set(Mode(1 + random.IntN(int(modeCount)-1)))
 			time.Sleep(randomDuration(random, 300*time.Millisecond, 2500*time.Millisecond))
 			r.proxy.Set(Pass)
