--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -131,7 +131,7 @@
 	body, err := json.Marshal(v)
 	if err != nil {
 		status = http.StatusInternalServerError
-		body = []byte(`{"error":"the response cannot be encoded"}`)
+		body = []byte(`{"error":"the answer cannot be encoded"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/node/follower/publish.go
+++ b/node/follower/publish.go
@@ -19,7 +19,7 @@
 	ErrBaseUnknown = errors.New("base revision is not known here")
 	// ErrUndecided means that the outcome of the proposal is not known yet. It may have
 	// been accepted, or may still be.
-	ErrUndecided = errors.New("outcome of the proposal is not known")
+	ErrUndecided = errors.New("fate of the proposal is not known")
 )
 
 // LostError means that another proposal has already replaced the base revision.
