--- a/node/router/service.go
+++ b/node/router/service.go
@@ -160,7 +160,7 @@
 	}
 	if isLeavingRefusal(response) {
 		pool.observe(c.replica, health.Leaving{Source: health.FromUpstream})
-		return failedResult(CodeUpstreamFailed, execution.NotRun, "the replica is leaving"), c.id
+		return failedResult(CodeUpstreamFailed, execution.NotRun, "the replica leaves"), c.id
 	}
 	pool.observe(c.replica, health.Progress{Connection: c.number})
 	r.poison.recordCompletion(req.fingerprint())
