--- a/node/duty/duty_test.go
+++ b/node/leader/keeper_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package leader_test
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"masticbank.example/node/duty"
+	"masticbank.example/node/leader"
 	"masticbank.example/node/logstream"
 	"masticbank.example/node/logstream/logtest"
 )
 
 const stream = "leases"
 
-func startKeeper(ctx context.Context, log *logtest.Log, self string, tasks int) *duty.Keeper {
+func startKeeper(ctx context.Context, log *logtest.Log, self string, tasks int) *leader.Keeper {
 	appender := logstream.NewAppender(log, stream, logstream.AppenderOptions{})
-	k := duty.New(duty.Options{Log: log, Appender: appender, Stream: stream, Self: self, Terms: duty.DefaultTerms()})
+	k := leader.New(leader.Options{Log: log, Appender: appender, Stream: stream, Self: self, Timing: leader.DefaultTiming()})
 	for i := range tasks {
 		k.Want(leaseName(i), true)
 	}
@@ -29,7 +29,7 @@
 
 func leaseName(i int) string { return fmt.Sprint("duty", i) }
 
-func validHolders(keepers []*duty.Keeper) (valid []*duty.Keeper, epoch uint64) {
+func validHolders(keepers []*leader.Keeper) (valid []*leader.Keeper, epoch uint64) {
 	for _, k := range keepers {
 		if e, ok := k.Valid(leaseName(0)); ok {
 			valid = append(valid, k)
@@ -39,17 +39,17 @@
 	return valid, epoch
 }
 
-// Exactly one instance holds a lease. It stops acting on it during an outage of the log,
-// and another instance acquires it at once when the holder releases it.
+// Exactly one instance holds a lease. It stops acting as the leader during an outage of the
+// log, and another instance acquires the lease immediately when the leader releases it.
 func TestLeaseThroughOutageAndRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := &logtest.Log{Delay: time.Millisecond}
-		var keepers []*duty.Keeper
+		var keepers []*leader.Keeper
 		for i := range 3 {
 			keepers = append(keepers, startKeeper(ctx, log, fmt.Sprint("i", i), 1))
 		}
-		terms := duty.DefaultTerms()
+		terms := leader.DefaultTiming()
 		time.Sleep(terms.TTL + terms.Renew)
 		first, epoch := validHolders(keepers)
 		require.Len(t, first, 1)
@@ -84,17 +84,17 @@
 // Renewals of all leases of an instance share one append.
 func TestRenewalsShareOneAppend(t *testing.T) {
 	const period = 10 * time.Minute
-	count := func(duties int) (appends, records int) {
+	count := func(tasks int) (appends, records int) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			log := &logtest.Log{}
-			startKeeper(ctx, log, "i", duties)
+			startKeeper(ctx, log, "i", tasks)
 			time.Sleep(period)
 			appends, records = log.Counts()
 			cancel()
 			synctest.Wait()
 		})
-		t.Logf("%d duties: %.3f appends/s, %.3f records/s", duties, float64(appends)/period.Seconds(), float64(records)/period.Seconds())
+		t.Logf("%d leader tasks: %.3f appends/s, %.3f records/s", tasks, float64(appends)/period.Seconds(), float64(records)/period.Seconds())
 		return appends, records
 	}
 	one, _ := count(1)
